--- a/src/libtrefoilarch/crashdetector.cpp
+++ b/src/libtrefoilarch/crashdetector.cpp
@@ -75,7 +75,7 @@
 }
 
 bool
-CrashDetector::IsInDoubt(const UpstreamStart& aStart) const
+CrashDetector::IsCrashSuspected(const UpstreamStart& aStart) const
 {
   const auto place = mWatched.find(aStart);
   return place != mWatched.end() && !place->second.mEnded &&
--- a/src/libtrefoilarch/crashdetector.h
+++ b/src/libtrefoilarch/crashdetector.h
@@ -43,7 +43,7 @@
   void OnListening(const UpstreamStart& aStart);
 
   /** Whether a connection broke there, and it is being found out why. */
-  bool IsInDoubt(const UpstreamStart& aStart) const;
+  bool IsCrashSuspected(const UpstreamStart& aStart) const;
 
   /** Forgets what is too old to explain an end. */
   void Expire(Millis aNow);
--- a/src/libtrefoilarch/directcrashes.cpp
+++ b/src/libtrefoilarch/directcrashes.cpp
@@ -7,18 +7,18 @@
 namespace trefoilarch {
 
 void
-DirectRouter::NoteSent(const BoundRequest& aRequest, Millis aNow)
+DirectRouter::RecordAttempt(const BoundRequest& aRequest, Millis aNow)
 {
   mQuarantine.OnSent(aRequest.mFingerprint, aNow);
   if (mQuarantine.HasNews()) {
-    mOptions.mOnCrashNews();
+    mOptions.mOnCrashUpdate();
   }
 }
 
 bool
 DirectRouter::OnConnectionLost(const PlacedAttempt& aAttempt, Millis aNow)
 {
-  const Tracked* tracked = TrackedFor(aAttempt);
+  const TrackedUpstream* tracked = FindTracked(aAttempt);
   const bool named = aAttempt.mFingerprint != RequestFingerprint{};
   if (!named || tracked == nullptr || !TakesWork(aAttempt)) {
     return false;
@@ -26,7 +26,7 @@
   const UpstreamStart& start = tracked->mStart;
   if (mCrashDetector.OnConnectionLost(start, aAttempt.mFingerprint, aNow)) {
     TakeCrash({ .mStart = start,
-                .mWhy = "known",
+                .mReason = "known",
                 .mSuspects = { aAttempt.mFingerprint } },
               aNow);
     return false;
@@ -35,12 +35,12 @@
 }
 
 void
-DirectRouter::OnRefused(const UpstreamId& aUpstream, Millis aNow)
+DirectRouter::OnConnectionRefused(const UpstreamId& aUpstream, Millis aNow)
 {
   const auto tracked = mTracked.find(aUpstream);
   if (tracked != mTracked.end() && tracked->second.mListed &&
       !tracked->second.mLeaving) {
-    OnStartOver(tracked->second.mStart, "refused", aNow);
+    OnIncarnationEnded(tracked->second.mStart, "refused", aNow);
   }
 }
 
@@ -54,23 +54,24 @@
 }
 
 bool
-DirectRouter::IsInDoubt(const PlacedAttempt& aAttempt) const
+DirectRouter::IsCrashSuspected(const PlacedAttempt& aAttempt) const
 {
   const auto tracked = mTracked.find(aAttempt.mUpstream);
-  return tracked != mTracked.end() && tracked->second.mLife == aAttempt.mLife &&
-         mCrashDetector.IsInDoubt(tracked->second.mStart);
+  return tracked != mTracked.end() &&
+         tracked->second.mIncarnationNumber == aAttempt.mIncarnationNumber &&
+         mCrashDetector.IsCrashSuspected(tracked->second.mStart);
 }
 
 void
-DirectRouter::OnStartOver(const UpstreamStart& aStart,
-                          const char* aWhy,
-                          Millis aNow)
+DirectRouter::OnIncarnationEnded(const UpstreamStart& aStart,
+                                 const char* aWhy,
+                                 Millis aNow)
 {
   auto suspects = mCrashDetector.OnEnded(aStart, aNow);
   if (!suspects.empty()) {
     mCrashCount++;
     TakeCrash(
-      { .mStart = aStart, .mWhy = aWhy, .mSuspects = std::move(suspects) },
+      { .mStart = aStart, .mReason = aWhy, .mSuspects = std::move(suspects) },
       aNow);
   }
 }
@@ -80,18 +81,18 @@
 {
   mQuarantine.OnCrash(aCrash.mStart, aCrash.mSuspects, aNow);
   mCrashes.push_back(std::move(aCrash));
-  mOptions.mOnCrashNews();
+  mOptions.mOnCrashUpdate();
 }
 
 void
-DirectRouter::OnCrashNews(const CrashNews& aNews, Millis aNow)
+DirectRouter::OnCrashUpdate(const CrashNews& aNews, Millis aNow)
 {
   mQuarantine.OnNews(aNews, aNow);
   for (const CrashReport& each : aNews.mReports) {
-    OnStartOver(each.mStart, "told", aNow);
+    OnIncarnationEnded(each.mStart, "told", aNow);
   }
   if (mQuarantine.HasNews()) {
-    mOptions.mOnCrashNews();
+    mOptions.mOnCrashUpdate();
   }
 }
 
--- a/src/libtrefoilarch/directlimits.cpp
+++ b/src/libtrefoilarch/directlimits.cpp
@@ -13,33 +13,33 @@
 } // namespace
 
 void
-DirectRouter::OnLimit(const PlacedAttempt& aAttempt,
-                      const std::optional<NamedLimit>& aLimit,
-                      Millis aNow)
+DirectRouter::OnRateLimit(const PlacedAttempt& aAttempt,
+                          const std::optional<NamedLimit>& aLimit,
+                          Millis aNow)
 {
-  if (TrackedFor(aAttempt) == nullptr) {
+  if (FindTracked(aAttempt) == nullptr) {
     return;
   }
   mLimits.OnAnswer(aAttempt.mUpstream, aLimit, aAttempt.mSentAt, aNow);
-  TellLimitChanges();
+  ReportLimitChanges();
 }
 
 void
-DirectRouter::TellLimitChanges()
+DirectRouter::ReportLimitChanges()
 {
-  mHasNotes = mHasNotes || mLimits.HasNews();
+  mHasPeerUpdate = mHasPeerUpdate || mLimits.HasNews();
   for (const LimitChange& change : mLimits.TakeChanges()) {
     mOptions.mOnLimitChange(change);
   }
 }
 
 std::optional<PermitReply>
-DirectRouter::OnPermitAsk(const std::string& aFrom,
-                          const PermitAsk& aAsk,
-                          Millis aNow)
+DirectRouter::OnPermitRequest(const std::string& aFrom,
+                              const PermitAsk& aAsk,
+                              Millis aNow)
 {
   mLimits.OnTold(aAsk.mLimit, aNow);
-  TellLimitChanges();
+  ReportLimitChanges();
   const auto perSecond = mLimits.Of(aAsk.mLimit.mUpstream);
   if (!perSecond) {
     // The limit has ended, and the other entry will hear of it.
@@ -49,17 +49,17 @@
 }
 
 void
-DirectRouter::AskPermit(const UpstreamId& aUpstream,
-                        uint8_t aUrgency,
-                        Millis aNow)
+DirectRouter::SendPermitRequest(const UpstreamId& aUpstream,
+                                uint8_t aUrgency,
+                                Millis aNow)
 {
   const AddressedAsk ask =
     mPermits.Ask(mLimits.WordOf(aUpstream, aNow), aUrgency, aNow);
   if (ask.mTo != mPermits.Own()) {
-    mOptions.mOnPermitAsk(ask);
+    mOptions.mOnPermitRequest(ask);
     return;
   }
-  if (const auto reply = OnPermitAsk(ask.mTo, ask.mAsk, aNow)) {
+  if (const auto reply = OnPermitRequest(ask.mTo, ask.mAsk, aNow)) {
     mPermits.OnReply(*reply, aNow);
   }
 }
@@ -75,9 +75,9 @@
   }
   switch (mPermits.StateOf(aUpstream, aUrgency, aNow)) {
     case PermitState::Unasked:
-      return aWait.mMayAsk;
+      return aWait.mMayRequest;
     case PermitState::Asked:
-      if (aWait.mUpstream != aUpstream && aWait.mMayAsk) {
+      if (aWait.mUpstream != aUpstream && aWait.mMayRequest) {
         mPermits.NoteMissed(aUpstream);
       }
       return aWait.mUpstream == aUpstream;
@@ -98,7 +98,7 @@
     return true;
   }
   if (mPermits.StateOf(aUpstream, aUrgency, aNow) == PermitState::Unasked) {
-    AskPermit(aUpstream, aUrgency, aNow);
+    SendPermitRequest(aUpstream, aUrgency, aNow);
   }
   if (mPermits.StateOf(aUpstream, aUrgency, aNow) != PermitState::Granted) {
     return false;
@@ -108,9 +108,9 @@
 }
 
 std::optional<Millis>
-DirectRouter::RoomIn(const BoundRequest& aRequest,
-                     const std::set<UpstreamId>& aTried,
-                     Millis aNow)
+DirectRouter::CapacityIn(const BoundRequest& aRequest,
+                         const std::set<UpstreamId>& aTried,
+                         Millis aNow)
 {
   std::optional<Millis> room;
   for (const ListedUpstream* each : mDirectory.OfService(aRequest.mService)) {
--- a/src/libtrefoilarch/directplacing.cpp
+++ b/src/libtrefoilarch/directplacing.cpp
@@ -44,7 +44,7 @@
 DirectRouter::Overload(const BoundRequest& aRequest, Millis aNow)
 {
   const Route& route = *aRequest.mRoute;
-  const Millis limit = aRequest.mEnd - aRequest.mArrived;
+  const Millis limit = aRequest.mDeadline - aRequest.mArrivedAt;
   const double favour = FavourOf(aRequest.mRoutePriority);
   // An entry that hears no other knows its own part of the work alone: then
   // the rate at which its requests start says more than any forecast.
@@ -57,9 +57,9 @@
         route.mFirstTokenTarget, limit, favour * kHeardFavour, aNow)) {
     return late;
   }
-  const StartTerms terms{ .mTarget = route.mFirstTokenTarget,
-                          .mLimit = limit,
-                          .mFavour = favour };
+  const StartRequirements terms{ .mTarget = route.mFirstTokenTarget,
+                                 .mLimit = limit,
+                                 .mPriorityWeight = favour };
   const auto late = mEngineAdmission.Refuse(ForecastFor(aRequest, aNow), terms);
   if (!late) {
     return std::nullopt;
@@ -72,36 +72,36 @@
                        Millis aLeast,
                        Millis aSpread)
 {
-  const Millis limit = aRequest.mEnd - aRequest.mArrived;
+  const Millis limit = aRequest.mDeadline - aRequest.mArrivedAt;
   std::uniform_int_distribution<int64_t> spread(0, aSpread.Count());
   return std::min(aLeast + Millis(spread(mRandom)), limit / kReturnPart);
 }
 
-ForecastStart
+StartForecast
 DirectRouter::ForecastFor(const BoundRequest& aRequest, Millis aNow)
 {
   const Candidates candidates = CandidatesFor(aRequest, {}, {}, aNow);
   if (candidates.empty()) {
     return {};
   }
-  const EngineFacts facts = FactsOf(aRequest, aNow);
+  const EngineInfo facts = FactsOf(aRequest, aNow);
   const uint8_t urgency = aRequest.mRoutePriority;
-  const Placed placed =
+  const PlacementChoice placed =
     mPlacement.Choose(candidates, aRequest.mPrompt, urgency, facts, aNow);
   return { .mWaitMs = placed.mWaitMs,
-           .mReadMs = placed.mWork.mPrefill / facts.mReadPerMs +
-                      mEngines.LeastWaitMs(aRequest.mService),
+           .mPrefillMs = placed.mWork.mPrefill / facts.mPrefillPerMs +
+                         mEngines.MinWaitMs(aRequest.mService),
            .mAnswerMs = mMeters[aRequest.mRoute->mName].AnswerMs() };
 }
 
-EngineFacts
+EngineInfo
 DirectRouter::FactsOf(const BoundRequest& aRequest, Millis aNow) const
 {
   const std::string& service = aRequest.mService;
   const RoutedService* listed =
     mIndex ? mIndex->ServiceNamed(service) : nullptr;
   const bool engine = listed != nullptr && listed->mEngine.has_value();
-  const double perMs = mEngines.ReadPerMs(service);
+  const double perMs = mEngines.PrefillPerMs(service);
   const auto arrivals = mArrivals.find(service);
   const double rate =
     arrivals == mArrivals.end() ? 0 : arrivals->second.PerMs(aNow);
@@ -110,15 +110,14 @@
   const double perEngine = rate / static_cast<double>(engines);
   const size_t heard = mPeers.Peers();
   const size_t others = std::max(heard, mEntries - 1);
-  return { .mReadPerMs = perMs,
-           .mBehindShare =
-             mEngines.ReadingMs(service, { .mBehind = 1 }) * perMs,
+  return { .mPrefillPerMs = perMs,
+           .mBehindCost = mEngines.PrefillMs(service, { .mBehind = 1 }) * perMs,
            .mMemoryTokens = engine ? listed->mEngine->mMemoryTokens : 0,
            .mAnswerMs = mEngines.AnswerMs(service),
-           .mPeersHeard = heard > 0,
-           .mHeardPerMs = perEngine * static_cast<double>(heard),
-           .mUnheardPerMs = perEngine * static_cast<double>(others - heard),
-           .mTellMs = mPeers.PauseMs() };
+           .mPeersReporting = heard > 0,
+           .mReportedPerMs = perEngine * static_cast<double>(heard),
+           .mUnreportedPerMs = perEngine * static_cast<double>(others - heard),
+           .mReportIntervalMs = mPeers.PauseMs() };
 }
 
 std::optional<PlacedAttempt>
@@ -127,7 +126,8 @@
                             Millis aNow)
 {
   const PlacedAttempt copy{ .mUpstream = aBroken.mBackup,
-                            .mLife = aBroken.mBackupLife };
+                            .mIncarnationNumber =
+                              aBroken.mBackupIncarnationNumber };
   const ListedUpstream* backup = mDirectory.Find(aBroken.mBackup);
   // A caller in the middle of its answer waits for no permit.
   if (!TakesWork(copy) || mLimits.Of(aBroken.mBackup)) {
@@ -135,10 +135,10 @@
   }
   const AttemptWork work{ .mOutput = aBroken.mWork.mOutput };
   mTracked[backup->mId].mWork.OnSent(work, aNow);
-  NoteSent(aRequest, aNow);
+  RecordAttempt(aRequest, aNow);
   mMeters[aRequest.mRoute->mName].OnSent(aNow);
   return PlacedAttempt{ .mUpstream = backup->mId,
-                        .mLife = backup->mLife,
+                        .mIncarnationNumber = backup->mIncarnationNumber,
                         .mFingerprint = aRequest.mFingerprint,
                         .mService = backup->mService,
                         .mRoute = aRequest.mRoute->mName,
@@ -153,7 +153,7 @@
                     const std::set<UpstreamId>& aTried,
                     Millis aNow)
 {
-  PermitWait wait{ .mMayAsk = false };
+  PermitWait wait{ .mMayRequest = false };
   return Place(aRequest, aTried, wait, aNow);
 }
 
@@ -166,7 +166,7 @@
   Candidates candidates = CandidatesFor(aRequest, aTried, aWait, aNow);
   const uint8_t urgency = aRequest.mRoutePriority;
   while (!candidates.empty()) {
-    const Placed placed = mPlacement.Choose(
+    const PlacementChoice placed = mPlacement.Choose(
       candidates, aRequest.mPrompt, urgency, FactsOf(aRequest, aNow), aNow);
     const UpstreamId& upstream = placed.mUpstream;
     if (TakePermit(upstream, urgency, aNow)) {
@@ -181,13 +181,13 @@
     });
   }
   aWait.mUpstream.clear();
-  aWait.mRoomIn = RoomIn(aRequest, aTried, aNow);
+  aWait.mCapacityIn = CapacityIn(aRequest, aTried, aNow);
   return std::nullopt;
 }
 
 PlacedAttempt
 DirectRouter::Send(const BoundRequest& aRequest,
-                   const Placed& aPlaced,
+                   const PlacementChoice& aPlaced,
                    const Candidates& aCandidates,
                    Millis aNow)
 {
@@ -195,8 +195,8 @@
   const ListedUpstream* listed = mDirectory.Find(aPlaced.mUpstream);
   UpstreamWork& work = mTracked[aPlaced.mUpstream].mWork;
   work.OnSent(aPlaced.mWork, aNow);
-  NoteSent(aRequest, aNow);
-  PendingReads pending = work.Pending();
+  RecordAttempt(aRequest, aNow);
+  PendingPrefill pending = work.Pending();
   pending += mPeers.Pending(aPlaced.mUpstream);
   TakeNote(aRequest.mPrompt, aPlaced, aNow);
   if (aRequest.mPrompt.mPromptTokens > 0) {
@@ -206,22 +206,23 @@
   const ListedUpstream* backup =
     BackupFor(aRequest, aCandidates, aPlaced.mUpstream);
   const ListedUpstream* holder = HolderAt(aPlaced.mHolder, aNow);
-  return PlacedAttempt{ .mUpstream = aPlaced.mUpstream,
-                        .mLife = listed->mLife,
-                        .mFingerprint = aRequest.mFingerprint,
-                        .mService = listed->mService,
-                        .mRoute = aRequest.mRoute->mName,
-                        .mAddress = listed->mAddress,
-                        .mWork = aPlaced.mWork,
-                        .mReads = { .mAhead = pending.Ahead(urgency),
-                                    .mBehind = pending.Behind(urgency) },
-                        .mHolderAddress =
-                          holder != nullptr ? holder->mAddress : "",
-                        .mBackup = backup != nullptr ? backup->mId : "",
-                        .mBackupLife = backup != nullptr ? backup->mLife : 0,
-                        .mBackupAddress =
-                          backup != nullptr ? backup->mAddress : "",
-                        .mSentAt = aNow };
+  return PlacedAttempt{
+    .mUpstream = aPlaced.mUpstream,
+    .mIncarnationNumber = listed->mIncarnationNumber,
+    .mFingerprint = aRequest.mFingerprint,
+    .mService = listed->mService,
+    .mRoute = aRequest.mRoute->mName,
+    .mAddress = listed->mAddress,
+    .mWork = aPlaced.mWork,
+    .mPrefillBacklog = { .mAhead = pending.Ahead(urgency),
+                         .mBehind = pending.Behind(urgency) },
+    .mHolderAddress = holder != nullptr ? holder->mAddress : "",
+    .mBackup = backup != nullptr ? backup->mId : "",
+    .mBackupIncarnationNumber =
+      backup != nullptr ? backup->mIncarnationNumber : 0,
+    .mBackupAddress = backup != nullptr ? backup->mAddress : "",
+    .mSentAt = aNow
+  };
 }
 
 const ListedUpstream*
@@ -236,7 +237,7 @@
 }
 
 double
-DirectRouter::WholeDemand() const
+DirectRouter::DemandScale() const
 {
   const auto known = static_cast<double>(mPeers.Peers() + 1);
   return std::max(1.0, static_cast<double>(mEntries) / known);
@@ -253,20 +254,20 @@
   Candidates healthy;
   Candidates others;
   const auto& all = mDirectory.OfService(aRequest.mService);
-  const LanePlaces& lanes =
-    mLanes.PlacesFor(aRequest.mService,
-                     *aRequest.mRoute,
-                     all,
-                     { .mPauses = mPauses,
-                       .mReadPerMs = mEngines.ReadPerMs(aRequest.mService),
-                       .mSlots = all.empty() ? 0 : all.front()->mSlots,
-                       .mWholeDemand = WholeDemand() },
-                     aNow);
+  const PoolPositions& lanes = mLanes.PositionsFor(
+    aRequest.mService,
+    *aRequest.mRoute,
+    all,
+    { .mPauses = mPauses,
+      .mPrefillPerMs = mEngines.PrefillPerMs(aRequest.mService),
+      .mSlots = all.empty() ? 0 : all.front()->mSlots,
+      .mDemandScale = DemandScale() },
+    aNow);
   for (const ListedUpstream* each : all) {
     if (each->mLeaving || aTried.contains(each->mId)) {
       continue;
     }
-    const Tracked& tracked = mTracked[each->mId];
+    const TrackedUpstream& tracked = mTracked[each->mId];
     const UpstreamWork& work = tracked.mWork;
     if (work.Open() >= most ||
         !MayHavePermit(each->mId, aRequest.mRoutePriority, aWait, aNow)) {
@@ -277,14 +278,14 @@
       .mListed = each,
       .mWork = &work,
       .mCold = aNow < tracked.mColdUntil,
-      .mOthersPending = mPeers.Pending(each->mId),
-      .mOthersSilence = tracked.mOthersSilence.Silence(aNow),
+      .mPeerPending = mPeers.Pending(each->mId),
+      .mPeerSilence = tracked.mPeerSilence.Silence(aNow),
       .mSlowness = mEngines.Slowness(each->mId, aNow),
-      .mLane = lane == lanes.end() ? LanePlace{} : lane->second
+      .mPoolPosition = lane == lanes.end() ? PoolPosition{} : lane->second
     };
     const OutlierState state = mOutliers.State(each->mId, aNow);
-    const bool tries = repeatable || mTrialChance(mRandom);
-    if (state == OutlierState::Trial && tries && work.Open() == 0) {
+    const bool tries = repeatable || mProbeProbability(mRandom);
+    if (state == OutlierState::Probing && tries && work.Open() == 0) {
       return { candidate };
     }
     (state == OutlierState::Healthy ? healthy : others).push_back(candidate);
@@ -303,7 +304,7 @@
   const bool worthIt =
     service != nullptr && service->mEngine && service->mEngine->mBackups &&
     aRequest.mRoute->mStream && prompt.mPromptTokens > 0 &&
-    static_cast<double>(prompt.mMostOutput) >=
+    static_cast<double>(prompt.mMaxOutput) >=
       kBackupOutputShare * static_cast<double>(prompt.mPromptTokens);
   if (!worthIt) {
     return nullptr;
@@ -311,7 +312,8 @@
   const ListedUpstream* best = nullptr;
   double least = 0;
   for (const PlacementCandidate& each : aCandidates) {
-    const double load = each.mWork->Open() + each.mLane.mDistance * kLaneLoad;
+    const double load =
+      each.mWork->Open() + each.mPoolPosition.mDistance * kLaneLoad;
     if (each.mListed->mId != aChosen && (best == nullptr || load < least)) {
       best = each.mListed;
       least = load;
--- a/src/libtrefoilarch/directrouter.cpp
+++ b/src/libtrefoilarch/directrouter.cpp
@@ -63,17 +63,17 @@
   }
   for (const auto& [id, listed] : mDirectory.All()) {
     const auto [place, fresh] = mTracked.try_emplace(id);
-    Tracked& tracked = place->second;
+    TrackedUpstream& tracked = place->second;
     tracked.mListed = true;
-    if (!fresh && tracked.mLife != listed.mLife) {
+    if (!fresh && tracked.mIncarnationNumber != listed.mIncarnationNumber) {
       if (!tracked.mLeaving) {
-        OnStartOver(tracked.mStart, "replaced", aNow);
+        OnIncarnationEnded(tracked.mStart, "replaced", aNow);
       }
-      ForgetLife(id, tracked);
+      ForgetIncarnation(id, tracked);
       startedAgain.push_back(id);
     }
-    if (tracked.mLife != listed.mLife) {
-      tracked.mLife = listed.mLife;
+    if (tracked.mIncarnationNumber != listed.mIncarnationNumber) {
+      tracked.mIncarnationNumber = listed.mIncarnationNumber;
       tracked.mColdUntil = aNow + listed.mColdFor;
     }
     tracked.mStart = { .mUpstream = id, .mBorn = listed.mBorn.value_or(0) };
@@ -90,11 +90,11 @@
       return false;
     }
     if (!tracked.mLeaving) {
-      OnStartOver(tracked.mStart, "unlisted", aNow);
+      OnIncarnationEnded(tracked.mStart, "unlisted", aNow);
     }
     mOutliers.Remove(id);
     mEngines.Forget(id);
-    mPlacement.Memory().Forget(id);
+    mPlacement.PrefixCaches().Forget(id);
     ForgetLimit(id);
     return tracked.mWork.Open() == 0;
   });
@@ -102,14 +102,15 @@
 }
 
 void
-DirectRouter::ForgetLife(const UpstreamId& aUpstream, Tracked& aTracked)
+DirectRouter::ForgetIncarnation(const UpstreamId& aUpstream,
+                                TrackedUpstream& aTracked)
 {
   mOutliers.Reset(aUpstream);
   ForgetLimit(aUpstream);
   mEngines.Forget(aUpstream);
-  mPlacement.Memory().Forget(aUpstream);
+  mPlacement.PrefixCaches().Forget(aUpstream);
   aTracked.mWork = UpstreamWork();
-  aTracked.mOthersSilence = PeerSilence();
+  aTracked.mPeerSilence = PeerSilence();
 }
 
 void
@@ -120,23 +121,24 @@
   mIssuer.Forget(aUpstream);
 }
 
-DirectRouter::Tracked*
-DirectRouter::TrackedFor(const PlacedAttempt& aAttempt)
+DirectRouter::TrackedUpstream*
+DirectRouter::FindTracked(const PlacedAttempt& aAttempt)
 {
   const auto tracked = mTracked.find(aAttempt.mUpstream);
   const bool same =
-    tracked != mTracked.end() && tracked->second.mLife == aAttempt.mLife;
+    tracked != mTracked.end() &&
+    tracked->second.mIncarnationNumber == aAttempt.mIncarnationNumber;
   return same ? &tracked->second : nullptr;
 }
 
 Result<BoundRequest>
-DirectRouter::Bind(const RequestFacts& aFacts, Millis aNow)
+DirectRouter::Bind(const RequestAttributes& aFacts, Millis aNow)
 {
   if (!mIndex) {
     return Fail(Refuse(ErrorKind::PolicyUnknown, "no policy yet"));
   }
   mPeers.Expire(aNow);
-  const bool recent = mPolicyFreshness.IsWithin(mOptions.mPolicySpan, aNow);
+  const bool recent = mPolicyFreshness.IsWithin(mOptions.mPolicyMaxAge, aNow);
   const Route* route = mIndex->Find(aFacts.mHost, aFacts.mPath);
   if (route == nullptr) {
     return Fail(Refuse(
@@ -147,9 +149,9 @@
                       .mPriority = route->mPriority,
                       .mRoutePriority = route->mPriority,
                       .mPrompt = aFacts.mPrompt,
-                      .mArrived = aFacts.mArrived };
+                      .mArrivedAt = aFacts.mArrivedAt };
   if (!route->mPublic && !mIndex->Policy().mWorkspaces.empty()) {
-    if (!mPolicyFreshness.IsWithin(mOptions.mKeySpan, aNow)) {
+    if (!mPolicyFreshness.IsWithin(mOptions.mKeyPolicyMaxAge, aNow)) {
       return Fail(Refuse(ErrorKind::PolicyStale, "keys can't be checked"));
     }
     const KeyedWorkspace* workspace = mIndex->WorkspaceOf(aFacts.mKey);
@@ -162,17 +164,18 @@
     bound.mPriority = workspace->mPriority.value_or(route->mPriority);
   }
   const Millis span =
-    std::min(route->mTimeout, aFacts.mPatience.value_or(route->mTimeout));
-  bound.mEnd = aFacts.mArrived + span;
+    std::min(route->mTimeout, aFacts.mCallerTimeout.value_or(route->mTimeout));
+  bound.mDeadline = aFacts.mArrivedAt + span;
   bound.mService = ServiceFor(*route);
-  bound.mPrompt.mShared = mShared.OnPrompt(route->mName, bound.mPrompt);
+  bound.mPrompt.mSharedSegments =
+    mSharedSegments.OnPrompt(route->mName, bound.mPrompt);
   mLanes.OnRequest(
     bound.mService, *route, bound.mPrompt, aNow, mMeters[route->mName].Open());
   const auto comeBack = Overload(bound, aNow);
   // Asked under an overload alone, as it looks through all entries' demand.
   const bool othersTakeLess =
     comeBack &&
-    mLanes.OthersSendLessUrgent(bound.mService, route->mPriority, aNow);
+    mLanes.PeersSendLessUrgent(bound.mService, route->mPriority, aNow);
   if (mTiers.Refuses(bound.mService,
                      route->mPriority,
                      comeBack.has_value(),
@@ -194,7 +197,7 @@
     return true;
   }
   const KeyedWorkspace* workspace = mIndex->WorkspaceOf(aRequest.mKey);
-  return mPolicyFreshness.IsWithin(mOptions.mKeySpan, aNow) &&
+  return mPolicyFreshness.IsWithin(mOptions.mKeyPolicyMaxAge, aNow) &&
          workspace != nullptr && workspace->mName == aRequest.mWorkspace;
 }
 
@@ -203,29 +206,30 @@
 {
   const ListedUpstream* listed = mDirectory.Find(aAttempt.mUpstream);
   return listed != nullptr && !listed->mLeaving &&
-         listed->mLife == aAttempt.mLife;
+         listed->mIncarnationNumber == aAttempt.mIncarnationNumber;
 }
 
 void
 DirectRouter::TakeNote(const PromptShape& aPrompt,
-                       const Placed& aPlaced,
+                       const PlacementChoice& aPlaced,
                        Millis aNow)
 {
   if (aPrompt.mPromptTokens == 0) {
     return;
   }
   SentPrompt sent{ .mUpstream = aPlaced.mUpstream,
-                   .mParts = aPrompt.SharedIds(),
+                   .mSegments = aPrompt.SharedIds(),
                    .mTokens = aPlaced.mWork.mPrefill + aPlaced.mWork.mOutput };
-  mPlacement.Memory().OnSent(sent.mUpstream, sent.mParts, sent.mTokens, aNow);
-  mHasNotes = true;
+  mPlacement.PrefixCaches().OnSent(
+    sent.mUpstream, sent.mSegments, sent.mTokens, aNow);
+  mHasPeerUpdate = true;
   if (mSent.size() < kMostSent) {
     mSent.push_back(std::move(sent));
   }
 }
 
 PeerNotes
-DirectRouter::TakeNotes(Millis aNow)
+DirectRouter::TakePeerUpdate(Millis aNow)
 {
   PeerNotes notes{ .mFrom = mOptions.mName,
                    .mProcess = mProcess,
@@ -238,7 +242,7 @@
       notes.mPending.push_back({ id, tracked.mWork.Pending() });
     }
     const Millis silence = tracked.mWork.Silence(aNow);
-    if (silence >= mPlacement.UsualSilence()) {
+    if (silence >= mPlacement.NormalSilence()) {
       notes.mSilent.push_back({ .mUpstream = id, .mSilence = silence });
     }
   }
@@ -251,7 +255,7 @@
   }
   const auto answered = std::exchange(mAnswered, {});
   notes.mAnswered.assign(answered.begin(), answered.end());
-  mHasNotes = false;
+  mHasPeerUpdate = false;
   return notes;
 }
 
@@ -262,7 +266,7 @@
 }
 
 void
-DirectRouter::OnPeerNotes(const PeerNotes& aNotes, Millis aNow)
+DirectRouter::OnPeerUpdate(const PeerNotes& aNotes, Millis aNow)
 {
   mPeers.Expire(aNow);
   if (!mPeers.Take(aNotes, aNow)) {
@@ -273,17 +277,17 @@
     const auto tracked = mTracked.find(each.mUpstream);
     if (tracked != mTracked.end()) {
       if (allHeard) {
-        tracked->second.mWork.OnSentByOther(aNow);
+        tracked->second.mWork.OnSentByPeer(aNow);
       }
-      mPlacement.Memory().OnSent(
-        each.mUpstream, each.mParts, each.mTokens, aNow);
+      mPlacement.PrefixCaches().OnSent(
+        each.mUpstream, each.mSegments, each.mTokens, aNow);
     }
   }
   for (const LimitWord& each : aNotes.mLimits) {
     mLimits.OnTold(each, aNow);
   }
-  TellLimitChanges();
-  mLanes.OnDemands(aNotes.mFrom, aNotes.mDemands, aNow);
+  ReportLimitChanges();
+  mLanes.OnPeerDemands(aNotes.mFrom, aNotes.mDemands, aNow);
   TakeSilence(aNotes, aNow);
   for (const HeardReport& each : aNotes.mReports) {
     const auto tracked = mTracked.find(each.mUpstream);
@@ -299,14 +303,14 @@
   for (const SilentUpstream& each : aNotes.mSilent) {
     const auto tracked = mTracked.find(each.mUpstream);
     if (tracked != mTracked.end()) {
-      tracked->second.mOthersSilence.OnTold(
+      tracked->second.mPeerSilence.OnTold(
         aNotes.mFrom, aNow - each.mSilence, aNow);
     }
   }
   for (const UpstreamId& each : aNotes.mAnswered) {
     const auto tracked = mTracked.find(each);
     if (tracked != mTracked.end()) {
-      tracked->second.mOthersSilence.OnAnswered();
+      tracked->second.mPeerSilence.OnAnswered();
     }
   }
 }
@@ -326,14 +330,14 @@
 double
 DirectRouter::RetriesLeft(const std::string& aService) const
 {
-  return mRetries.Left(aService);
+  return mRetries.Remaining(aService);
 }
 
 void
-DirectRouter::OnHeard(const PlacedAttempt& aAttempt, Millis aNow)
+DirectRouter::OnBytesReceived(const PlacedAttempt& aAttempt, Millis aNow)
 {
-  if (Tracked* tracked = TrackedFor(aAttempt)) {
-    tracked->mWork.OnHeard(aNow);
+  if (TrackedUpstream* tracked = FindTracked(aAttempt)) {
+    tracked->mWork.OnBytesReceived(aNow);
   }
 }
 
@@ -346,15 +350,18 @@
   aAttempt.mStarted = true;
   aAttempt.mStartedAt = aNow;
   mMeters[aAttempt.mRoute].OnStarted(aAttempt.mSentAt, aNow);
-  if (Tracked* tracked = TrackedFor(aAttempt)) {
+  if (TrackedUpstream* tracked = FindTracked(aAttempt)) {
     tracked->mWork.OnStarted(aAttempt.mWork);
     const Millis took = aNow - aAttempt.mSentAt;
     mOutliers.OnFirstToken(aAttempt.mUpstream, took, aNow);
     mAnswered.insert(aAttempt.mUpstream);
     if (aAttempt.mWork.mPrefill > 0) {
-      mEngines.OnStarted(
-        aAttempt.mService, aAttempt.mUpstream, aAttempt.mReads, took, aNow);
-      mHasNotes = true;
+      mEngines.OnStarted(aAttempt.mService,
+                         aAttempt.mUpstream,
+                         aAttempt.mPrefillBacklog,
+                         took,
+                         aNow);
+      mHasPeerUpdate = true;
     }
   }
 }
@@ -364,7 +371,7 @@
                        const ReportedLoad& aLoad,
                        Millis aNow)
 {
-  if (Tracked* tracked = TrackedFor(aAttempt)) {
+  if (TrackedUpstream* tracked = FindTracked(aAttempt)) {
     tracked->mWork.OnReport(aLoad, aNow);
     if (aAttempt.mWork.mOutput > 0) {
       mReports[aAttempt.mUpstream] = { .mLoad = aLoad, .mAt = aNow };
@@ -382,11 +389,11 @@
     mQuarantine.OnAnswered(aAttempt.mFingerprint, aNow);
   }
   if (mQuarantine.HasNews()) {
-    mOptions.mOnCrashNews();
+    mOptions.mOnCrashUpdate();
   }
-  Tracked* tracked = TrackedFor(aAttempt);
+  TrackedUpstream* tracked = FindTracked(aAttempt);
   if (tracked != nullptr) {
-    mHasNotes = mHasNotes || !aAttempt.mStarted;
+    mHasPeerUpdate = mHasPeerUpdate || !aAttempt.mStarted;
     tracked->mWork.OnEnded(aAttempt.mWork, aAttempt.mStarted, aNow);
     if (!tracked->mListed && tracked->mWork.Open() == 0) {
       mTracked.erase(aAttempt.mUpstream);
@@ -394,12 +401,12 @@
   }
   if (aAttempt.mStarted) {
     mMeters[aAttempt.mRoute].OnEnded(aAttempt.mStartedAt, aNow);
-    mPauses.OnStream(aAttempt.mRoute, aNow);
+    mPauses.OnStreamEnded(aAttempt.mRoute, aNow);
     if (aAttempt.mWork.mOutput > 0) {
       mEngines.OnEnded(aAttempt.mService, aNow - aAttempt.mStartedAt);
     }
   } else {
-    mMeters[aAttempt.mRoute].OnGivenUp(aAttempt.mSentAt);
+    mMeters[aAttempt.mRoute].OnAbandoned(aAttempt.mSentAt);
   }
   const bool speaksAgainst =
     aOutcome != AttemptOutcome::Good && aOutcome != AttemptOutcome::Withdrawn;
--- a/src/libtrefoilarch/directrouter.h
+++ b/src/libtrefoilarch/directrouter.h
@@ -46,22 +46,22 @@
   std::string mDataCentre;
   /** A keyed request is taken only while the policy was confirmed within
    * this span: a key that was revoked is honoured no longer than that. */
-  Millis mKeySpan{ 4500 };
+  Millis mKeyPolicyMaxAge{ 4500 };
   /** Without a confirmation for this long, an unknown route or key is not
    * called unknown: the policy may have been changed. */
-  Millis mPolicySpan{ 3000 };
+  Millis mPolicyMaxAge{ 3000 };
   /** An upstream's connections are shared among entries; this entry takes
    * one in so many at the most. */
   uint32_t mConnectionShare = 6;
-  RetryBudgetOptions mRetries{ .mPercent = 15, .mFirst = 2, .mMost = 5 };
+  RetryBudgetOptions mRetries{ .mPercent = 15, .mInitial = 2, .mMax = 5 };
   OutlierOptions mOutliers{ .mFailuresInRow = 3,
                             .mFailureShare = 0.3,
-                            .mLeastResults = 10,
+                            .mMinResults = 10,
                             .mSlowFactor = 4,
                             .mSlowMargin = Millis(400),
-                            .mFirstEjection = Millis(1500),
-                            .mLongestEjection = Millis(6000),
-                            .mMostEjected = 0.5 };
+                            .mInitialEjection = Millis(1500),
+                            .mMaxEjection = Millis(6000),
+                            .mMaxEjectedShare = 0.5 };
   /** This entry's name to others. */
   std::string mName;
   /** See WorkPlacementOptions::mCost. */
@@ -70,26 +70,26 @@
   DirectoryOptions mDirectory;
   /** There is news of crashes that others should hear at once, or something to
    * be logged. */
-  std::function<void()> mOnCrashNews = [] {};
+  std::function<void()> mOnCrashUpdate = [] {};
   /** An upstream's rate limit began, changed or ended. */
   std::function<void(const LimitChange&)> mOnLimitChange =
     [](const LimitChange&) {};
   /** Sends an ask for a permit to another entry. */
-  std::function<void(const AddressedAsk&)> mOnPermitAsk =
+  std::function<void(const AddressedAsk&)> mOnPermitRequest =
     [](const AddressedAsk&) {};
   uint64_t mSeed = 1;
 };
 
 /** What a caller's request says of itself; views into the request. */
-struct RequestFacts
+struct RequestAttributes
 {
   std::string_view mHost;
   std::string_view mPath;
   std::string mKey;
   /** When its first byte came. */
-  Millis mArrived;
+  Millis mArrivedAt;
   /** How long the caller will wait, from its arrival. */
-  std::optional<Millis> mPatience;
+  std::optional<Millis> mCallerTimeout;
   PromptShape mPrompt;
 };
 
@@ -110,21 +110,21 @@
   /** Zero where the caller of Bind() sets none: then nothing is told of
    * crashes under it. */
   RequestFingerprint mFingerprint;
-  Millis mArrived;
+  Millis mArrivedAt;
   /** The caller's deadline or the route's timeout, whichever is first. */
-  Millis mEnd;
+  Millis mDeadline;
 };
 
 /** What a request that is to be placed may wait for. */
 struct PermitWait
 {
   /** Whether a permit may be asked for. */
-  bool mMayAsk = true;
+  bool mMayRequest = true;
   /** The upstream for which this request has asked for a permit, or empty. */
   UpstreamId mUpstream;
   /** Set where some that could take the request have reached their limits, and
    * no other can: when there may be room. */
-  std::optional<Millis> mRoomIn;
+  std::optional<Millis> mCapacityIn;
 };
 
 /** An attempt at an upstream, to be handed back when it ends. */
@@ -132,19 +132,19 @@
 {
   UpstreamId mUpstream;
   /** The start of the upstream that it was meant for. */
-  uint64_t mLife = 0;
+  uint64_t mIncarnationNumber = 0;
   RequestFingerprint mFingerprint;
   std::string mService;
   std::string mRoute;
   std::string mAddress;
   AttemptWork mWork;
   /** What the engine had to read, as it was known when this was sent. */
-  ReadsBefore mReads;
+  PrefillBacklog mPrefillBacklog;
   /** Empty, or the address of an upstream that holds more of the prompt. */
   std::string mHolderAddress;
   /** Empty, or an upstream that keeps a copy of the running request. */
   UpstreamId mBackup;
-  uint64_t mBackupLife = 0;
+  uint64_t mBackupIncarnationNumber = 0;
   std::string mBackupAddress;
   /** Empty, or the address of the upstream that ran the request before and
    * left a copy of it at this one. */
@@ -162,7 +162,7 @@
 {
   UpstreamStart mStart;
   /** What showed it. */
-  const char* mWhy = "";
+  const char* mReason = "";
   /** The requests of this entry that broke with it. */
   std::vector<RequestFingerprint> mSuspects;
 };
@@ -212,7 +212,7 @@
    * Fails with PolicyUnknown, PolicyStale, UnknownRoute, BadToken, or Shed
    * where the request would start too late.
    */
-  Result<BoundRequest> Bind(const RequestFacts& aFacts, Millis aNow);
+  Result<BoundRequest> Bind(const RequestAttributes& aFacts, Millis aNow);
 
   /** Whether its key may still be honoured; to be asked before each send. */
   bool StillAllowed(const BoundRequest& aRequest, Millis aNow) const;
@@ -248,27 +248,27 @@
     return mQuarantine.Admit(aRequest.mFingerprint, aWaited, aNow);
   }
   /** Whether it is being found out if the attempt's upstream has crashed. */
-  bool IsInDoubt(const PlacedAttempt& aAttempt) const;
+  bool IsCrashSuspected(const PlacedAttempt& aAttempt) const;
   /** Somebody listens at the upstream's address. */
   void OnListening(const UpstreamId& aUpstream);
   /** The attempt's connection ended before its answer was whole. True where
    * it is to be found out whether the upstream still listens. */
   bool OnConnectionLost(const PlacedAttempt& aAttempt, Millis aNow);
   /** Nobody listens at the upstream's address. */
-  void OnRefused(const UpstreamId& aUpstream, Millis aNow);
+  void OnConnectionRefused(const UpstreamId& aUpstream, Millis aNow);
   /** What is to be told of crashes; see Quarantine::TakeNews(). */
-  std::vector<CrashNews> TakeCrashNews(bool aAgain, Millis aNow)
+  std::vector<CrashNews> TakeCrashUpdates(bool aAgain, Millis aNow)
   {
     return mQuarantine.TakeNews(aAgain, aNow);
   }
-  void OnCrashNews(const CrashNews& aNews, Millis aNow);
+  void OnCrashUpdate(const CrashNews& aNews, Millis aNow);
   /** A few times a second. */
   void TickCrashes(Millis aNow);
   /** Crashes since this was last asked, for the log. */
   std::vector<UpstreamCrash> TakeCrashes();
   uint64_t Crashes() const { return mCrashCount; }
-  const Quarantine& HeldBack() const { return mQuarantine; }
-  Quarantine& HeldBack() { return mQuarantine; }
+  const Quarantine& CrashQuarantine() const { return mQuarantine; }
+  Quarantine& CrashQuarantine() { return mQuarantine; }
 
   /** Takes a second attempt from the service's budget. */
   bool TakeRetry(const std::string& aService);
@@ -283,20 +283,20 @@
   {
     mRetries.SetOptions(aOptions);
   }
-  /** See DirectRouterOptions::mKeySpan. */
-  void SetKeySpan(Millis aSpan) { mOptions.mKeySpan = aSpan; }
+  /** See DirectRouterOptions::mKeyPolicyMaxAge. */
+  void SetKeyPolicyMaxAge(Millis aSpan) { mOptions.mKeyPolicyMaxAge = aSpan; }
 
   /** Any byte came. */
-  void OnHeard(const PlacedAttempt& aAttempt, Millis aNow);
+  void OnBytesReceived(const PlacedAttempt& aAttempt, Millis aNow);
   /** The first byte of the answer's content came. */
   void OnStarted(PlacedAttempt& aAttempt, Millis aNow);
   void OnReport(const PlacedAttempt& aAttempt,
                 const ReportedLoad& aLoad,
                 Millis aNow);
   /** The answer's head came; it names that rate limit, or none. */
-  void OnLimit(const PlacedAttempt& aAttempt,
-               const std::optional<NamedLimit>& aLimit,
-               Millis aNow);
+  void OnRateLimit(const PlacedAttempt& aAttempt,
+                   const std::optional<NamedLimit>& aLimit,
+                   Millis aNow);
   const UpstreamLimits& Limits() const { return mLimits; }
   /** Where entries ask each other for permits: this one's address and all
    * others'. */
@@ -307,9 +307,9 @@
   /** This entry has just joined others. */
   void JoinPermitIssuers(Millis aNow) { mIssuer.Join(aNow); }
   /** Another entry, or this one, asks for a permit; empty: no answer. */
-  std::optional<PermitReply> OnPermitAsk(const std::string& aFrom,
-                                         const PermitAsk& aAsk,
-                                         Millis aNow);
+  std::optional<PermitReply> OnPermitRequest(const std::string& aFrom,
+                                             const PermitAsk& aAsk,
+                                             Millis aNow);
   void OnPermitReply(const PermitReply& aReply, Millis aNow)
   {
     mPermits.OnReply(aReply, aNow);
@@ -322,11 +322,11 @@
   void OnPause(const PlacedAttempt& aAttempt, Millis aPause, Millis aNow);
 
   /** Something is to be told that other entries do not know yet. */
-  bool HasNotes() const { return mHasNotes; }
+  bool HasPeerUpdate() const { return mHasPeerUpdate; }
   /** What is to be told, whole; it is told then. */
-  PeerNotes TakeNotes(Millis aNow);
+  PeerNotes TakePeerUpdate(Millis aNow);
   /** What another entry tells. */
-  void OnPeerNotes(const PeerNotes& aNotes, Millis aNow);
+  void OnPeerUpdate(const PeerNotes& aNotes, Millis aNow);
   /** Entries that were heard lately. */
   size_t Peers() const { return mPeers.Peers(); }
   /** How many entries there are, this one included. */
@@ -344,12 +344,12 @@
   nlohmann::json Status(Millis aNow) const;
 
 private:
-  struct Tracked
+  struct TrackedUpstream
   {
     std::string mService;
     UpstreamWork mWork;
-    PeerSilence mOthersSilence;
-    uint64_t mLife = 0;
+    PeerSilence mPeerSilence;
+    uint64_t mIncarnationNumber = 0;
     UpstreamStart mStart;
     bool mListed = false;
     bool mLeaving = false;
@@ -364,15 +364,19 @@
   using Candidates = std::vector<PlacementCandidate>;
 
   /** The upstream as the attempt knew it, or null where that start is over. */
-  Tracked* TrackedFor(const PlacedAttempt& aAttempt);
+  TrackedUpstream* FindTracked(const PlacedAttempt& aAttempt);
   /** That process is over, for that reason. */
-  void OnStartOver(const UpstreamStart& aStart, const char* aWhy, Millis aNow);
+  void OnIncarnationEnded(const UpstreamStart& aStart,
+                          const char* aWhy,
+                          Millis aNow);
   void TakeCrash(UpstreamCrash aCrash, Millis aNow);
-  void TellLimitChanges();
+  void ReportLimitChanges();
   void ForgetLimit(const UpstreamId& aUpstream);
   /** Takes what is needed to send there now: true where it may be sent. */
   bool TakePermit(const UpstreamId& aUpstream, uint8_t aUrgency, Millis aNow);
-  void AskPermit(const UpstreamId& aUpstream, uint8_t aUrgency, Millis aNow);
+  void SendPermitRequest(const UpstreamId& aUpstream,
+                         uint8_t aUrgency,
+                         Millis aNow);
   /** Whether the request may be sent there now or with a permit. */
   bool MayHavePermit(const UpstreamId& aUpstream,
                      uint8_t aUrgency,
@@ -380,12 +384,13 @@
                      Millis aNow);
   /** When there may be room at an upstream that names a limit; empty where
    * there is none that could take the request. */
-  std::optional<Millis> RoomIn(const BoundRequest& aRequest,
-                               const std::set<UpstreamId>& aTried,
-                               Millis aNow);
-  void NoteSent(const BoundRequest& aRequest, Millis aNow);
+  std::optional<Millis> CapacityIn(const BoundRequest& aRequest,
+                                   const std::set<UpstreamId>& aTried,
+                                   Millis aNow);
+  void RecordAttempt(const BoundRequest& aRequest, Millis aNow);
   /** Another process has taken the upstream's place. */
-  void ForgetLife(const UpstreamId& aUpstream, Tracked& aTracked);
+  void ForgetIncarnation(const UpstreamId& aUpstream,
+                         TrackedUpstream& aTracked);
   /** Its results give no reason to avoid it. */
   bool IsHealthy(const UpstreamId& aUpstream, Millis aNow) const;
   const char* StateName(const ListedUpstream& aListed, Millis aNow) const;
@@ -395,11 +400,11 @@
                            const PermitWait& aWait,
                            Millis aNow);
   PlacedAttempt Send(const BoundRequest& aRequest,
-                     const Placed& aPlaced,
+                     const PlacementChoice& aPlaced,
                      const Candidates& aCandidates,
                      Millis aNow);
   /** How many times what entries that are heard tell the whole is. */
-  double WholeDemand() const;
+  double DemandScale() const;
   /**
    * No entry's word is missing. What engines reported to others is news only
    * together with all that was sent there since: a hundred entries that went
@@ -411,15 +416,17 @@
   /** Who is silent to others, and who is not. */
   void TakeSilence(const PeerNotes& aNotes, Millis aNow);
   /** What is sent where, for this entry's memory and for the others. */
-  void TakeNote(const PromptShape& aPrompt, const Placed& aPlaced, Millis aNow);
-  EngineFacts FactsOf(const BoundRequest& aRequest, Millis aNow) const;
+  void TakeNote(const PromptShape& aPrompt,
+                const PlacementChoice& aPlaced,
+                Millis aNow);
+  EngineInfo FactsOf(const BoundRequest& aRequest, Millis aNow) const;
   /** When a request that finds no room is to come back: after aLeast and by
    * chance up to aSpread later, so that those that are refused together do not
    * come back together, but while its caller still waits for it. */
   Millis ReturnIn(const BoundRequest& aRequest, Millis aLeast, Millis aSpread);
   /** Why the request should come back later, or empty: when. */
   std::optional<Millis> Overload(const BoundRequest& aRequest, Millis aNow);
-  ForecastStart ForecastFor(const BoundRequest& aRequest, Millis aNow);
+  StartForecast ForecastFor(const BoundRequest& aRequest, Millis aNow);
   /** The upstream, if something may be fetched from it, or null. */
   const ListedUpstream* HolderAt(const UpstreamId& aHolder, Millis aNow) const;
   uint32_t ConnectionsFor(const BoundRequest& aRequest) const;
@@ -433,7 +440,7 @@
   Freshness mPolicyFreshness;
   Freshness mListFreshness;
   UpstreamDirectory mDirectory;
-  std::unordered_map<UpstreamId, Tracked> mTracked;
+  std::unordered_map<UpstreamId, TrackedUpstream> mTracked;
   CrashDetector mCrashDetector;
   Quarantine mQuarantine;
   std::vector<UpstreamCrash> mCrashes;
@@ -446,15 +453,15 @@
   EngineModel mEngines;
   PauseRecord mPauses;
   EngineAdmission mEngineAdmission;
-  Lanes mLanes;
-  SharedParts mShared;
+  DedicatedPools mLanes;
+  SharedSegmentDetector mSharedSegments;
   /** By route. */
   std::unordered_map<std::string, StartMeter> mMeters;
   PeerWork mPeers;
   size_t mEntries = 1;
   /** Requests with a prompt that come to this entry, by service. */
   std::unordered_map<std::string, ArrivalRate> mArrivals;
-  bool mHasNotes = false;
+  bool mHasPeerUpdate = false;
   std::vector<SentPrompt> mSent;
   /** Reports that were not told yet, with the instant at which they came. */
   std::unordered_map<UpstreamId, TimedReport> mReports;
@@ -468,7 +475,7 @@
   std::mt19937_64 mRandom;
   /** Whether a request that may run once only tries an upstream that had been
    * failing: rarely, but where no others come nobody else would. */
-  std::bernoulli_distribution mTrialChance{ 0.2 };
+  std::bernoulli_distribution mProbeProbability{ 0.2 };
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/engineadmission.cpp
+++ b/src/libtrefoilarch/engineadmission.cpp
@@ -18,16 +18,16 @@
 }
 
 std::optional<Millis>
-EngineAdmission::Refuse(const ForecastStart& aForecast,
-                        const StartTerms& aTerms) const
+EngineAdmission::Refuse(const StartForecast& aForecast,
+                        const StartRequirements& aTerms) const
 {
-  const Millis judged = std::max(aTerms.mTarget, mOptions.mLeastTarget);
-  const double mostWait =
-    mOptions.mMostWait * aTerms.mFavour * static_cast<double>(judged.Count());
-  const double mostEnd = mOptions.mMostTime * aTerms.mFavour *
+  const Millis judged = std::max(aTerms.mTarget, mOptions.mMinTarget);
+  const double mostWait = mOptions.mMaxWaitShare * aTerms.mPriorityWeight *
+                          static_cast<double>(judged.Count());
+  const double mostEnd = mOptions.mMaxTimeShare * aTerms.mPriorityWeight *
                          static_cast<double>(aTerms.mLimit.Count());
   const double most =
-    std::min(mostWait, mostEnd - aForecast.mReadMs - aForecast.mAnswerMs);
+    std::min(mostWait, mostEnd - aForecast.mPrefillMs - aForecast.mAnswerMs);
   // Where nothing waits, to come back later changes nothing.
   if (aForecast.mWaitMs <= std::max(0.0, most)) {
     return std::nullopt;
--- a/src/libtrefoilarch/enginemodel.cpp
+++ b/src/libtrefoilarch/enginemodel.cpp
@@ -37,27 +37,28 @@
 void
 EngineModel::OnStarted(const std::string& aService,
                        const UpstreamId& aEngine,
-                       const ReadsBefore& aReads,
+                       const PrefillBacklog& aReads,
                        Millis aWait,
                        Millis aNow)
 {
   Service& service = mServices[aService];
   const auto wait = static_cast<double>(aWait.Count());
-  if (aReads.mAhead < mOptions.mLeastTokens) {
+  if (aReads.mAhead < mOptions.mMinTokens) {
     // The shortest wait of prompts that take no time to read is what is left.
     SeeLeast(service, wait);
   }
-  const double expected = ReadingMs(aService, aReads);
+  const double expected = PrefillMs(aService, aReads);
   const double reading = std::max(wait - service.mLeastWait, kLeastReadingMs);
-  if (aReads.mAhead >= mOptions.mLeastTokens) {
-    const double taken = std::clamp(
-      reading, expected / mOptions.mMostOff, expected * mOptions.mMostOff);
+  if (aReads.mAhead >= mOptions.mMinTokens) {
+    const double taken = std::clamp(reading,
+                                    expected / mOptions.mMaxDeviationFactor,
+                                    expected * mOptions.mMaxDeviationFactor);
     // Each sample weighs by its wait: one of a second is off by more than one
     // of a tenth.
     const auto ahead = static_cast<double>(aReads.mAhead);
     const auto behind = static_cast<double>(aReads.mBehind);
     const double weight = 1 / std::max(taken, kLeastReadingMs);
-    const double kept = mOptions.mKept;
+    const double kept = mOptions.mDecay;
     service.mAheadAhead = service.mAheadAhead * kept + ahead * ahead * weight;
     service.mAheadBehind =
       service.mAheadBehind * kept + ahead * behind * weight;
@@ -92,15 +93,16 @@
 EngineModel::Costs
 EngineModel::CostsOf(const std::string& aService) const
 {
-  const Costs prior{ .mAhead = 1 / mOptions.mPriorPerMs,
-                     .mBehind = mOptions.mPriorBehind / mOptions.mPriorPerMs };
+  const Costs prior{ .mAhead = 1 / mOptions.mPriorPrefillPerMs,
+                     .mBehind = mOptions.mPriorBehindCost /
+                                mOptions.mPriorPrefillPerMs };
   const auto place = mServices.find(aService);
   if (place == mServices.end()) {
     return prior;
   }
   const Service& seen = place->second;
   // The prior is one more sample of each kind.
-  const double weight = mOptions.mPriorTokens * mOptions.mPriorPerMs;
+  const double weight = mOptions.mPriorTokens * mOptions.mPriorPrefillPerMs;
   const double aa = seen.mAheadAhead + weight;
   const double bb = seen.mBehindBehind + weight;
   const double ab = seen.mAheadBehind;
@@ -119,14 +121,14 @@
 }
 
 double
-EngineModel::ReadPerMs(const std::string& aService) const
+EngineModel::PrefillPerMs(const std::string& aService) const
 {
   return 1 / CostsOf(aService).mAhead;
 }
 
 double
-EngineModel::ReadingMs(const std::string& aService,
-                       const ReadsBefore& aReads) const
+EngineModel::PrefillMs(const std::string& aService,
+                       const PrefillBacklog& aReads) const
 {
   const Costs costs = CostsOf(aService);
   return static_cast<double>(aReads.mAhead) * costs.mAhead +
@@ -134,7 +136,7 @@
 }
 
 double
-EngineModel::LeastWaitMs(const std::string& aService) const
+EngineModel::MinWaitMs(const std::string& aService) const
 {
   const auto place = mServices.find(aService);
   return place == mServices.end() ? 0 : place->second.mLeastWait;
--- a/src/libtrefoilarch/enginemodel.h
+++ b/src/libtrefoilarch/enginemodel.h
@@ -11,14 +11,14 @@
 namespace trefoilarch {
 
 /** Prompt tokens that an engine has to read around an answer's start. */
-struct ReadsBefore
+struct PrefillBacklog
 {
   /** Before it, its own prompt included. */
   uint64_t mAhead = 0;
   /** Of less urgent prompts: an engine that has begun them may go on. */
   uint64_t mBehind = 0;
 
-  bool operator==(const ReadsBefore&) const = default;
+  bool operator==(const PrefillBacklog&) const = default;
 };
 
 /** What an EngineModel starts from. */
@@ -26,20 +26,20 @@
 {
   /** Prompt tokens that an engine reads in a millisecond: a start only, which
    * weighs as much as one prompt of mPriorTokens that was observed. */
-  double mPriorPerMs = 60;
+  double mPriorPrefillPerMs = 60;
   double mPriorTokens = 8000;
   /** What a less urgent token holds an answer up, beside one that is before
    * it: a start as well. */
-  double mPriorBehind = 0.2;
+  double mPriorBehindCost = 0.2;
   /** Samples with fewer tokens before the answer say little of reading; they
    * show how long an answer takes where nothing has to be read. */
-  uint64_t mLeastTokens = 800;
+  uint64_t mMinTokens = 800;
   /** The share of what was observed that the next sample leaves standing:
    * some thirty samples count. */
-  double mKept = 0.97;
+  double mDecay = 0.97;
   /** One sample may be off by this factor: an engine that stood still must
    * not be taken for the service's usual speed. */
-  double mMostOff = 4;
+  double mMaxDeviationFactor = 4;
 };
 
 /**
@@ -59,7 +59,7 @@
    * the request was sent. */
   void OnStarted(const std::string& aService,
                  const UpstreamId& aEngine,
-                 const ReadsBefore& aReads,
+                 const PrefillBacklog& aReads,
                  Millis aWait,
                  Millis aNow);
   /** An answer that began so long ago has ended. */
@@ -67,12 +67,12 @@
   void Forget(const UpstreamId& aEngine) { mEngines.erase(aEngine); }
 
   /** Prompt tokens in a millisecond, beside the answers that are under way. */
-  double ReadPerMs(const std::string& aService) const;
+  double PrefillPerMs(const std::string& aService) const;
   /** How long reading that much takes, in milliseconds. */
-  double ReadingMs(const std::string& aService,
-                   const ReadsBefore& aReads) const;
+  double PrefillMs(const std::string& aService,
+                   const PrefillBacklog& aReads) const;
   /** How long a first token takes where nothing has to be read. */
-  double LeastWaitMs(const std::string& aService) const;
+  double MinWaitMs(const std::string& aService) const;
   /** How long an answer holds a slot on average, in milliseconds; 0: not known
    * yet. */
   double AnswerMs(const std::string& aService) const;
--- a/src/libtrefoilarch/entryanswers.cpp
+++ b/src/libtrefoilarch/entryanswers.cpp
@@ -56,7 +56,7 @@
     OnStray(aLink, aMessage.mKey, aNow);
     return;
   }
-  aLink.mHealth.OnProven(offer->mOffered);
+  aLink.mHealth.OnProven(offer->mOfferedAt);
   if (MayGo(*request, aLink)) {
     StartAt(aLink, *request, *offer, aNow);
     return;
@@ -94,7 +94,7 @@
     Confirm(aLink, aMessage.mKey);
     return;
   }
-  aLink.mHealth.OnProven(offer->mOffered);
+  aLink.mHealth.OnProven(offer->mOfferedAt);
   Release(aLink, *offer);
   request->mDeclinedBy.push_back(aLink.mView.mName);
   NoteDecline(*request, aMessage);
@@ -178,7 +178,7 @@
     return;
   }
   Deliver(*request, std::move(aMessage), aNow);
-  if (request->mWholeAt == request->mNextChunk) {
+  if (request->mEndChunk == request->mNextChunk) {
     ConcludeWhole(*request, aNow);
   } else {
     AckIfDue(aLink, *request, aNow);
@@ -197,7 +197,7 @@
       AnswerHead{ id, aChunk.mStatus, std::move(aChunk.mHeaders) });
   }
   aRequest.mNextChunk++;
-  aRequest.mAskedForMissing = false;
+  aRequest.mResumeSent = false;
   aRequest.mUnackedBytes += aChunk.mData.size();
   if (!aChunk.mData.empty()) {
     mActions.emplace_back(AnswerData{ id, std::move(aChunk.mData) });
@@ -223,7 +223,7 @@
                                OpenRequest& aRequest,
                                Millis aNow)
 {
-  if (std::exchange(aRequest.mAskedForMissing, true)) {
+  if (std::exchange(aRequest.mResumeSent, true)) {
     return;
   }
   Send(aLink, Resume{ aRequest.mStarted->mKey, aRequest.mNextChunk }, aNow);
@@ -249,7 +249,7 @@
                       aNow);
     return;
   }
-  if (!std::exchange(request->mWholeAt, aMessage.mChunks)) {
+  if (!std::exchange(request->mEndChunk, aMessage.mChunks)) {
     const ServiceLevel& level = request->mRequest.mClassified.mLevel;
     mOutputs.Add(level.mClass, level.mWorkspace, aMessage.mOutputTokens);
   }
@@ -274,7 +274,7 @@
   request->mMayHaveRun |= aMessage.mRan == Ran::Maybe || request->mHeadSent;
   Release(aLink, *request->mStarted);
   request->mStarted.reset();
-  request->mFailedAt.push_back(aLink.mView.mName);
+  request->mFailedUpstreams.push_back(aLink.mView.mName);
   if (IsUpstreamsFault(aMessage.mKind)) {
     mOutliers.OnFailure(aLink.mView.mName, aNow);
   }
@@ -313,7 +313,7 @@
     OnLedgerEntryOfStray(aLink, aMessage, aNow);
     return;
   }
-  const bool askedBefore = std::exchange(request->mAskedForMissing, true);
+  const bool askedBefore = std::exchange(request->mResumeSent, true);
   const bool runs = aMessage.mState == AttemptState::Running;
   if (aMessage.mState == AttemptState::Unknown || (askedBefore && !runs)) {
     LoseStarted(*request, aNow);
--- a/src/libtrefoilarch/entrychannels.cpp
+++ b/src/libtrefoilarch/entrychannels.cpp
@@ -177,8 +177,8 @@
     }
     request->mRetryAt = Millis::Never();
     Watch(*request);
-    request->mAskedForMissing = request->mNextChunk > 0;
-    if (request->mAskedForMissing) {
+    request->mResumeSent = request->mNextChunk > 0;
+    if (request->mResumeSent) {
       Send(aLink, Resume{ aKey, request->mNextChunk }, aNow);
     } else {
       Send(aLink, VoidOrReport{ aKey }, aNow);
@@ -188,7 +188,7 @@
   for (EntryAttempt& offer : request->mOffers) {
     if (offer.mKey == aKey) {
       offer.mIncarnation = aLink.mIncarnation;
-      offer.mOffered = aNow;
+      offer.mOfferedAt = aNow;
       aLink.Count(1, offer.mTokens);
       Send(aLink, OfferFor(*request, aKey, aNow), aNow);
     }
--- a/src/libtrefoilarch/entrydump.cpp
+++ b/src/libtrefoilarch/entrydump.cpp
@@ -27,7 +27,7 @@
   switch (aState) {
     case OutlierState::Ejected:
       return "ejected";
-    case OutlierState::Trial:
+    case OutlierState::Probing:
       return "trial";
     default:
       return "no";
@@ -54,7 +54,7 @@
   nlohmann::json dump = { { "class", level.mClass },
                           { "workspace", level.mWorkspace },
                           { "tier", level.mTier },
-                          { "age_ms", (aNow - aRequest.mArrived).Count() },
+                          { "age_ms", (aNow - aRequest.mArrivedAt).Count() },
                           { "remaining_ms",
                             (aRequest.mDeadline - aNow).Count() },
                           { "offers", aRequest.mOffers.size() },
--- a/src/libtrefoilarch/entryimpl.cpp
+++ b/src/libtrefoilarch/entryimpl.cpp
@@ -43,7 +43,7 @@
     mRequests
       .emplace(id,
                OpenRequest{ .mRequest = std::move(aRequest),
-                            .mArrived = aNow,
+                            .mArrivedAt = aNow,
                             .mDeadline = deadline })
       .first->second;
   mRetryBudget.OnFirstAttempt(request.mRequest.mClassified.mLevel.mClass);
--- a/src/libtrefoilarch/entryplacing.cpp
+++ b/src/libtrefoilarch/entryplacing.cpp
@@ -131,12 +131,12 @@
                          const UpstreamLink& aLink,
                          Millis aNow) const
 {
-  if (Contains(aRequest.mFailedAt, aLink.mView.mName)) {
+  if (Contains(aRequest.mFailedUpstreams, aLink.mView.mName)) {
     return false;
   }
   const OutlierState state = mOutliers.State(aLink.mView.mName, aNow);
   return state == OutlierState::Healthy ||
-         (state == OutlierState::Trial && aLink.mOpen.empty());
+         (state == OutlierState::Probing && aLink.mOpen.empty());
 }
 
 EntryCore::Impl::Outlook
@@ -197,7 +197,7 @@
                                .mUpstream = aLink.mView.mName,
                                .mIncarnation = aLink.mIncarnation,
                                .mTokens = tokens,
-                               .mOffered = aNow });
+                               .mOfferedAt = aNow });
   aLink.mOpen.insert(key);
   aLink.Count(1, tokens);
   mCounters.mOffers++;
@@ -211,7 +211,7 @@
 {
   const Classified& classified = aRequest.mRequest.mClassified;
   const ServiceLevel& level = classified.mLevel;
-  const Millis due = aRequest.mArrived + level.mFirstTokenTarget;
+  const Millis due = aRequest.mArrivedAt + level.mFirstTokenTarget;
   const bool hasTokens = classified.mTraffic.contains("model");
   const uint32_t output =
     hasTokens ? mOutputs.Estimate(level.mClass,
@@ -275,7 +275,7 @@
 {
   const EntryAttempt attempt = *std::exchange(aRequest.mStarted, std::nullopt);
   aRequest.mMayHaveRun = true;
-  aRequest.mFailedAt.push_back(attempt.mUpstream);
+  aRequest.mFailedUpstreams.push_back(attempt.mUpstream);
   CloseAttempt(attempt, aNow);
   RetryOrConclude(aRequest, LostAfterStart(aRequest), aNow);
 }
--- a/src/libtrefoilarch/lanes.cpp
+++ b/src/libtrefoilarch/lanes.cpp
@@ -40,11 +40,11 @@
 double
 OutputOf(const PromptShape& aPrompt)
 {
-  if (aPrompt.mLikelyOutput > 0) {
-    return aPrompt.mLikelyOutput;
+  if (aPrompt.mExpectedOutput > 0) {
+    return aPrompt.mExpectedOutput;
   }
-  return aPrompt.mMostOutput > 0 ? aPrompt.mMostOutput * kOutputShare
-                                 : kUsualOutput;
+  return aPrompt.mMaxOutput > 0 ? aPrompt.mMaxOutput * kOutputShare
+                                : kUsualOutput;
 }
 
 /** Engines between that place and the nearer end of the lane that goes from
@@ -52,7 +52,7 @@
 uint32_t
 FromEdge(size_t aPlace, size_t aFirst, size_t aLast, size_t aEngines)
 {
-  size_t nearest = LanePlace::kFarFromEdge;
+  size_t nearest = PoolPosition::kFarFromBoundary;
   if (aFirst > 0) {
     nearest = aPlace < aFirst ? aFirst - aPlace - 1 : aPlace - aFirst;
   }
@@ -99,17 +99,17 @@
 
 } // namespace
 
-Lanes::Lanes(LanesOptions aOptions)
+DedicatedPools::DedicatedPools(DedicatedPoolsOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 void
-Lanes::OnRequest(const std::string& aService,
-                 const Route& aRoute,
-                 const PromptShape& aPrompt,
-                 Millis aNow,
-                 double aOpen)
+DedicatedPools::OnRequest(const std::string& aService,
+                          const Route& aRoute,
+                          const PromptShape& aPrompt,
+                          Millis aNow,
+                          double aOpen)
 {
   if (!aRoute.mStream || aPrompt.mPromptTokens == 0) {
     return;
@@ -125,12 +125,12 @@
   sums.mPromptTokens += aPrompt.mPromptTokens;
   sums.mOutputTokens += OutputOf(aPrompt);
   sums.mOpen = aOpen;
-  sums.mPause = aRoute.mGapTarget;
+  sums.mMaxPause = aRoute.mGapTarget;
   sums.mUrgency = aRoute.mPriority;
 }
 
 std::vector<RouteDemand>
-Lanes::Demands(Millis aNow)
+DedicatedPools::Demands(Millis aNow)
 {
   std::vector<RouteDemand> demands;
   for (auto& [service, known] : mServices) {
@@ -145,9 +145,9 @@
 }
 
 void
-Lanes::OnDemands(const std::string& aFrom,
-                 const std::vector<RouteDemand>& aDemands,
-                 Millis aNow)
+DedicatedPools::OnPeerDemands(const std::string& aFrom,
+                              const std::vector<RouteDemand>& aDemands,
+                              Millis aNow)
 {
   Told& told = mTold[aFrom];
   told = { .mAt = aNow };
@@ -157,9 +157,9 @@
 }
 
 bool
-Lanes::OthersSendLessUrgent(const std::string& aService,
-                            uint8_t aUrgency,
-                            Millis aNow) const
+DedicatedPools::PeersSendLessUrgent(const std::string& aService,
+                                    uint8_t aUrgency,
+                                    Millis aNow) const
 {
   double less = 0;
   double asUrgent = 0;
@@ -175,12 +175,12 @@
   return less * kShareToShed > asUrgent;
 }
 
-const LanePlaces&
-Lanes::PlacesFor(const std::string& aService,
-                 const Route& aRoute,
-                 const std::vector<const ListedUpstream*>& aAll,
-                 const LaneFacts& aFacts,
-                 Millis aNow)
+const PoolPositions&
+DedicatedPools::PositionsFor(const std::string& aService,
+                             const Route& aRoute,
+                             const std::vector<const ListedUpstream*>& aAll,
+                             const PoolSizingInfo& aFacts,
+                             Millis aNow)
 {
   Known& known = mServices[aService].mKnown[aRoute.mName];
   if (aNow >= known.mUntil) {
@@ -192,7 +192,7 @@
 }
 
 std::map<std::string, RouteDemand>
-Lanes::WholeDemand(const std::string& aService, Millis aNow)
+DedicatedPools::WholeDemand(const std::string& aService, Millis aNow)
 {
   std::map<std::string, RouteDemand> whole;
   for (auto& [name, demand] : mServices[aService].mRoutes) {
@@ -214,14 +214,14 @@
   return whole;
 }
 
-LanePlaces
-Lanes::WorkOut(const std::string& aService,
-               const Route& aRoute,
-               const std::vector<const ListedUpstream*>& aAll,
-               const LaneFacts& aFacts,
-               Millis aNow)
+PoolPositions
+DedicatedPools::WorkOut(const std::string& aService,
+                        const Route& aRoute,
+                        const std::vector<const ListedUpstream*>& aAll,
+                        const PoolSizingInfo& aFacts,
+                        Millis aNow)
 {
-  LanePlaces places;
+  PoolPositions places;
   Service& service = mServices[aService];
   const auto demands = WholeDemand(aService, aNow);
   const std::vector<Lane> lanes = LanesOf(service, demands, aFacts);
@@ -248,14 +248,14 @@
     const size_t lane = laneOf[each];
     places[order[each]->mId] = {
       .mDistance = static_cast<uint32_t>(lane > own ? lane - own : own - lane),
-      .mFromEdge = FromEdge(each, first, last, order.size())
+      .mBoundaryDistance = FromEdge(each, first, last, order.size())
     };
   }
   return places;
 }
 
 std::vector<size_t>
-Lanes::LanesInOrder(const Service& aService, size_t aEngines)
+DedicatedPools::LanesInOrder(const Service& aService, size_t aEngines)
 {
   std::vector<size_t> lanes;
   size_t lane = 0;
@@ -271,11 +271,11 @@
 }
 
 void
-Lanes::Fade(Demand& aDemand, Millis aNow) const
+DedicatedPools::Fade(Demand& aDemand, Millis aNow) const
 {
   const double span = static_cast<double>((aNow - aDemand.mAt).Count());
   const double kept =
-    std::exp(-span / static_cast<double>(mOptions.mMemory.Count()));
+    std::exp(-span / static_cast<double>(mOptions.mDemandDecayTime.Count()));
   RouteDemand& sums = aDemand.mSums;
   sums.mCount *= kept;
   sums.mPromptTokens *= kept;
@@ -285,19 +285,21 @@
 }
 
 double
-Lanes::EnginesFor(const RouteDemand& aDemand, const LaneFacts& aFacts) const
+DedicatedPools::EnginesFor(const RouteDemand& aDemand,
+                           const PoolSizingInfo& aFacts) const
 {
-  const double workMs = aDemand.mPromptTokens / aFacts.mReadPerMs +
+  const double workMs = aDemand.mPromptTokens / aFacts.mPrefillPerMs +
                         aDemand.mOutputTokens * mOptions.mTokenMs;
-  const double byWork = workMs / static_cast<double>(mOptions.mMemory.Count());
+  const double byWork =
+    workMs / static_cast<double>(mOptions.mDemandDecayTime.Count());
   const double bySlots = aFacts.mSlots > 0 ? aDemand.mOpen / aFacts.mSlots : 0;
-  return std::max(byWork, bySlots) * aFacts.mWholeDemand;
+  return std::max(byWork, bySlots) * aFacts.mDemandScale;
 }
 
-std::vector<Lanes::Lane>
-Lanes::LanesOf(Service& aService,
-               const std::map<std::string, RouteDemand>& aDemands,
-               const LaneFacts& aFacts) const
+std::vector<DedicatedPools::Lane>
+DedicatedPools::LanesOf(Service& aService,
+                        const std::map<std::string, RouteDemand>& aDemands,
+                        const PoolSizingInfo& aFacts) const
 {
   std::vector<const RouteDemand*> byPause;
   for (const auto& [name, demand] : aDemands) {
@@ -307,13 +309,13 @@
   }
   std::stable_sort(
     byPause.begin(), byPause.end(), [](const auto* aLeft, const auto* aRight) {
-      return aLeft->mPause < aRight->mPause;
+      return aLeft->mMaxPause < aRight->mMaxPause;
     });
   std::vector<Lane> lanes;
   for (const RouteDemand* demand : byPause) {
     const double prompt = demand->mPromptTokens / demand->mCount;
     if (lanes.empty() || IsApart(aService, *demand, lanes.back(), aFacts)) {
-      lanes.push_back({ .mPause = demand->mPause,
+      lanes.push_back({ .mMaxPause = demand->mMaxPause,
                         .mPrompt = prompt,
                         .mUrgency = demand->mUrgency });
     }
@@ -327,26 +329,26 @@
 }
 
 bool
-Lanes::IsApart(Service& aService,
-               const RouteDemand& aDemand,
-               const Lane& aStricter,
-               const LaneFacts& aFacts) const
+DedicatedPools::IsApart(Service& aService,
+                        const RouteDemand& aDemand,
+                        const Lane& aStricter,
+                        const PoolSizingInfo& aFacts) const
 {
   const double prompt = aDemand.mPromptTokens / aDemand.mCount;
   if (prompt < mOptions.mPromptFactor * aStricter.mPrompt) {
     return false;
   }
   const std::string& strict = aStricter.mRoutes.front();
-  if (!aFacts.mPauses.Knows(strict, aDemand.mRoute)) {
-    return static_cast<double>(aDemand.mPause.Count()) >=
+  if (!aFacts.mPauses.HasEnoughData(strict, aDemand.mRoute)) {
+    return static_cast<double>(aDemand.mMaxPause.Count()) >=
            mOptions.mPauseFactor *
-             static_cast<double>(aStricter.mPause.Count());
+             static_cast<double>(aStricter.mMaxPause.Count());
   }
   const double late =
-    aFacts.mPauses.LateShare(strict, aDemand.mRoute, aStricter.mPause);
+    aFacts.mPauses.LateShare(strict, aDemand.mRoute, aStricter.mMaxPause);
   const bool before = aService.mApart.contains(aDemand.mRoute);
   const bool apart =
-    late >= (before ? mOptions.mKeptShare : mOptions.mLateShare);
+    late >= (before ? mOptions.mMergeLateShare : mOptions.mSplitLateShare);
   if (apart) {
     aService.mApart.insert(aDemand.mRoute);
   } else {
@@ -356,7 +358,7 @@
 }
 
 std::vector<double>
-Lanes::SharesOf(const std::vector<Lane>& aLanes, size_t aEngines) const
+DedicatedPools::SharesOf(const std::vector<Lane>& aLanes, size_t aEngines) const
 {
   double left = 0;
   for (const Lane& lane : aLanes) {
@@ -369,18 +371,18 @@
       return aLanes[aLeft].mUrgency < aLanes[aRight].mUrgency;
     });
   std::vector<double> shares(aLanes.size());
-  double free = 1 - mOptions.mLeastShare * static_cast<double>(aLanes.size());
+  double free = 1 - mOptions.mMinShare * static_cast<double>(aLanes.size());
   for (size_t each = 0; each < order.size(); ++each) {
     const Lane& lane = aLanes[order[each]];
     const double even = left > 0 ? free * lane.mEngines / left : 0;
     const bool urgent = each + 1 < order.size() &&
                         lane.mUrgency < aLanes[order[each + 1]].mUrgency;
-    const double enough =
-      lane.mEngines / mOptions.mFullLoad / static_cast<double>(aEngines) -
-      mOptions.mLeastShare;
+    const double enough = lane.mEngines / mOptions.mTargetUtilization /
+                            static_cast<double>(aEngines) -
+                          mOptions.mMinShare;
     const double extra =
       urgent ? std::clamp(enough, even, std::max(even, free)) : even;
-    shares[order[each]] = mOptions.mLeastShare + extra;
+    shares[order[each]] = mOptions.mMinShare + extra;
     free -= extra;
     left -= lane.mEngines;
   }
@@ -388,12 +390,13 @@
 }
 
 void
-Lanes::MoveEnds(Service& aService,
-                const std::vector<double>& aShares,
-                size_t aEngines) const
+DedicatedPools::MoveEnds(Service& aService,
+                         const std::vector<double>& aShares,
+                         size_t aEngines) const
 {
-  const double slack = std::max(
-    mOptions.mSlack, mOptions.mSlackEngines / static_cast<double>(aEngines));
+  const double slack =
+    std::max(mOptions.mBoundarySlack,
+             mOptions.mBoundarySlackEngines / static_cast<double>(aEngines));
   std::vector<double> wanted;
   double end = 0;
   for (size_t lane = 0; lane + 1 < aShares.size(); ++lane) {
--- a/src/libtrefoilarch/lanes.h
+++ b/src/libtrefoilarch/lanes.h
@@ -17,65 +17,65 @@
 
 namespace trefoilarch {
 
-/** How Lanes divides a service's engines. */
-struct LanesOptions
+/** How DedicatedPools divides a service's engines. */
+struct DedicatedPoolsOptions
 {
   /** Demand fades by this time constant; an entry of many sees some twenty
    * requests a second, too few for a shorter one. */
-  Millis mMemory{ 6000 };
+  Millis mDemandDecayTime{ 6000 };
   /** A route may have a lane of its own beside a stricter one if its prompts
    * are this many times as long... */
   double mPromptFactor = 2;
   /** ...and this share of the stricter one's streams would be late by a pause
    * beside it. */
-  double mLateShare = 0.25;
+  double mSplitLateShare = 0.25;
   /** It keeps the lane until the share is below this. */
-  double mKeptShare = 0.12;
+  double mMergeLateShare = 0.12;
   /** While too little was seen of pauses: it has a lane of its own if it
    * allows this many times the pause. */
   double mPauseFactor = 1.4;
   /** An output token's share of a step in a well filled batch, in ms. */
   double mTokenMs = 0.3;
   /** Every lane has at least this share of the engines. */
-  double mLeastShare = 0.12;
+  double mMinShare = 0.12;
   /** Where there are too few engines for all, a lane has enough if it is busy
    * for this share of the time; the most urgent lane is the first to have it.
    * Beyond it, waits grow faster than the load. */
-  double mFullLoad = 0.75;
+  double mTargetUtilization = 0.75;
   /** A boundary moves when it is off by this share of the engines: a session
    * whose engine changes lanes is read again elsewhere. */
-  double mSlack = 0.06;
+  double mBoundarySlack = 0.06;
   /** ...and by this many engines: a small fleet's demand wavers more. */
-  double mSlackEngines = 1.5;
+  double mBoundarySlackEngines = 1.5;
 };
 
 /** Where an engine is, as seen from a route. */
-struct LanePlace
+struct PoolPosition
 {
   /** 0 in the route's own lane, 1 in the next one, and so on. */
   uint32_t mDistance = 0;
   /** Engines between it and the nearest boundary of the route's lane: other
    * entries may have the boundary elsewhere. */
-  uint32_t mFromEdge = kFarFromEdge;
+  uint32_t mBoundaryDistance = kFarFromBoundary;
 
-  static constexpr uint32_t kFarFromEdge = 1000000;
+  static constexpr uint32_t kFarFromBoundary = 1000000;
 };
 
 /** What lanes are worked out from, besides the demand. */
-struct LaneFacts
+struct PoolSizingInfo
 {
   const PauseRecord& mPauses;
   /** Prompt tokens that an engine reads in a millisecond. */
-  double mReadPerMs = 0;
+  double mPrefillPerMs = 0;
   /** Requests that an engine runs at once; 0: not known. */
   uint32_t mSlots = 0;
   /** How many times what is known of the demand the whole is: entries for each
    * one whose demand is known here. */
-  double mWholeDemand = 1;
+  double mDemandScale = 1;
 };
 
 /** By engine. */
-using LanePlaces = std::unordered_map<UpstreamId, LanePlace>;
+using PoolPositions = std::unordered_map<UpstreamId, PoolPosition>;
 
 /**
  * Keeps long prompts away from streams that allow no long pause: an engine
@@ -86,10 +86,10 @@
  * in an order that all entries work out alike, and are dealt to the lanes in
  * that order, longest prompts first, by the work that this entry sees for each.
  */
-class Lanes
+class DedicatedPools
 {
 public:
-  explicit Lanes(LanesOptions aOptions = {});
+  explicit DedicatedPools(DedicatedPoolsOptions aOptions = {});
 
   /** A request of the route came; aOpen: those that have not ended. */
   void OnRequest(const std::string& aService,
@@ -100,25 +100,26 @@
   /** What came to this entry, for others to know. */
   std::vector<RouteDemand> Demands(Millis aNow);
   /** What came to another entry, by its own word. */
-  void OnDemands(const std::string& aFrom,
-                 const std::vector<RouteDemand>& aDemands,
-                 Millis aNow);
+  void OnPeerDemands(const std::string& aFrom,
+                     const std::vector<RouteDemand>& aDemands,
+                     Millis aNow);
   /** By what others told of late, enough of their requests at upstreams of the
    * service are less urgent to be refused first. */
-  bool OthersSendLessUrgent(const std::string& aService,
-                            uint8_t aUrgency,
-                            Millis aNow) const;
+  bool PeersSendLessUrgent(const std::string& aService,
+                           uint8_t aUrgency,
+                           Millis aNow) const;
 
   /**
    * How far each engine is from the route's lane. Worked out four times
    * a second at the most, as thousands of engines take a millisecond; an engine
    * that has come since is in no lane yet.
    */
-  const LanePlaces& PlacesFor(const std::string& aService,
-                              const Route& aRoute,
-                              const std::vector<const ListedUpstream*>& aAll,
-                              const LaneFacts& aFacts,
-                              Millis aNow);
+  const PoolPositions& PositionsFor(
+    const std::string& aService,
+    const Route& aRoute,
+    const std::vector<const ListedUpstream*>& aAll,
+    const PoolSizingInfo& aFacts,
+    Millis aNow);
 
 private:
   /** A demand as of that instant. */
@@ -137,7 +138,7 @@
   struct Lane
   {
     std::vector<std::string> mRoutes;
-    Millis mPause;
+    Millis mMaxPause;
     double mPrompt = 0;
     /** Engines that it would keep busy without a break. */
     double mEngines = 0;
@@ -147,7 +148,7 @@
   /** A route's distances and until when they are good. */
   struct Known
   {
-    LanePlaces mPlaces;
+    PoolPositions mPlaces;
     Millis mUntil;
   };
   struct Service
@@ -160,11 +161,11 @@
     std::set<std::string> mApart;
   };
 
-  LanePlaces WorkOut(const std::string& aService,
-                     const Route& aRoute,
-                     const std::vector<const ListedUpstream*>& aAll,
-                     const LaneFacts& aFacts,
-                     Millis aNow);
+  PoolPositions WorkOut(const std::string& aService,
+                        const Route& aRoute,
+                        const std::vector<const ListedUpstream*>& aAll,
+                        const PoolSizingInfo& aFacts,
+                        Millis aNow);
   /** The lane of each place in the order. */
   static std::vector<size_t> LanesInOrder(const Service& aService,
                                           size_t aEngines);
@@ -177,21 +178,22 @@
                                size_t aEngines) const;
   /** Engines that a route would keep busy without a break: by what they have to
    * do for it, or by the slots that it holds, whichever is scarcer. */
-  double EnginesFor(const RouteDemand& aDemand, const LaneFacts& aFacts) const;
+  double EnginesFor(const RouteDemand& aDemand,
+                    const PoolSizingInfo& aFacts) const;
   /** From the longest prompts to the strictest streams. */
   std::vector<Lane> LanesOf(Service& aService,
                             const std::map<std::string, RouteDemand>& aDemands,
-                            const LaneFacts& aFacts) const;
+                            const PoolSizingInfo& aFacts) const;
   /** The route's prompts hold up the lane's streams. */
   bool IsApart(Service& aService,
                const RouteDemand& aDemand,
                const Lane& aStricter,
-               const LaneFacts& aFacts) const;
+               const PoolSizingInfo& aFacts) const;
   void MoveEnds(Service& aService,
                 const std::vector<double>& aShares,
                 size_t aEngines) const;
 
-  LanesOptions mOptions;
+  DedicatedPoolsOptions mOptions;
   std::map<std::string, Service> mServices;
   /** By entry. */
   std::map<std::string, Told> mTold;
--- a/src/libtrefoilarch/openrequest.h
+++ b/src/libtrefoilarch/openrequest.h
@@ -21,7 +21,7 @@
   /** What it was counted as in the upstream's load. */
   uint32_t mTokens = 0;
   /** When the offer was last sent, and the Start. */
-  Millis mOffered{};
+  Millis mOfferedAt{};
   Millis mStarted{};
 };
 
@@ -29,7 +29,7 @@
 struct OpenRequest
 {
   EntryRequest mRequest;
-  Millis mArrived;
+  Millis mArrivedAt;
   Millis mDeadline;
   /** When placing it is tried again, or its lost attempt is given up. */
   Millis mRetryAt = Millis::Never();
@@ -48,14 +48,14 @@
   size_t mUnackedBytes = 0;
   bool mHeadSent = false;
   /** Resume was sent for a gap, and nothing has come since. */
-  bool mAskedForMissing = false;
+  bool mResumeSent = false;
   /** The last chunk's successor, once Finished has come. */
-  std::optional<uint64_t> mWholeAt{};
+  std::optional<uint64_t> mEndChunk{};
 
   /** Upstreams that declined it; they are not asked again. */
   std::vector<UpstreamId> mDeclinedBy{};
   /** Upstreams that failed it; they are asked when no other can be. */
-  std::vector<UpstreamId> mFailedAt{};
+  std::vector<UpstreamId> mFailedUpstreams{};
   uint32_t mRounds = 0;
   uint32_t mRetries = 0;
   /** What will be said if nothing better comes. */
--- a/src/libtrefoilarch/outlierdetector.cpp
+++ b/src/libtrefoilarch/outlierdetector.cpp
@@ -68,10 +68,10 @@
   Member& member = place->second;
   AddResult(member, true);
   member.mFailuresInRow++;
-  if (EndTrial(member, false, aNow)) {
+  if (EndProbe(member, false, aNow)) {
     return;
   }
-  const bool often = member.mResults >= mOptions.mLeastResults &&
+  const bool often = member.mResults >= mOptions.mMinResults &&
                      member.mFailures >= mOptions.mFailureShare;
   if (often || member.mFailuresInRow >= mOptions.mFailuresInRow) {
     Eject(member, aNow);
@@ -98,7 +98,7 @@
   const bool sound =
     median == 0 || took < median * mOptions.mSlowFactor ||
     took < median + static_cast<double>(mOptions.mSlowMargin.Count());
-  if (!EndTrial(member, sound, aNow) && Slow(member, aNow)) {
+  if (!EndProbe(member, sound, aNow) && Slow(member, aNow)) {
     Eject(member, aNow);
   }
 }
@@ -111,7 +111,7 @@
     return OutlierState::Healthy;
   }
   return aNow < *member->second.mUntil ? OutlierState::Ejected
-                                       : OutlierState::Trial;
+                                       : OutlierState::Probing;
 }
 
 void
@@ -122,7 +122,7 @@
 }
 
 bool
-OutlierDetector::EndTrial(Member& aMember, bool aSound, Millis aNow)
+OutlierDetector::EndProbe(Member& aMember, bool aSound, Millis aNow)
 {
   if (!aMember.mUntil) {
     return false;
@@ -142,7 +142,7 @@
 bool
 OutlierDetector::Slow(const Member& aMember, Millis aNow)
 {
-  if (aMember.mTimes < mOptions.mLeastResults) {
+  if (aMember.mTimes < mOptions.mMinResults) {
     return false;
   }
   const double median = Median(aMember.mGroup, aNow);
@@ -161,7 +161,7 @@
   group.mNextLook = aNow + kLookSpan;
   std::vector<double> times;
   for (const auto& [name, member] : mMembers) {
-    if (member.mGroup == aGroup && member.mTimes >= mOptions.mLeastResults) {
+    if (member.mGroup == aGroup && member.mTimes >= mOptions.mMinResults) {
       times.push_back(member.mFirstToken);
     }
   }
@@ -196,7 +196,7 @@
     });
   const size_t members = mGroups.at(aMember.mGroup).mMembers;
   const double most =
-    std::max(1.0, mOptions.mMostEjected * static_cast<double>(members));
+    std::max(1.0, mOptions.mMaxEjectedShare * static_cast<double>(members));
   return members > 1 && static_cast<double>(out + 1) <= most;
 }
 
@@ -204,7 +204,7 @@
 OutlierDetector::Span(uint32_t aEjected) const
 {
   const int64_t factor = int64_t{ 1 } << std::min(aEjected, kMostDoublings);
-  return std::min(mOptions.mFirstEjection * factor, mOptions.mLongestEjection);
+  return std::min(mOptions.mInitialEjection * factor, mOptions.mMaxEjection);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/outlierdetector.h
+++ b/src/libtrefoilarch/outlierdetector.h
@@ -16,17 +16,17 @@
 {
   /** This many failures in a row eject. */
   uint32_t mFailuresInRow = 5;
-  /** So does this share of failures, once there are mLeastResults. */
+  /** So does this share of failures, once there are mMinResults. */
   double mFailureShare = 0.5;
-  uint32_t mLeastResults = 10;
+  uint32_t mMinResults = 10;
   /** So does a mean first-token time of this many times the peers' median. */
   double mSlowFactor = 4;
   /** But not one that is slower by less than this. */
   Millis mSlowMargin{ 200 };
-  Millis mFirstEjection{ 5000 };
-  Millis mLongestEjection{ 60000 };
+  Millis mInitialEjection{ 5000 };
+  Millis mMaxEjection{ 60000 };
   /** Share of a group's members that may be ejected at a time; one may. */
-  double mMostEjected = 0.34;
+  double mMaxEjectedShare = 0.34;
 };
 
 /** Whether an upstream takes part. */
@@ -34,7 +34,7 @@
 {
   Healthy,
   Ejected,
-  Trial, /**< may get one request at a time until a result comes */
+  Probing, /**< may get one request at a time until a result comes */
 };
 
 /**
@@ -87,7 +87,7 @@
   };
 
   void AddResult(Member& aMember, bool aFailed);
-  bool EndTrial(Member& aMember, bool aSound, Millis aNow);
+  bool EndProbe(Member& aMember, bool aSound, Millis aNow);
   bool Slow(const Member& aMember, Millis aNow);
   double Median(const std::string& aGroup, Millis aNow);
   void Eject(Member& aMember, Millis aNow);
--- a/src/libtrefoilarch/pauserecord.cpp
+++ b/src/libtrefoilarch/pauserecord.cpp
@@ -33,7 +33,7 @@
 }
 
 void
-PauseRecord::OnStream(const std::string& aRoute, Millis aNow)
+PauseRecord::OnStreamEnded(const std::string& aRoute, Millis aNow)
 {
   Seen& seen = mRoutes[aRoute];
   Fade(seen, aNow);
@@ -41,7 +41,8 @@
 }
 
 bool
-PauseRecord::Knows(const std::string& aRoute, const std::string& aBeside) const
+PauseRecord::HasEnoughData(const std::string& aRoute,
+                           const std::string& aBeside) const
 {
   const auto route = mRoutes.find(aRoute);
   const auto beside = mRoutes.find(aBeside);
--- a/src/libtrefoilarch/pauserecord.h
+++ b/src/libtrefoilarch/pauserecord.h
@@ -20,7 +20,7 @@
   /** A part of a stream came so long after the one before. */
   void OnPause(const std::string& aRoute, Millis aPause, Millis aNow);
   /** A stream of the route ended. */
-  void OnStream(const std::string& aRoute, Millis aNow);
+  void OnStreamEnded(const std::string& aRoute, Millis aNow);
 
   /**
    * The share of a route's streams that would have a pause longer than
@@ -31,7 +31,8 @@
                    const std::string& aBeside,
                    Millis aLongest) const;
   /** Enough was seen of both for LateShare() to mean something. */
-  bool Knows(const std::string& aRoute, const std::string& aBeside) const;
+  bool HasEnoughData(const std::string& aRoute,
+                     const std::string& aBeside) const;
 
 private:
   /** Each bucket's bound is a tenth above the one before. */
--- a/src/libtrefoilarch/peernotes.h
+++ b/src/libtrefoilarch/peernotes.h
@@ -20,7 +20,7 @@
 struct PendingRead
 {
   UpstreamId mUpstream;
-  PendingReads mReads;
+  PendingPrefill mPendingPrefill;
 
   bool operator==(const PendingRead&) const = default;
 };
@@ -30,7 +30,7 @@
 {
   UpstreamId mUpstream;
   /** Ids of the parts that others may share, in the prompt's order. */
-  std::vector<uint64_t> mParts;
+  std::vector<uint64_t> mSegments;
   /** What the request adds to the upstream's memory, prompt and answer. */
   uint32_t mTokens = 0;
 
--- a/src/libtrefoilarch/peerwork.cpp
+++ b/src/libtrefoilarch/peerwork.cpp
@@ -32,7 +32,7 @@
            .mPending = aNotes.mPending,
            .mHeard = aNow };
   for (const PendingRead& each : peer.mPending) {
-    mPending[each.mUpstream] += each.mReads;
+    mPending[each.mUpstream] += each.mPendingPrefill;
   }
   return true;
 }
@@ -49,11 +49,11 @@
   });
 }
 
-PendingReads
+PendingPrefill
 PeerWork::Pending(const UpstreamId& aUpstream) const
 {
   const auto place = mPending.find(aUpstream);
-  return place == mPending.end() ? PendingReads() : place->second;
+  return place == mPending.end() ? PendingPrefill() : place->second;
 }
 
 void
@@ -61,7 +61,7 @@
 {
   for (const PendingRead& each : aPeer.mPending) {
     const auto place = mPending.find(each.mUpstream);
-    place->second -= each.mReads;
+    place->second -= each.mPendingPrefill;
     if (place->second.All() == 0) {
       mPending.erase(place);
     }
--- a/src/libtrefoilarch/peerwork.h
+++ b/src/libtrefoilarch/peerwork.h
@@ -25,7 +25,7 @@
   void Expire(Millis aNow);
 
   /** Tokens of all other entries that wait to be read there. */
-  PendingReads Pending(const UpstreamId& aUpstream) const;
+  PendingPrefill Pending(const UpstreamId& aUpstream) const;
   /** Entries that were heard lately. */
   size_t Peers() const { return mPeers.size(); }
   /** Mean time between two messages of an entry, in milliseconds. */
@@ -44,7 +44,7 @@
 
   std::map<std::string, Peer> mPeers;
   double mPauseMs = 0;
-  std::unordered_map<UpstreamId, PendingReads> mPending;
+  std::unordered_map<UpstreamId, PendingPrefill> mPending;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/pendingreads.h
+++ b/src/libtrefoilarch/pendingreads.h
@@ -9,7 +9,7 @@
 
 /** Prompt tokens that wait to be read at an upstream, by urgency: an engine
  * reads more urgent prompts first. */
-class PendingReads
+class PendingPrefill
 {
 public:
   /** Urgencies that are told apart; all beyond count as the last. */
@@ -46,14 +46,14 @@
   }
   uint64_t Of(uint8_t aUrgency) const { return mTokens[IndexOf(aUrgency)]; }
 
-  PendingReads& operator+=(const PendingReads& aOther)
+  PendingPrefill& operator+=(const PendingPrefill& aOther)
   {
     for (size_t each = 0; each < kUrgencies; ++each) {
       mTokens[each] += aOther.mTokens[each];
     }
     return *this;
   }
-  PendingReads& operator-=(const PendingReads& aOther)
+  PendingPrefill& operator-=(const PendingPrefill& aOther)
   {
     for (size_t each = 0; each < kUrgencies; ++each) {
       mTokens[each] -= std::min(mTokens[each], aOther.mTokens[each]);
@@ -61,7 +61,7 @@
     return *this;
   }
 
-  bool operator==(const PendingReads&) const = default;
+  bool operator==(const PendingPrefill&) const = default;
 
 private:
   static size_t IndexOf(uint8_t aUrgency)
--- a/src/libtrefoilarch/placementcandidate.h
+++ b/src/libtrefoilarch/placementcandidate.h
@@ -14,13 +14,13 @@
   /** It has just started and is still slow. */
   bool mCold = false;
   /** Prompt tokens that wait there to be read for other entries. */
-  PendingReads mOthersPending{};
+  PendingPrefill mPeerPending{};
   /** How long it has been silent to other entries, by their word. */
-  Millis mOthersSilence{};
+  Millis mPeerSilence{};
   /** How many times as long as its peers it takes to begin an answer. */
   double mSlowness = 1;
   /** Where it is as seen from the request's route. */
-  LanePlace mLane{};
+  PoolPosition mPoolPosition{};
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/prefixmemory.cpp
+++ b/src/libtrefoilarch/prefixmemory.cpp
@@ -11,16 +11,16 @@
 
 } // namespace
 
-PrefixMemory::PrefixMemory(PrefixMemoryOptions aOptions)
+PrefixCacheTracker::PrefixCacheTracker(PrefixCacheTrackerOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 void
-PrefixMemory::OnSent(const UpstreamId& aUpstream,
-                     const std::vector<uint64_t>& aParts,
-                     uint32_t aTokens,
-                     Millis aNow)
+PrefixCacheTracker::OnSent(const UpstreamId& aUpstream,
+                           const std::vector<uint64_t>& aParts,
+                           uint32_t aTokens,
+                           Millis aNow)
 {
   Upstream& upstream = mHeld[aUpstream];
   upstream.mTokens += aTokens;
@@ -28,21 +28,21 @@
     return;
   }
   for (const uint64_t part : aParts) {
-    upstream.mParts[part] = { .mAt = aNow, .mTokens = upstream.mTokens };
+    upstream.mSegments[part] = { .mAt = aNow, .mTokens = upstream.mTokens };
   }
-  if (upstream.mParts.size() > mOptions.mMostParts) {
+  if (upstream.mSegments.size() > mOptions.mMaxSegments) {
     Trim(upstream, aNow);
   }
   mLast[aParts.back()] = { aUpstream, aNow };
-  if (mLast.size() > mOptions.mMostSessions) {
+  if (mLast.size() > mOptions.mMaxSessions) {
     std::erase_if(mLast, [&](const auto& aSent) {
-      return aNow - aSent.second.mAt > mOptions.mSpan / 2;
+      return aNow - aSent.second.mAt > mOptions.mRetention / 2;
     });
   }
 }
 
 void
-PrefixMemory::Forget(const UpstreamId& aUpstream)
+PrefixCacheTracker::Forget(const UpstreamId& aUpstream)
 {
   mHeld.erase(aUpstream);
   std::erase_if(mLast, [&](const auto& aSent) {
@@ -51,21 +51,21 @@
 }
 
 uint32_t
-PrefixMemory::Held(const UpstreamId& aUpstream,
-                   const PromptShape& aPrompt,
-                   uint64_t aMemoryTokens,
-                   Millis aNow) const
+PrefixCacheTracker::CachedTokens(const UpstreamId& aUpstream,
+                                 const PromptShape& aPrompt,
+                                 uint64_t aMemoryTokens,
+                                 Millis aNow) const
 {
   const auto upstream = mHeld.find(aUpstream);
   if (upstream == mHeld.end()) {
     return 0;
   }
   uint32_t held = 0;
-  for (size_t each = 0; each < aPrompt.mShared; ++each) {
-    const PromptPart& part = aPrompt.mParts[each];
-    const auto use = upstream->second.mParts.find(part.mId);
+  for (size_t each = 0; each < aPrompt.mSharedSegments; ++each) {
+    const PromptSegment& part = aPrompt.mSegments[each];
+    const auto use = upstream->second.mSegments.find(part.mId);
     const bool there =
-      use != upstream->second.mParts.end() &&
+      use != upstream->second.mSegments.end() &&
       IsHeld(upstream->second, use->second, aMemoryTokens, aNow);
     if (!there) {
       break;
@@ -76,47 +76,48 @@
 }
 
 std::optional<UpstreamId>
-PrefixMemory::LastHolder(const PromptShape& aPrompt,
-                         uint64_t aMemoryTokens,
-                         Millis aNow) const
+PrefixCacheTracker::LastHolder(const PromptShape& aPrompt,
+                               uint64_t aMemoryTokens,
+                               Millis aNow) const
 {
-  if (aPrompt.mShared == 0) {
+  if (aPrompt.mSharedSegments == 0) {
     return std::nullopt;
   }
-  const auto place = mLast.find(aPrompt.mParts[aPrompt.mShared - 1].mId);
+  const auto place =
+    mLast.find(aPrompt.mSegments[aPrompt.mSharedSegments - 1].mId);
   if (place == mLast.end()) {
     return std::nullopt;
   }
   const UpstreamId& upstream = place->second.mUpstream;
-  const uint32_t held = Held(upstream, aPrompt, aMemoryTokens, aNow);
+  const uint32_t held = CachedTokens(upstream, aPrompt, aMemoryTokens, aNow);
   return held >= aPrompt.SharedTokens() ? std::optional(upstream)
                                         : std::nullopt;
 }
 
 bool
-PrefixMemory::IsHeld(const Upstream& aUpstream,
-                     const Use& aUse,
-                     uint64_t aMemoryTokens,
-                     Millis aNow) const
+PrefixCacheTracker::IsHeld(const Upstream& aUpstream,
+                           const Use& aUse,
+                           uint64_t aMemoryTokens,
+                           Millis aNow) const
 {
   const Millis idle = aNow - aUse.mAt;
   if (aMemoryTokens == 0) {
-    return idle <= mOptions.mSpan;
+    return idle <= mOptions.mRetention;
   }
   const auto since = static_cast<double>(aUpstream.mTokens - aUse.mTokens);
-  return idle <= mOptions.mLongestSpan &&
-         since <= mOptions.mHeldShare * static_cast<double>(aMemoryTokens);
+  return idle <= mOptions.mMaxRetention &&
+         since <= mOptions.mEvictionShare * static_cast<double>(aMemoryTokens);
 }
 
 void
-PrefixMemory::Trim(Upstream& aUpstream, Millis aNow) const
+PrefixCacheTracker::Trim(Upstream& aUpstream, Millis aNow) const
 {
-  auto& parts = aUpstream.mParts;
+  auto& parts = aUpstream.mSegments;
   std::erase_if(parts, [&](const auto& aPart) {
-    return aNow - aPart.second.mAt > mOptions.mLongestSpan;
+    return aNow - aPart.second.mAt > mOptions.mMaxRetention;
   });
-  const auto kept =
-    static_cast<size_t>(kKeptShare * static_cast<double>(mOptions.mMostParts));
+  const auto kept = static_cast<size_t>(
+    kKeptShare * static_cast<double>(mOptions.mMaxSegments));
   if (parts.size() <= kept) {
     return;
   }
--- a/src/libtrefoilarch/prefixmemory.h
+++ b/src/libtrefoilarch/prefixmemory.h
@@ -12,24 +12,24 @@
 
 namespace trefoilarch {
 
-/** Bounds of a PrefixMemory. */
-struct PrefixMemoryOptions
+/** Bounds of a PrefixCacheTracker. */
+struct PrefixCacheTrackerOptions
 {
   /** Where an engine's memory is not known, a part is taken for gone after
    * this span without use. */
-  Millis mSpan{ 20000 };
+  Millis mRetention{ 20000 };
   /** Where it is known, after this span: a stay that nobody has watched. */
-  Millis mLongestSpan{ 120000 };
+  Millis mMaxRetention{ 120000 };
   /** A part is held until new tokens fill this share of the engine's memory:
    * the least recently used parts yield, and what runs does not. At 0.4 and
    * 0.8 the mean worth of days with trouble was 0.780 and 0.795 at 18 engines
    * (trials, one run each). */
-  double mHeldShare = 0.8;
+  double mEvictionShare = 0.8;
   /** Parts that are remembered for one upstream. */
-  size_t mMostParts = 4000;
+  size_t mMaxSegments = 4000;
   /** Sessions whose last upstream is remembered; beyond these, those that
    * have not come for half the span are forgotten. */
-  size_t mMostSessions = 20000;
+  size_t mMaxSessions = 20000;
 };
 
 /**
@@ -37,10 +37,10 @@
  * process knows what was sent. Engines keep what they have read, and read
  * a part again only where a part before it is missing.
  */
-class PrefixMemory
+class PrefixCacheTracker
 {
 public:
-  explicit PrefixMemory(PrefixMemoryOptions aOptions = {});
+  explicit PrefixCacheTracker(PrefixCacheTrackerOptions aOptions = {});
 
   /** The upstream was sent a request with these parts, which adds so many
    * tokens to its memory. */
@@ -53,10 +53,10 @@
 
   /** Tokens at the prompt's start that the upstream seems to hold, whose
    * memory is for so many (0: not known). */
-  uint32_t Held(const UpstreamId& aUpstream,
-                const PromptShape& aPrompt,
-                uint64_t aMemoryTokens,
-                Millis aNow) const;
+  uint32_t CachedTokens(const UpstreamId& aUpstream,
+                        const PromptShape& aPrompt,
+                        uint64_t aMemoryTokens,
+                        Millis aNow) const;
 
   /** Where the prompt's last shared part was sent last, if it is still held
    * there. */
@@ -73,7 +73,7 @@
   };
   struct Upstream
   {
-    std::unordered_map<uint64_t, Use> mParts;
+    std::unordered_map<uint64_t, Use> mSegments;
     uint64_t mTokens = 0;
   };
   struct Sent
@@ -88,7 +88,7 @@
               Millis aNow) const;
   void Trim(Upstream& aUpstream, Millis aNow) const;
 
-  PrefixMemoryOptions mOptions;
+  PrefixCacheTrackerOptions mOptions;
   std::unordered_map<UpstreamId, Upstream> mHeld;
   /** By a session's last shared part. */
   std::unordered_map<uint64_t, Sent> mLast;
--- a/src/libtrefoilarch/prompt.h
+++ b/src/libtrefoilarch/prompt.h
@@ -8,12 +8,12 @@
 namespace trefoilarch {
 
 /** A part of a prompt that other requests may share. */
-struct PromptPart
+struct PromptSegment
 {
   uint64_t mId = 0;
   uint32_t mTokens = 0;
 
-  bool operator==(const PromptPart&) const = default;
+  bool operator==(const PromptSegment&) const = default;
 };
 
 /** What a caller says of its prompt and of the answer it expects. */
@@ -22,20 +22,20 @@
   std::string mModel;
   uint32_t mPromptTokens = 0;
   /** The most that the answer may have; 0: not told. */
-  uint32_t mMostOutput = 0;
+  uint32_t mMaxOutput = 0;
   /** The caller's guess, right in the median and often far off; 0: none. */
-  uint32_t mLikelyOutput = 0;
+  uint32_t mExpectedOutput = 0;
   /** In the prompt's order; the last belongs to the request or its session. */
-  std::vector<PromptPart> mParts;
+  std::vector<PromptSegment> mSegments;
   /** The first parts that other requests are likely to share. */
-  size_t mShared = 0;
+  size_t mSharedSegments = 0;
 
   /** Tokens of the parts that others are likely to share. */
   uint32_t SharedTokens() const
   {
     uint32_t tokens = 0;
-    for (size_t each = 0; each < mShared; ++each) {
-      tokens += mParts[each].mTokens;
+    for (size_t each = 0; each < mSharedSegments; ++each) {
+      tokens += mSegments[each].mTokens;
     }
     return tokens;
   }
@@ -44,9 +44,9 @@
   std::vector<uint64_t> SharedIds() const
   {
     std::vector<uint64_t> ids;
-    ids.reserve(mShared);
-    for (size_t each = 0; each < mShared; ++each) {
-      ids.push_back(mParts[each].mId);
+    ids.reserve(mSharedSegments);
+    for (size_t each = 0; each < mSharedSegments; ++each) {
+      ids.push_back(mSegments[each].mId);
     }
     return ids;
   }
--- a/src/libtrefoilarch/quarantine.cpp
+++ b/src/libtrefoilarch/quarantine.cpp
@@ -209,7 +209,7 @@
   mTrials.erase(aRequest);
   if (mHeld.erase(aRequest) > 0) {
     mCleared[aRequest] = aAt;
-    mChanges.push_back({ .mRequest = aRequest, .mWhy = aWhy });
+    mChanges.push_back({ .mRequest = aRequest, .mReason = aWhy });
   }
 }
 
@@ -224,7 +224,7 @@
   held->second.mCrashes = mEvidence.StartsOf(aHeld.mRequest);
   mChanges.push_back({ .mRequest = aHeld.mRequest,
                        .mHeld = true,
-                       .mWhy = aWhy,
+                       .mReason = aWhy,
                        .mCrashes = held->second.mCrashes });
   if (mHeld.size() > mOptions.mMostHeld) {
     const auto oldest = std::min_element(
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -70,7 +70,7 @@
 {
   RequestFingerprint mRequest;
   bool mHeld = false;
-  const char* mWhy = "";
+  const char* mReason = "";
   std::vector<UpstreamStart> mCrashes;
 };
 
--- a/src/libtrefoilarch/requestplan.cpp
+++ b/src/libtrefoilarch/requestplan.cpp
@@ -93,13 +93,13 @@
 {
   if (aStatus < kLeastServerError || mAnswerBegun || !MayRepeat() ||
       !AttemptsLeft()) {
-    return PassOn{};
+    return ForwardAnswer{};
   }
   // The caller gets this failure, rather than wait for a permit.
   mPermitAsks = kMostPermitAsks;
   const PlanStep again = Again(aNow, ErrorKind::UpstreamFailed);
   return std::holds_alternative<SendRequest>(again) ? again
-                                                    : PlanStep(PassOn{});
+                                                    : PlanStep(ForwardAnswer{});
 }
 
 PlanStep
@@ -128,7 +128,7 @@
 PlanStep
 RequestPlan::Send(Millis aNow)
 {
-  if (mRequest.mEnd - aNow < kLeastTime) {
+  if (mRequest.mDeadline - aNow < kLeastTime) {
     return Refuse(ErrorKind::DeadlineExceeded, Millis(0), aNow);
   }
   if (!mRouter.StillAllowed(mRequest, aNow)) {
@@ -137,7 +137,7 @@
   if (auto holdBack = HoldBack(aNow)) {
     return std::move(*holdBack);
   }
-  mPermit.mMayAsk = mPermitAsks < kMostPermitAsks;
+  mPermit.mMayRequest = mPermitAsks < kMostPermitAsks;
   std::optional<PlacedAttempt> attempt =
     mRouter.Place(mRequest, mTried, mPermit, aNow);
   if (!attempt) {
@@ -158,10 +158,10 @@
     const bool another =
       std::exchange(mAskedAt, mPermit.mUpstream) != mPermit.mUpstream;
     mPermitAsks += another ? 1 : 0;
-    return HoldRequest{ .mSpan = kPermitPause };
+    return HoldRequest{ .mDelay = kPermitPause };
   }
-  if (mPermit.mRoomIn) {
-    return Refuse(ErrorKind::Shed, *mPermit.mRoomIn, aNow);
+  if (mPermit.mCapacityIn) {
+    return Refuse(ErrorKind::Shed, *mPermit.mCapacityIn, aNow);
   }
   return Refuse(ErrorKind::NoEligibleUpstream, kNoneRetryAfter, aNow);
 }
@@ -170,9 +170,9 @@
 RequestPlan::HoldBack(Millis aNow)
 {
   const Millis since = mHeldSince.value_or(aNow);
-  if (aNow - since < kMostDoubt && mRouter.IsInDoubt(mCurrent)) {
+  if (aNow - since < kMostDoubt && mRouter.IsCrashSuspected(mCurrent)) {
     mHeldSince = since;
-    return HoldRequest{ .mSpan = kDoubtPause };
+    return HoldRequest{ .mDelay = kDoubtPause };
   }
   switch (mRouter.Admit(mRequest, aNow - since, aNow)) {
     case QuarantineVerdict::Run:
@@ -181,17 +181,17 @@
     case QuarantineVerdict::Refuse:
       // An hour without it lets it go; before that no return can help.
       return Refuse(
-        ErrorKind::Quarantined, mRouter.HeldBack().IdleSpan(), aNow);
+        ErrorKind::Quarantined, mRouter.CrashQuarantine().IdleSpan(), aNow);
     case QuarantineVerdict::Wait:
       break;
   }
   const Millis most =
-    std::min(kLongestHold, (mRequest.mEnd - since) / kHoldPart);
+    std::min(kLongestHold, (mRequest.mDeadline - since) / kHoldPart);
   if (aNow - since >= most) {
     return Refuse(ErrorKind::Quarantined, kHeldRetryAfter, aNow);
   }
   mHeldSince = since;
-  return HoldRequest{ .mSpan = kHoldPause };
+  return HoldRequest{ .mDelay = kHoldPause };
 }
 
 PlanStep
@@ -211,7 +211,7 @@
 std::optional<PlanStep>
 RequestPlan::GoOnAtBackup(Millis aNow)
 {
-  if (mCurrent.mBackup.empty() || mRequest.mEnd - aNow < kLeastTime ||
+  if (mCurrent.mBackup.empty() || mRequest.mDeadline - aNow < kLeastTime ||
       !mRouter.StillAllowed(mRequest, aNow) ||
       mRouter.Admit(mRequest, Millis(0), aNow) != QuarantineVerdict::Run ||
       !mRouter.TakeRetry(mRequest.mService)) {
@@ -256,7 +256,7 @@
     refusal.mKind = ErrorKind::DeadlineUnmeetable;
     refusal.mRetryAfter = std::max(aRetryAfter, kFullRetryAfter);
   }
-  if (refusal.mRan == Ran::Maybe && mRequest.mEnd <= aNow) {
+  if (refusal.mRan == Ran::Maybe && mRequest.mDeadline <= aNow) {
     refusal.mKind = ErrorKind::DeadlineExceeded;
   }
   return AnswerRefusal{ std::move(refusal) };
--- a/src/libtrefoilarch/requestplan.h
+++ b/src/libtrefoilarch/requestplan.h
@@ -20,7 +20,7 @@
  * decides whether this one is run, or a permit to send it is under way. */
 struct HoldRequest
 {
-  Millis mSpan;
+  Millis mDelay;
 };
 
 /** Answers the caller with a refusal or failure of our own. */
@@ -30,7 +30,7 @@
 };
 
 /** Passes the upstream's answer on as it is. */
-struct PassOn
+struct ForwardAnswer
 {};
 
 /** The answer has begun and can't be completed: the connection is cut. */
@@ -39,8 +39,8 @@
   ErrorKind mKind = ErrorKind::AnswerCut;
 };
 
-using PlanStep =
-  std::variant<SendRequest, HoldRequest, AnswerRefusal, PassOn, CutAnswer>;
+using PlanStep = std::
+  variant<SendRequest, HoldRequest, AnswerRefusal, ForwardAnswer, CutAnswer>;
 
 /**
  * One caller's request from its binding to its end: says after each event
@@ -63,7 +63,7 @@
    * time, in which an upstream may begin to leave and a key may be revoked. */
   bool MaySend(Millis aNow) const;
   /** The span of a HoldRequest is over. */
-  PlanStep OnHoldOver(Millis aNow) { return Send(aNow); }
+  PlanStep OnHoldElapsed(Millis aNow) { return Send(aNow); }
   /** No connection could be had; nothing was sent. */
   PlanStep OnUnreachable(Millis aNow);
   /** The request goes out on a connection: from now on it may run. */
--- a/src/libtrefoilarch/retrybudget.cpp
+++ b/src/libtrefoilarch/retrybudget.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 double
-RetriesOfEntry(double aSlack, size_t aEntries)
+RetriesPerEntry(double aSlack, size_t aEntries)
 {
   if (aEntries == 0) {
     return std::min(aSlack, kAlone);
@@ -34,14 +34,14 @@
 void
 RetryBudget::OnFirstAttempt(const std::string& aClass)
 {
-  double& left = mLeft.try_emplace(aClass, mOptions.mFirst).first->second;
-  left = std::min(left + mOptions.mPercent / kHundred, mOptions.mMost);
+  double& left = mLeft.try_emplace(aClass, mOptions.mInitial).first->second;
+  left = std::min(left + mOptions.mPercent / kHundred, mOptions.mMax);
 }
 
 bool
 RetryBudget::TakeRetry(const std::string& aClass)
 {
-  double& left = mLeft.try_emplace(aClass, mOptions.mFirst).first->second;
+  double& left = mLeft.try_emplace(aClass, mOptions.mInitial).first->second;
   if (left < 1) {
     return false;
   }
@@ -50,10 +50,10 @@
 }
 
 double
-RetryBudget::Left(const std::string& aClass) const
+RetryBudget::Remaining(const std::string& aClass) const
 {
   const auto place = mLeft.find(aClass);
-  return place == mLeft.end() ? mOptions.mFirst : place->second;
+  return place == mLeft.end() ? mOptions.mInitial : place->second;
 }
 
 void
@@ -61,7 +61,7 @@
 {
   mOptions = aOptions;
   for (auto& [name, left] : mLeft) {
-    left = std::min(left, mOptions.mMost);
+    left = std::min(left, mOptions.mMax);
   }
 }
 
--- a/src/libtrefoilarch/retrybudget.h
+++ b/src/libtrefoilarch/retrybudget.h
@@ -12,9 +12,9 @@
   /** Retries for each hundred first attempts. */
   double mPercent = 10;
   /** What a class starts with, so that a quiet one can retry at all. */
-  double mFirst = 3;
+  double mInitial = 3;
   /** What a class can save up; bounds the retries of one bad moment. */
-  double mMost = 20;
+  double mMax = 20;
 };
 
 /**
@@ -24,7 +24,7 @@
  * stands for a number that is not known yet.
  */
 double
-RetriesOfEntry(double aSlack, size_t aEntries);
+RetriesPerEntry(double aSlack, size_t aEntries);
 
 /**
  * Bounds retries to a share of first attempts, class by class, so that
@@ -40,7 +40,7 @@
   /** Takes one retry from the budget, or refuses it. */
   bool TakeRetry(const std::string& aClass);
   /** Retries that the class may make now. */
-  double Left(const std::string& aClass) const;
+  double Remaining(const std::string& aClass) const;
   /** The same of every class that was asked for. */
   const std::unordered_map<std::string, double>& All() const { return mLeft; }
   /** What classes have left is kept, up to the new bound. */
--- a/src/libtrefoilarch/routedemand.h
+++ b/src/libtrefoilarch/routedemand.h
@@ -7,7 +7,8 @@
 
 namespace trefoilarch {
 
-/** What came of one route lately: sums that fade by LanesOptions::mMemory. */
+/** What came of one route lately: sums that fade by
+ * DedicatedPoolsOptions::mDemandDecayTime. */
 struct RouteDemand
 {
   std::string mService;
@@ -19,7 +20,7 @@
    * as there were at the last request. */
   double mOpen = 0;
   /** The longest pause that the route's streams allow. */
-  Millis mPause;
+  Millis mMaxPause;
   /** 0 is the most urgent. */
   uint8_t mUrgency = 0;
 
--- a/src/libtrefoilarch/sessionengines.cpp
+++ b/src/libtrefoilarch/sessionengines.cpp
@@ -24,7 +24,7 @@
 bool
 IsInLane(const PlacementCandidate& aCandidate)
 {
-  return aCandidate.mLane.mDistance == 0;
+  return aCandidate.mPoolPosition.mDistance == 0;
 }
 
 } // namespace
@@ -33,12 +33,12 @@
   const std::vector<PlacementCandidate>& aCandidates,
   const PromptShape& aPrompt)
 {
-  if (aPrompt.mShared == 0) {
+  if (aPrompt.mSharedSegments == 0) {
     return;
   }
   mEdge =
     std::max(kLeastEdge, static_cast<uint32_t>(aCandidates.size()) / kEdgePart);
-  const uint64_t session = aPrompt.mParts[aPrompt.mShared - 1].mId;
+  const uint64_t session = aPrompt.mSegments[aPrompt.mSharedSegments - 1].mId;
   const bool lane =
     std::any_of(aCandidates.begin(), aCandidates.end(), IsInLane);
   for (const PlacementCandidate& each : aCandidates) {
@@ -59,7 +59,7 @@
     mSecondRank = mFirstRank;
     mFirst = aCandidate.mListed;
     mFirstRank = aRank;
-    mFirstNearEdge = aCandidate.mLane.mFromEdge < mEdge;
+    mFirstNearEdge = aCandidate.mPoolPosition.mBoundaryDistance < mEdge;
   } else if (mSecond == nullptr || aRank > mSecondRank) {
     mSecond = aCandidate.mListed;
     mSecondRank = aRank;
@@ -70,7 +70,7 @@
 SessionEngines::RankOutside(const PlacementCandidate& aCandidate,
                             uint64_t aRank)
 {
-  const bool near = aCandidate.mLane.mFromEdge < mEdge;
+  const bool near = aCandidate.mPoolPosition.mBoundaryDistance < mEdge;
   if (near && (mOutside == nullptr || aRank > mOutsideRank)) {
     mOutside = aCandidate.mListed;
     mOutsideRank = aRank;
--- a/src/libtrefoilarch/sharedparts.cpp
+++ b/src/libtrefoilarch/sharedparts.cpp
@@ -16,13 +16,14 @@
 } // namespace
 
 size_t
-SharedParts::OnPrompt(const std::string& aRoute, const PromptShape& aPrompt)
+SharedSegmentDetector::OnPrompt(const std::string& aRoute,
+                                const PromptShape& aPrompt)
 {
-  if (aPrompt.mParts.empty()) {
+  if (aPrompt.mSegments.empty()) {
     return 0;
   }
   Seen& seen = mRoutes[aRoute];
-  const uint64_t last = aPrompt.mParts.back().mId;
+  const uint64_t last = aPrompt.mSegments.back().mId;
   const bool again = !seen.mIds.insert(last).second;
   seen.mAgain += kNewest * ((again ? 1 : 0) - seen.mAgain);
   if (!again) {
@@ -32,7 +33,7 @@
     seen.mIds.erase(seen.mOrder.front());
     seen.mOrder.pop_front();
   }
-  const size_t parts = aPrompt.mParts.size();
+  const size_t parts = aPrompt.mSegments.size();
   return seen.mAgain >= kSessionShare ? parts : parts - 1;
 }
 
--- a/src/libtrefoilarch/sharedparts.h
+++ b/src/libtrefoilarch/sharedparts.h
@@ -16,7 +16,7 @@
  * request alone or to a session that comes again. Nobody else has read what
  * belongs to one request alone, so it must not decide where to go.
  */
-class SharedParts
+class SharedSegmentDetector
 {
 public:
   /** Takes note of a prompt and returns how many of its first parts other
--- a/src/libtrefoilarch/sidecarattempt.h
+++ b/src/libtrefoilarch/sidecarattempt.h
@@ -17,7 +17,7 @@
   EntryId mEntry;
   Offer mOffer;
   AttemptState mState = AttemptState::Waiting;
-  Millis mArrived;
+  Millis mArrivedAt;
   Millis mDeadlineAt;
   Millis mGrantedAt{};
   Millis mStartedAt{};
--- a/src/libtrefoilarch/sidecardump.cpp
+++ b/src/libtrefoilarch/sidecardump.cpp
@@ -44,7 +44,7 @@
            { "state", Name(aAttempt.mState) },
            { "class", aAttempt.mOffer.mLevel.mClass },
            { "tier", aAttempt.mOffer.mLevel.mTier },
-           { "age_ms", (aNow - aAttempt.mArrived).Count() },
+           { "age_ms", (aNow - aAttempt.mArrivedAt).Count() },
            { "deadline_in_ms", (aAttempt.mDeadlineAt - aNow).Count() },
            { "tokens", aAttempt.mShare.mTokens },
            { "floor_start", aAttempt.mShare.mBeside },
--- a/src/libtrefoilarch/sidecarqueue.cpp
+++ b/src/libtrefoilarch/sidecarqueue.cpp
@@ -103,7 +103,7 @@
                 mNow);
   SidecarAttempt attempt{ .mEntry = aEntry,
                           .mOffer = aOffer,
-                          .mArrived = mNow,
+                          .mArrivedAt = mNow,
                           .mDeadlineAt = mNow + aOffer.mDeadline,
                           .mShare = ShareOf(aOffer) };
   const Millis last = attempt.mDeadlineAt - prospect.mLeastTime;
@@ -250,7 +250,7 @@
   const WaitingRequest& request = *mSchedule.Find(aTurn.mKey);
   const auto target =
     static_cast<double>(request.mLevel.mBetweenTokenTarget.Count());
-  const Millis until = mAttempts.at(aTurn.mKey).mArrived + kHoldSpan;
+  const Millis until = mAttempts.at(aTurn.mKey).mArrivedAt + kHoldSpan;
   if (mNow >= until || mRate.BetweenTokens(mNow) <= target) {
     return false;
   }
--- a/src/libtrefoilarch/startmeter.cpp
+++ b/src/libtrefoilarch/startmeter.cpp
@@ -48,7 +48,7 @@
 }
 
 void
-StartMeter::OnGivenUp(Millis aSentAt)
+StartMeter::OnAbandoned(Millis aSentAt)
 {
   Leave(aSentAt);
 }
@@ -63,7 +63,7 @@
 std::optional<Millis>
 StartMeter::Refuse(Millis aTarget, Millis aLimit, double aFavour, Millis aNow)
 {
-  if (mPending < mOptions.mFreePending) {
+  if (mPending < mOptions.mAlwaysAllowedPending) {
     return std::nullopt;
   }
   if (!StartsTooLate(aTarget, aFavour, aNow) &&
@@ -76,11 +76,11 @@
 bool
 StartMeter::StartsTooLate(Millis aTarget, double aFavour, Millis aNow)
 {
-  const Millis judged = std::max(aTarget, mOptions.mLeastTarget);
+  const Millis judged = std::max(aTarget, mOptions.mMinTarget);
   const double target = static_cast<double>(judged.Count()) * aFavour;
   return RecentWait(aNow) >= mOptions.mSlowShare * target &&
          static_cast<double>(ExpectedWait(aNow).Count()) >
-           mOptions.mMostWait * target;
+           mOptions.mMaxWaitShare * target;
 }
 
 bool
@@ -88,7 +88,7 @@
 {
   const double limit = static_cast<double>(aLimit.Count()) * aFavour;
   const double end = RecentWait(aNow) + mOptions.mAnswerSpread * AnswerMs();
-  return end > mOptions.mMostTime * limit;
+  return end > mOptions.mMaxTimeShare * limit;
 }
 
 Millis
--- a/src/libtrefoilarch/startmeter.h
+++ b/src/libtrefoilarch/startmeter.h
@@ -14,20 +14,20 @@
 {
   /** A new request is refused if it would wait for more than this share of
    * the time in which it should start... */
-  double mMostWait = 0.9;
+  double mMaxWaitShare = 0.9;
   /** ...and the waits of late were at least this share of it. */
   double mSlowShare = 0.55;
   /** A target below this is judged as if it were this: a request that comes
    * back after a refusal is no sooner. */
-  Millis mLeastTarget{ 800 };
+  Millis mMinTarget{ 800 };
   /** A request is refused, too, if its start and this many times the mean
    * answer... */
   double mAnswerSpread = 1.5;
   /** ...take more than this share of its time; answers that are slow all
    * round are the sign of engines that read prompts without a break. */
-  double mMostTime = 0.8;
+  double mMaxTimeShare = 0.8;
   /** So many may always wait. */
-  uint32_t mFreePending = 2;
+  uint32_t mAlwaysAllowedPending = 2;
 };
 
 /**
@@ -47,7 +47,7 @@
   /** An answer is whole, or could not be made whole in time. */
   void OnEnded(Millis aStartedAt, Millis aNow);
   /** One that waited has ended without a start. */
-  void OnGivenUp(Millis aSentAt);
+  void OnAbandoned(Millis aSentAt);
 
   /**
    * When to come back, if a request that should start within aTarget and end
--- a/src/libtrefoilarch/upstreamdirectory.cpp
+++ b/src/libtrefoilarch/upstreamdirectory.cpp
@@ -18,7 +18,8 @@
   const auto [entry, fresh] = mAll.try_emplace(aUpstream.mId);
   ListedUpstream& place = entry->second;
   const bool another = fresh || IsAnotherStart(place, aUpstream);
-  aUpstream.mLife = another ? ++mLives : place.mLife;
+  aUpstream.mIncarnationNumber =
+    another ? ++mIncarnations : place.mIncarnationNumber;
   if (!another && !aUpstream.mBorn) {
     aUpstream.mBorn = place.mBorn;
   }
--- a/src/libtrefoilarch/upstreamdirectory.h
+++ b/src/libtrefoilarch/upstreamdirectory.h
@@ -29,7 +29,7 @@
   /** Its count of what it has said; begins anew with each start. */
   std::optional<uint64_t> mSequence;
   /** Set by the directory: tells one start under an id from another. */
-  uint64_t mLife = 0;
+  uint64_t mIncarnationNumber = 0;
 
   bool operator==(const ListedUpstream&) const = default;
 };
@@ -124,7 +124,7 @@
   StoreUptime mStore;
   /** The store's clock when the list was last the newest. */
   Millis mReading;
-  uint64_t mLives = 0;
+  uint64_t mIncarnations = 0;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamwork.h
+++ b/src/libtrefoilarch/upstreamwork.h
@@ -44,16 +44,16 @@
   void OnStarted(const AttemptWork& aWork);
   void OnEnded(const AttemptWork& aWork, bool aStarted, Millis aNow);
   /** Any byte came from the upstream. */
-  void OnHeard(Millis aNow) { mHeard = aNow; }
+  void OnBytesReceived(Millis aNow) { mHeard = aNow; }
   /** Made at that instant; an older one than the last says nothing. */
   void OnReport(const ReportedLoad& aLoad, Millis aAt);
   /** Another entry sent a request there. */
-  void OnSentByOther(Millis aNow) { Change(+1, aNow); }
+  void OnSentByPeer(Millis aNow) { Change(+1, aNow); }
 
   /** This entry's attempts there. */
   uint32_t Open() const { return mOpen; }
   /** Prompt tokens of this entry that wait to be read there. */
-  const PendingReads& Pending() const { return mPending; }
+  const PendingPrefill& Pending() const { return mPending; }
   /** Attempts of all entries that run or wait there. */
   double Busy(Millis aNow) const;
   /** How old Busy() is but for what was told since. */
@@ -72,7 +72,7 @@
   void Change(int aBy, Millis aNow);
 
   uint32_t mOpen = 0;
-  PendingReads mPending;
+  PendingPrefill mPending;
   std::optional<ReportedLoad> mReport;
   Millis mReportedAt;
   /** What came and went since the report, oldest first. */
--- a/src/libtrefoilarch/workplacement.cpp
+++ b/src/libtrefoilarch/workplacement.cpp
@@ -31,9 +31,9 @@
 uint32_t
 OutputOf(const PromptShape& aPrompt)
 {
-  uint32_t output = aPrompt.mLikelyOutput;
+  uint32_t output = aPrompt.mExpectedOutput;
   if (output == 0) {
-    output = aPrompt.mMostOutput > 0 ? aPrompt.mMostOutput / 2 : kUsualOutput;
+    output = aPrompt.mMaxOutput > 0 ? aPrompt.mMaxOutput / 2 : kUsualOutput;
   }
   return output;
 }
@@ -56,15 +56,15 @@
 {
 }
 
-Placed
+PlacementChoice
 WorkPlacement::Choose(const std::vector<PlacementCandidate>& aCandidates,
                       const PromptShape& aPrompt,
                       uint8_t aUrgency,
-                      EngineFacts aFacts,
+                      EngineInfo aFacts,
                       Millis aNow)
 {
-  aFacts.mUsualBusy = MeanBusy(aCandidates, aNow);
-  const EngineFacts* engine = aPrompt.mPromptTokens > 0 ? &aFacts : nullptr;
+  aFacts.mMeanBusy = MeanBusy(aCandidates, aNow);
+  const EngineInfo* engine = aPrompt.mPromptTokens > 0 ? &aFacts : nullptr;
   const SessionEngines session(aCandidates, aPrompt);
   const uint32_t shared = aPrompt.SharedTokens();
   const auto last = mMemory.LastHolder(aPrompt, aFacts.mMemoryTokens, aNow);
@@ -73,10 +73,10 @@
   for (const PlacementCandidate& each : aCandidates) {
     Option option{ .mCandidate = &each,
                    .mPlaced = { .mUpstream = each.mListed->mId } };
-    Placed& placed = option.mPlaced;
+    PlacementChoice& placed = option.mPlaced;
     if (engine != nullptr) {
-      option.mKnown =
-        mMemory.Held(each.mListed->mId, aPrompt, aFacts.mMemoryTokens, aNow);
+      option.mKnown = mMemory.CachedTokens(
+        each.mListed->mId, aPrompt, aFacts.mMemoryTokens, aNow);
       uint32_t held = option.mKnown;
       if (each.mListed == session.First()) {
         held = shared;
@@ -94,7 +94,7 @@
     options.push_back(std::move(option));
   }
   const Option& chosen = Pick(options, engine, aNow);
-  Placed best = chosen.mPlaced;
+  PlacementChoice best = chosen.mPlaced;
   const uint32_t bestHeld = chosen.mKnown;
   if (shared >= kLeastFetch && bestHeld < shared) {
     best.mHolder = HolderFor(session, last, best.mUpstream);
@@ -102,7 +102,7 @@
   if (engine != nullptr) {
     best.mWaitMs = WaitMs(*chosen.mCandidate, aUrgency, aFacts, aNow);
   }
-  if (engine != nullptr && aFacts.mPeersHeard && best.mHolder.empty()) {
+  if (engine != nullptr && aFacts.mPeersReporting && best.mHolder.empty()) {
     // What nobody is known to hold has to be read, wherever it is sent.
     best.mWork.mPrefill =
       aPrompt.mPromptTokens - std::min(bestHeld, aPrompt.mPromptTokens);
@@ -112,7 +112,7 @@
 
 const WorkPlacement::Option&
 WorkPlacement::Pick(const std::vector<Option>& aOptions,
-                    const EngineFacts* aEngine,
+                    const EngineInfo* aEngine,
                     Millis aNow)
 {
   const auto least =
@@ -126,12 +126,12 @@
       ? kChanceMs
       : std::max(kChanceMs, Uncertainty(*least->mCandidate, *aEngine, aNow));
   std::uniform_real_distribution<double> chance(0, spread);
-  const uint32_t lane = least->mCandidate->mLane.mDistance;
+  const uint32_t lane = least->mCandidate->mPoolPosition.mDistance;
   const Option* best = &*least;
   double bestCost = std::numeric_limits<double>::max();
   for (const Option& each : aOptions) {
     const bool near = each.mCost <= least->mCost + spread &&
-                      each.mCandidate->mLane.mDistance == lane;
+                      each.mCandidate->mPoolPosition.mDistance == lane;
     const double cost = near ? each.mCost + chance(mRandom) : bestCost;
     if (cost < bestCost) {
       bestCost = cost;
@@ -143,15 +143,15 @@
 
 double
 WorkPlacement::Uncertainty(const PlacementCandidate& aCandidate,
-                           const EngineFacts& aFacts,
+                           const EngineInfo& aFacts,
                            Millis aNow) const
 {
   const UpstreamWork& work = *aCandidate.mWork;
   // What was sent longer ago than an answer takes has ended again.
   const double age = std::min(static_cast<double>(work.ReportAge(aNow).Count()),
                               aFacts.mAnswerMs);
-  const double sent =
-    aFacts.mHeardPerMs * aFacts.mTellMs / 2 + aFacts.mUnheardPerMs * age;
+  const double sent = aFacts.mReportedPerMs * aFacts.mReportIntervalMs / 2 +
+                      aFacts.mUnreportedPerMs * age;
   const double over =
     std::max(0.0,
              BusyAt(aCandidate, aFacts, aNow) + sent -
@@ -174,8 +174,8 @@
 
 double
 WorkPlacement::CostOf(const PlacementCandidate& aCandidate,
-                      const Placed& aPlaced,
-                      const EngineFacts* aEngine,
+                      const PlacementChoice& aPlaced,
+                      const EngineInfo* aEngine,
                       Millis aNow) const
 {
   if (mOptions.mCost) {
@@ -187,8 +187,8 @@
 
 double
 WorkPlacement::EngineCost(const PlacementCandidate& aCandidate,
-                          const Placed& aPlaced,
-                          const EngineFacts& aFacts,
+                          const PlacementChoice& aPlaced,
+                          const EngineInfo& aFacts,
                           Millis aNow) const
 {
   // A caller may call its prompt shorter than its parts are.
@@ -198,11 +198,12 @@
   const double again =
     aPlaced.mMissing *
     (aPlaced.mFetchable ? mOptions.mFetchedWeight : mOptions.mSharedWeight);
-  const double read = (own + again) / aFacts.mReadPerMs * aCandidate.mSlowness;
+  const double read =
+    (own + again) / aFacts.mPrefillPerMs * aCandidate.mSlowness;
   const double wait = WaitMs(aCandidate, aPlaced.mWork.mUrgency, aFacts, aNow);
   return read + wait * mOptions.mWaitWeight +
          BusyAt(aCandidate, aFacts, aNow) * mOptions.mBusyMs +
-         aCandidate.mLane.mDistance * mOptions.mOtherLaneMs +
+         aCandidate.mPoolPosition.mDistance * mOptions.mOtherPoolMs +
          Distance(aCandidate, mOptions.mOtherDataCentreMs) +
          SilenceCost(aCandidate, aNow) +
          (aCandidate.mCold ? mOptions.mColdMs : 0);
@@ -211,16 +212,16 @@
 double
 WorkPlacement::WaitMs(const PlacementCandidate& aCandidate,
                       uint8_t aUrgency,
-                      const EngineFacts& aFacts,
+                      const EngineInfo& aFacts,
                       Millis aNow) const
 {
-  PendingReads pending = aCandidate.mWork->Pending();
-  pending += aCandidate.mOthersPending;
+  PendingPrefill pending = aCandidate.mWork->Pending();
+  pending += aCandidate.mPeerPending;
   const auto before = static_cast<double>(pending.Ahead(aUrgency));
   const auto after = static_cast<double>(pending.Behind(aUrgency));
-  const double tokens = before + after * aFacts.mBehindShare;
+  const double tokens = before + after * aFacts.mBehindCost;
   const double all =
-    aFacts.mPeersHeard ? tokens : tokens * mOptions.mOthersFactor;
+    aFacts.mPeersReporting ? tokens : tokens * mOptions.mSilentPeersFactor;
   // Of what waits for a slot, only what is as urgent goes before.
   const double waiting = before + after;
   const double ahead = waiting > 0 ? before / waiting : 1;
@@ -228,17 +229,17 @@
     ahead * std::max(0.0,
                      BusyAt(aCandidate, aFacts, aNow) -
                        static_cast<double>(aCandidate.mListed->mSlots));
-  return all / aFacts.mReadPerMs * aCandidate.mSlowness +
+  return all / aFacts.mPrefillPerMs * aCandidate.mSlowness +
          over * SlotMs(*aCandidate.mListed, aFacts);
 }
 
 double
 WorkPlacement::BusyAt(const PlacementCandidate& aCandidate,
-                      const EngineFacts& aFacts,
+                      const EngineInfo& aFacts,
                       Millis aNow)
 {
   const UpstreamWork& work = *aCandidate.mWork;
-  if (!aFacts.mPeersHeard || aFacts.mAnswerMs <= 0) {
+  if (!aFacts.mPeersReporting || aFacts.mAnswerMs <= 0) {
     return work.Busy(aNow);
   }
   // Entries that go by the same old news all send where it was best then. Of
@@ -246,12 +247,12 @@
   const auto age = static_cast<double>(work.ReportAge(aNow).Count());
   const double left = std::exp(-age / aFacts.mAnswerMs);
   const double busy =
-    aFacts.mUsualBusy + left * (work.Busy(aNow) - aFacts.mUsualBusy);
+    aFacts.mMeanBusy + left * (work.Busy(aNow) - aFacts.mMeanBusy);
   return std::max<double>(busy, work.Open());
 }
 
 double
-WorkPlacement::SlotMs(const ListedUpstream& aListed, const EngineFacts& aFacts)
+WorkPlacement::SlotMs(const ListedUpstream& aListed, const EngineInfo& aFacts)
 {
   // One of the answers that fill an engine ends each so often.
   return aFacts.mAnswerMs > 0 ? aFacts.mAnswerMs / std::max(1U, aListed.mSlots)
@@ -281,8 +282,8 @@
                            Millis aNow) const
 {
   const Millis silence =
-    std::max(aCandidate.mWork->Silence(aNow), aCandidate.mOthersSilence);
-  const Millis over = silence - mOptions.mUsualSilence;
+    std::max(aCandidate.mWork->Silence(aNow), aCandidate.mPeerSilence);
+  const Millis over = silence - mOptions.mNormalSilence;
   return std::max(0.0, kSilenceWeight * static_cast<double>(over.Count()));
 }
 
--- a/src/libtrefoilarch/workplacement.h
+++ b/src/libtrefoilarch/workplacement.h
@@ -19,7 +19,7 @@
 class SessionEngines;
 
 /** The chosen upstream and what the request asks of it. */
-struct Placed
+struct PlacementChoice
 {
   UpstreamId mUpstream;
   AttemptWork mWork;
@@ -33,37 +33,37 @@
   /** Empty, or another upstream that may hold what this one lacks. */
   UpstreamId mHolder;
 
-  bool operator==(const Placed&) const = default;
+  bool operator==(const PlacementChoice&) const = default;
 };
 
 /** What it costs to place a request at an upstream, in milliseconds. */
-using PlacementCost =
-  std::function<double(const PlacementCandidate&, const Placed&, Millis)>;
+using PlacementCost = std::function<
+  double(const PlacementCandidate&, const PlacementChoice&, Millis)>;
 
 /** What is known of a service's engines when one is chosen. */
-struct EngineFacts
+struct EngineInfo
 {
   /** Prompt tokens that an engine reads in a millisecond, as learnt. */
-  double mReadPerMs = EngineModelOptions{}.mPriorPerMs;
+  double mPrefillPerMs = EngineModelOptions{}.mPriorPrefillPerMs;
   /** What a less urgent token that waits there costs beside one that is read
    * first, as learnt. */
-  double mBehindShare = EngineModelOptions{}.mPriorBehind;
+  double mBehindCost = EngineModelOptions{}.mPriorBehindCost;
   /** What an engine keeps; 0: not told. */
   uint64_t mMemoryTokens = 0;
   /** How long an answer holds one of an engine's slots, as learnt; 0: not
    * known. */
   double mAnswerMs = 0;
   /** Other entries tell what they send where. */
-  bool mPeersHeard = false;
+  bool mPeersReporting = false;
   /** Requests that entries which tell, and entries which do not, send to each
    * engine in a millisecond, by what comes here. */
-  double mHeardPerMs = 0;
-  double mUnheardPerMs = 0;
+  double mReportedPerMs = 0;
+  double mUnreportedPerMs = 0;
   /** Between two messages of an entry that tells. */
-  double mTellMs = 0;
+  double mReportIntervalMs = 0;
   /** Requests that an engine of the service has on average, as far as known;
    * worked out by WorkPlacement::Choose(). */
-  double mUsualBusy = 0;
+  double mMeanBusy = 0;
 };
 
 /** The weights by which upstreams are compared. */
@@ -84,9 +84,9 @@
   double mBusyMs = 1.5;
   /** This entry's prompts that wait to be read, times this, stand for those
    * of all entries where the others are not heard. */
-  double mOthersFactor = 2;
+  double mSilentPeersFactor = 2;
   /** Each lane between weighs as much as this. */
-  double mOtherLaneMs = 200;
+  double mOtherPoolMs = 200;
   /** Milliseconds that it is worth to stay in the own data centre. */
   double mOtherDataCentreMs = 2;
   /** The same for a plain service, whose upstreams are all alike. */
@@ -96,7 +96,7 @@
   /** An upstream that has just started is worth avoiding by as much. */
   double mColdMs = 40;
   /** Silence up to this is usual while an upstream reads a long prompt. */
-  Millis mUsualSilence{ 350 };
+  Millis mNormalSilence{ 350 };
   /** Where set, upstreams are compared by this instead of all of the above,
    * to measure another way of placement by. */
   PlacementCost mCost;
@@ -115,22 +115,22 @@
   explicit WorkPlacement(WorkPlacementOptions aOptions);
 
   /** aCandidates must not be empty. */
-  Placed Choose(const std::vector<PlacementCandidate>& aCandidates,
-                const PromptShape& aPrompt,
-                uint8_t aUrgency,
-                EngineFacts aFacts,
-                Millis aNow);
+  PlacementChoice Choose(const std::vector<PlacementCandidate>& aCandidates,
+                         const PromptShape& aPrompt,
+                         uint8_t aUrgency,
+                         EngineInfo aFacts,
+                         Millis aNow);
 
-  PrefixMemory& Memory() { return mMemory; }
-  /** See WorkPlacementOptions::mUsualSilence. */
-  Millis UsualSilence() const { return mOptions.mUsualSilence; }
+  PrefixCacheTracker& PrefixCaches() { return mMemory; }
+  /** See WorkPlacementOptions::mNormalSilence. */
+  Millis NormalSilence() const { return mOptions.mNormalSilence; }
 
 private:
   /** An upstream with what it would be sent. */
   struct Option
   {
     const PlacementCandidate* mCandidate = nullptr;
-    Placed mPlaced;
+    PlacementChoice mPlaced;
     /** Shared tokens that it surely holds. */
     uint32_t mKnown = 0;
     double mCost = 0;
@@ -142,45 +142,44 @@
    * to the same engine.
    */
   const Option& Pick(const std::vector<Option>& aOptions,
-                     const EngineFacts* aEngine,
+                     const EngineInfo* aEngine,
                      Millis aNow);
   /** How long a request waits at the engine before its own prompt is read, in
    * milliseconds. */
   double WaitMs(const PlacementCandidate& aCandidate,
                 uint8_t aUrgency,
-                const EngineFacts& aFacts,
+                const EngineInfo& aFacts,
                 Millis aNow) const;
   /** Requests at the engine: what is known of it, or what is usual where that
    * is older than an answer takes. */
   static double BusyAt(const PlacementCandidate& aCandidate,
-                       const EngineFacts& aFacts,
+                       const EngineInfo& aFacts,
                        Millis aNow);
   /** How long a request waits for each one before it that waits for a slot. */
-  static double SlotMs(const ListedUpstream& aListed,
-                       const EngineFacts& aFacts);
+  static double SlotMs(const ListedUpstream& aListed, const EngineInfo& aFacts);
   /** What the requests cost that others may have sent to that engine since it
    * was last told of: so much its cost may be off. */
   double Uncertainty(const PlacementCandidate& aCandidate,
-                     const EngineFacts& aFacts,
+                     const EngineInfo& aFacts,
                      Millis aNow) const;
   /** Empty, or an engine that may hold what the chosen one lacks. */
   static UpstreamId HolderFor(const SessionEngines& aSession,
                               const std::optional<UpstreamId>& aLast,
                               const UpstreamId& aChosen);
   double CostOf(const PlacementCandidate& aCandidate,
-                const Placed& aPlaced,
-                const EngineFacts* aEngine,
+                const PlacementChoice& aPlaced,
+                const EngineInfo* aEngine,
                 Millis aNow) const;
   double EngineCost(const PlacementCandidate& aCandidate,
-                    const Placed& aPlaced,
-                    const EngineFacts& aFacts,
+                    const PlacementChoice& aPlaced,
+                    const EngineInfo& aFacts,
                     Millis aNow) const;
   double PlainCost(const PlacementCandidate& aCandidate, Millis aNow) const;
   double Distance(const PlacementCandidate& aCandidate, double aMs) const;
   double SilenceCost(const PlacementCandidate& aCandidate, Millis aNow) const;
 
   WorkPlacementOptions mOptions;
-  PrefixMemory mMemory;
+  PrefixCacheTracker mMemory;
   std::mt19937_64 mRandom;
 };
 
--- a/src/libtrefoilgate/callerconnection.cpp
+++ b/src/libtrefoilgate/callerconnection.cpp
@@ -241,7 +241,7 @@
                          .mHeaders = EndToEnd(message),
                          .mHasBody =
                            message.has_content_length() || message.chunked(),
-                         .mArrived = mSince };
+                         .mArrivedAt = mSince };
   request.mBody =
     std::make_shared<const std::string>(std::move(message.body()));
   mState = State::Serving;
--- a/src/libtrefoilgate/callerconnection.h
+++ b/src/libtrefoilgate/callerconnection.h
@@ -30,7 +30,7 @@
   /** It came with a length or in chunks, even if it was empty. */
   bool mHasBody = false;
   /** When its first byte was read. */
-  trefoilarch::Millis mArrived;
+  trefoilarch::Millis mArrivedAt;
 };
 
 /** The head of an answer to a caller. */
--- a/src/libtrefoilgate/dialect.h
+++ b/src/libtrefoilgate/dialect.h
@@ -48,7 +48,7 @@
 {
   /** The caller's name for its request, for logs and for matching answers. */
   std::function<std::string(const CallerRequest&)> mRequestId;
-  std::function<trefoilarch::RequestFacts(const CallerRequest&)> mFacts;
+  std::function<trefoilarch::RequestAttributes(const CallerRequest&)> mFacts;
   /** Headers of the request to an upstream: the caller's less those that the
    * system sets itself, and the system's. */
   std::function<Headers(const CallerRequest&, const OutgoingMarks&)> mOutgoing;
--- a/src/libtrefoilgate/exchange.cpp
+++ b/src/libtrefoilgate/exchange.cpp
@@ -54,7 +54,7 @@
       self->mConnection->Resume();
     }
   });
-  const Millis left = mPlan.Request().mEnd - BootNow();
+  const Millis left = mPlan.Request().mDeadline - BootNow();
   mTimer.expires_after(std::chrono::milliseconds(left.Count()));
   mTimer.async_wait([self](const boost::system::error_code& aError) {
     if (!aError) {
@@ -81,7 +81,7 @@
   if (auto* send = std::get_if<SendRequest>(&aStep)) {
     SendTo(std::move(*send));
   } else if (const auto* hold = std::get_if<HoldRequest>(&aStep)) {
-    Hold(hold->mSpan);
+    Hold(hold->mDelay);
   } else if (const auto* answer = std::get_if<AnswerRefusal>(&aStep)) {
     Refuse(answer->mRefusal);
   } else if (const auto* cut = std::get_if<CutAnswer>(&aStep)) {
@@ -109,7 +109,7 @@
 {
   RunAfter(mHoldTimer, aSpan, [self = shared_from_this()] {
     if (!self->mDone) {
-      self->Apply(self->mPlan.OnHoldOver(BootNow()));
+      self->Apply(self->mPlan.OnHoldElapsed(BootNow()));
     }
   });
 }
@@ -148,7 +148,7 @@
   mUnlistedMs =
     kept == unlisted.end() ? -1 : (now - kept->second.mSince).Count();
   mPlan.OnSending();
-  mConnection->Send(MakeCall(mPlan.Request().mEnd - now), MakeHandlers());
+  mConnection->Send(MakeCall(mPlan.Request().mDeadline - now), MakeHandlers());
 }
 
 OutgoingCall
@@ -201,11 +201,12 @@
 Exchange::OnHead(UpstreamAnswer aAnswer)
 {
   const Millis now = BootNow();
-  mContext.mRouter.OnHeard(*mAttempt, now);
+  mContext.mRouter.OnBytesReceived(*mAttempt, now);
   if (const auto load = mContext.mDialect.mLoad(aAnswer)) {
     mContext.mRouter.OnReport(*mAttempt, *load, now);
   }
-  mContext.mRouter.OnLimit(*mAttempt, mContext.mDialect.mLimit(aAnswer), now);
+  mContext.mRouter.OnRateLimit(
+    *mAttempt, mContext.mDialect.mLimit(aAnswer), now);
   const AnswerMeaning meaning = mContext.mDialect.mMeaning(aAnswer, mId);
   if (meaning == AnswerMeaning::NotRun) {
     LogAttempt("not_run", "status " + std::to_string(aAnswer.mStatus));
@@ -240,7 +241,7 @@
 Exchange::OnData(const std::string& aData)
 {
   const Millis now = BootNow();
-  mContext.mRouter.OnHeard(*mAttempt, now);
+  mContext.mRouter.OnBytesReceived(*mAttempt, now);
   MarkStarted(now);
   if (mFirstByteAt == Millis(0)) {
     mFirstByteAt = now;
@@ -398,7 +399,7 @@
   if (mDone) {
     return;
   }
-  const Millis waited = BootNow() - mRequest.mArrived;
+  const Millis waited = BootNow() - mRequest.mArrivedAt;
   const bool late = mAttempt && !mAttempt->mStarted &&
                     waited > mPlan.Request().mRoute->mFirstTokenTarget;
   DropConnection();
--- a/src/libtrefoilgate/exchangelog.cpp
+++ b/src/libtrefoilgate/exchangelog.cpp
@@ -22,12 +22,12 @@
   const BoundRequest& bound = mPlan.Request();
   const bool served = std::string_view(aOutcome) == "served";
   const Millis firstByte =
-    mFirstByteAt == Millis(0) ? Millis(0) : mFirstByteAt - mRequest.mArrived;
+    mFirstByteAt == Millis(0) ? Millis(0) : mFirstByteAt - mRequest.mArrivedAt;
   mContext.mMetrics.OnRequest({ .mRoute = bound.mRoute->mName,
                                 .mPriority = bound.mPriority,
                                 .mOutcome = aOutcome,
                                 .mFirstByte = firstByte,
-                                .mTook = now - mRequest.mArrived });
+                                .mTook = now - mRequest.mArrivedAt });
   mContext.mLog.Write(
     served ? LineKind::Success : LineKind::Trouble,
     "request_ended",
@@ -46,13 +46,13 @@
       { "unlisted_ms", mUnlistedMs },
       { "prompt_tokens", bound.mPrompt.mPromptTokens },
       { "prefill_tokens", mLastPlaced.mWork.mPrefill },
-      { "most_output_tokens", bound.mPrompt.mMostOutput },
+      { "most_output_tokens", bound.mPrompt.mMaxOutput },
       { "may_have_run", mPlan.MayHaveRun() },
       { "events", mEvents.Events() },
       { "first_byte_ms", firstByte.Count() },
       { "longest_pause_ms", mLongestPause.Count() },
-      { "took_ms", (now - mRequest.mArrived).Count() },
-      { "allowed_ms", (bound.mEnd - bound.mArrived).Count() } });
+      { "took_ms", (now - mRequest.mArrivedAt).Count() },
+      { "allowed_ms", (bound.mDeadline - bound.mArrivedAt).Count() } });
   // The last reference may be the caller's hooks: end after they are gone.
   const auto self = shared_from_this();
   mCaller->OnLeft(nullptr);
--- a/src/libtrefoilgate/gatesettings.cpp
+++ b/src/libtrefoilgate/gatesettings.cpp
@@ -136,7 +136,7 @@
   compare("operator-listen", &GateSettings::mOperatorListen);
   compare("platform", &GateSettings::mPlatform);
   compare("peer-listen", &GateSettings::mPeerListen);
-  compare("revoke-ms", &GateSettings::mKeySpan);
+  compare("revoke-ms", &GateSettings::mKeyPolicyMaxAge);
   compare("apply-ms", &GateSettings::mApplySpan);
   compare("drain-ms", &GateSettings::mDrainSpan);
   compare("heartbeat-ms", &GateSettings::mHeartbeat);
@@ -160,7 +160,8 @@
     .mOperatorListen = aSettings.Text("operator-listen"),
     .mPlatform = aSettings.Text("platform"),
     .mPeerListen = aSettings.Text("peer-listen"),
-    .mKeySpan = Millis(Floor(aSettings.Number("revoke-ms"))) - kKeyMargin,
+    .mKeyPolicyMaxAge =
+      Millis(Floor(aSettings.Number("revoke-ms"))) - kKeyMargin,
     .mApplySpan = Millis(Floor(aSettings.Number("apply-ms"))),
     .mDrainSpan = Millis(Floor(aSettings.Number("drain-ms"))),
     .mHeartbeat = Millis(Floor(aSettings.Number("heartbeat-ms"))),
--- a/src/libtrefoilgate/gatesettings.h
+++ b/src/libtrefoilgate/gatesettings.h
@@ -19,7 +19,7 @@
   std::string mPlatform;
   /** Empty: other entries are neither told anything nor heard. */
   std::string mPeerListen;
-  trefoilarch::Millis mKeySpan;
+  trefoilarch::Millis mKeyPolicyMaxAge;
   /** A policy is in force within this. */
   trefoilarch::Millis mApplySpan;
   /** An upstream that leaves gets no request later than this. */
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -50,10 +50,10 @@
 RetryBudgetOptions
 RetriesOf(const GateSettings& aSettings, size_t aEntries)
 {
-  const double saved = RetriesOfEntry(aSettings.mRetrySlack, aEntries);
+  const double saved = RetriesPerEntry(aSettings.mRetrySlack, aEntries);
   return { .mPercent = aSettings.mRetryPercent,
-           .mFirst = saved,
-           .mMost = saved };
+           .mInitial = saved,
+           .mMax = saved };
 }
 
 /** The entries' questions leave gaps by themselves, up to their bound and one
@@ -94,21 +94,21 @@
   , mLog({ .mProcess = mOptions.mSettings.mName })
   , mRouter(
       { .mDataCentre = mOptions.mSettings.mDataCentre,
-        .mKeySpan = mOptions.mSettings.mKeySpan,
+        .mKeyPolicyMaxAge = mOptions.mSettings.mKeyPolicyMaxAge,
         .mRetries =
           RetriesOf(mOptions.mSettings, EntriesAtStart(mOptions.mSettings)),
         .mName = mOptions.mSettings.mName,
         .mDirectory = DirectoryOptionsOf(mOptions.mSettings),
-        .mOnCrashNews = [this] { OnCrashNews(); },
+        .mOnCrashUpdate = [this] { OnCrashUpdate(); },
         .mOnLimitChange =
           [this](const LimitChange& aChange) { LogLimit(aChange); },
-        .mOnPermitAsk =
+        .mOnPermitRequest =
           [this](const AddressedAsk& aAsk) { mPeers.Ask(aAsk.mTo, aAsk.mAsk); },
         .mSeed = mOptions.mSeed })
   , mPool(aLoop,
           { .mOnRefused =
               [this](const UpstreamId& aUpstream) {
-                mRouter.OnRefused(aUpstream, BootNow());
+                mRouter.OnConnectionRefused(aUpstream, BootNow());
               },
             .mOnListening =
               [this](const UpstreamId& aUpstream) {
@@ -228,12 +228,12 @@
 Gateway::ChangeSettings(const GateSettings& aSettings)
 {
   const GateSettings before = mOptions.mSettings;
-  mOptions.mSettings.mKeySpan = aSettings.mKeySpan;
+  mOptions.mSettings.mKeyPolicyMaxAge = aSettings.mKeyPolicyMaxAge;
   mOptions.mSettings.mRetryPercent = aSettings.mRetryPercent;
   mOptions.mSettings.mRetrySlack = aSettings.mRetrySlack;
   mOptions.mSettings.mStopSpan = aSettings.mStopSpan;
   mOptions.mSettings.mMostBodyBytes = aSettings.mMostBodyBytes;
-  mRouter.SetKeySpan(aSettings.mKeySpan);
+  mRouter.SetKeyPolicyMaxAge(aSettings.mKeyPolicyMaxAge);
   mRouter.SetRetries(RetriesOf(aSettings, mEntries));
   mLog.Write(
     LineKind::Process,
@@ -273,10 +273,10 @@
 Gateway::HooksForPeers()
 {
   return PeerHooks{
-    .mHasNotes = [this] { return mRouter.HasNotes(); },
+    .mHasNotes = [this] { return mRouter.HasPeerUpdate(); },
     .mTakeNotes =
       [this] {
-        PeerNotes notes = mRouter.TakeNotes(BootNow());
+        PeerNotes notes = mRouter.TakePeerUpdate(BootNow());
         notes.mTables = mTables.mTell();
         notes.mStoreRun = mRouter.Directory().StoreRun();
         return notes;
@@ -284,18 +284,20 @@
     .mOnNotes =
       [this](const PeerNotes& aNotes) {
         mHeardAt[aNotes.mFrom] = BootNow();
-        mRouter.OnPeerNotes(aNotes, BootNow());
+        mRouter.OnPeerUpdate(aNotes, BootNow());
         if (aNotes.mStoreRun) {
           OnStoreTold(*aNotes.mStoreRun);
         }
         mTables.mOnTold(aNotes.mTables);
       },
     .mOnNews = [this](const TableNews& aNews) { mTables.mOnNews(aNews); },
-    .mOnCrashNews =
-      [this](const CrashNews& aNews) { mRouter.OnCrashNews(aNews, BootNow()); },
-    .mOnPermitAsk =
+    .mOnCrashUpdate =
+      [this](const CrashNews& aNews) {
+        mRouter.OnCrashUpdate(aNews, BootNow());
+      },
+    .mOnPermitRequest =
       [this](const std::string& aFrom, const PermitAsk& aAsk) {
-        return mRouter.OnPermitAsk(aFrom, aAsk, BootNow());
+        return mRouter.OnPermitRequest(aFrom, aAsk, BootNow());
       },
     .mOnPermitReply =
       [this](const PermitReply& aReply) {
@@ -365,7 +367,7 @@
                            .mMessage = "bodies fill the memory" });
     return;
   }
-  const RequestFacts facts = mOptions.mDialect.mFacts(aRequest);
+  const RequestAttributes facts = mOptions.mDialect.mFacts(aRequest);
   boost::leaf::try_handle_all(
     [&]() -> Result<void> {
       BOOST_LEAF_AUTO(bound, mRouter.Bind(facts, BootNow()));
--- a/src/libtrefoilgate/gateway.h
+++ b/src/libtrefoilgate/gateway.h
@@ -113,7 +113,10 @@
   /** Where callers connect, once it is started. */
   std::string CallersAddress() const { return mCallers.Address(); }
   DecisionLog& Log() { return mLog; }
-  trefoilarch::Quarantine& HeldBack() { return mRouter.HeldBack(); }
+  trefoilarch::Quarantine& CrashQuarantine()
+  {
+    return mRouter.CrashQuarantine();
+  }
   /** A row of that table could not be read. */
   void CountUnreadableRow(std::string_view aTable)
   {
@@ -157,7 +160,7 @@
   void LogUnlisted();
   void LogLimit(const trefoilarch::LimitChange& aChange);
   /** Tells and logs it once the event that is being handled is over. */
-  void OnCrashNews();
+  void OnCrashUpdate();
   void TellCrashNews(bool aAgain);
   void LogCrashes();
   void Tick();
--- a/src/libtrefoilgate/gatewaycrashes.cpp
+++ b/src/libtrefoilgate/gatewaycrashes.cpp
@@ -41,7 +41,7 @@
 } // namespace
 
 void
-Gateway::OnCrashNews()
+Gateway::OnCrashUpdate()
 {
   if (mCrashNewsDue) {
     return;
@@ -56,7 +56,7 @@
 void
 Gateway::TellCrashNews(bool aAgain)
 {
-  for (const CrashNews& each : mRouter.TakeCrashNews(aAgain, BootNow())) {
+  for (const CrashNews& each : mRouter.TakeCrashUpdates(aAgain, BootNow())) {
     mPeers.Tell(each);
   }
   LogCrashes();
@@ -70,15 +70,15 @@
                "upstream_crashed",
                { { "upstream", each.mStart.mUpstream },
                  { "born", each.mStart.mBorn },
-                 { "why", each.mWhy },
+                 { "why", each.mReason },
                  { "suspects", each.mSuspects.size() },
                  { "fingerprints", TextsOf(each.mSuspects) } });
   }
-  for (const QuarantineChange& each : mRouter.HeldBack().TakeChanges()) {
+  for (const QuarantineChange& each : mRouter.CrashQuarantine().TakeChanges()) {
     mLog.Write(LineKind::Belief,
                each.mHeld ? "request_quarantined" : "request_let_go",
                { { "fingerprint", each.mRequest.Text() },
-                 { "why", each.mWhy },
+                 { "why", each.mReason },
                  { "crashes", NamesOf(each.mCrashes) } });
   }
 }
--- a/src/libtrefoilgate/gatewayoperator.cpp
+++ b/src/libtrefoilgate/gatewayoperator.cpp
@@ -73,7 +73,8 @@
 {
   const Millis now = BootNow();
   auto requests = nlohmann::json::array();
-  for (const QuarantinedRequest& each : mRouter.HeldBack().Quarantined()) {
+  for (const QuarantinedRequest& each :
+       mRouter.CrashQuarantine().Quarantined()) {
     auto crashes = nlohmann::json::array();
     for (const UpstreamStart& start : each.mCrashes) {
       crashes.push_back(
@@ -92,10 +93,10 @@
 Gateway::Release(std::string_view aFingerprint)
 {
   const auto request = RequestFingerprint::FromText(aFingerprint);
-  if (!mRouter.HeldBack().IsQuarantined(request)) {
+  if (!mRouter.CrashQuarantine().IsQuarantined(request)) {
     return kNotFound;
   }
-  mRouter.HeldBack().Release(request, BootNow());
+  mRouter.CrashQuarantine().Release(request, BootNow());
   TellCrashNews(false);
   return kOk;
 }
@@ -158,7 +159,7 @@
   count(Gauge::ListAgeMs, mRouter.ListFreshness().AgeMs(now));
   count(Gauge::Ejections, mRouter.Ejections());
   count(Gauge::UpstreamCrashes, mRouter.Crashes());
-  count(Gauge::Quarantined, mRouter.HeldBack().Quarantined().size());
+  count(Gauge::Quarantined, mRouter.CrashQuarantine().Quarantined().size());
   count(Gauge::LimitedUpstreams, mRouter.Limits().Limited());
   count(Gauge::LogLinesLeftOut, mLog.LeftOut());
   for (const auto& [service, left] : mRouter.RetriesLeft()) {
--- a/src/libtrefoilgate/peerdatagram.cpp
+++ b/src/libtrefoilgate/peerdatagram.cpp
@@ -53,8 +53,9 @@
   for (const PendingRead& each : aNotes.mPending) {
     if (pending.size() < kMostPending) {
       Json reads = Json::array({ each.mUpstream });
-      for (uint8_t urgency = 0; urgency < PendingReads::kUrgencies; ++urgency) {
-        reads.push_back(each.mReads.Of(urgency));
+      for (uint8_t urgency = 0; urgency < PendingPrefill::kUrgencies;
+           ++urgency) {
+        reads.push_back(each.mPendingPrefill.Of(urgency));
       }
       pending.push_back(std::move(reads));
     }
@@ -68,7 +69,7 @@
   Json sent = Json::array();
   for (const SentPrompt& each : aNotes.mSent) {
     if (sent.size() < kMostSent) {
-      sent.push_back({ each.mUpstream, each.mParts, each.mTokens });
+      sent.push_back({ each.mUpstream, each.mSegments, each.mTokens });
     }
   }
   return sent;
@@ -112,7 +113,7 @@
                           Whole(each.mPromptTokens),
                           Whole(each.mOutputTokens),
                           Whole(each.mOpen * kHundred),
-                          Whole(static_cast<double>(each.mPause.Count())),
+                          Whole(static_cast<double>(each.mMaxPause.Count())),
                           each.mUrgency });
     }
   }
@@ -192,7 +193,7 @@
 bool
 IsPending(const Json& aValue)
 {
-  return aValue.is_array() && aValue.size() == 1 + PendingReads::kUrgencies &&
+  return aValue.is_array() && aValue.size() == 1 + PendingPrefill::kUrgencies &&
          aValue[0].is_string() &&
          std::all_of(aValue.begin() + 1, aValue.end(), IsTokens);
 }
@@ -322,14 +323,14 @@
                    .mSequence = json[3].get<uint64_t>() };
   for (const Json& each : json[4]) {
     PendingRead pending{ .mUpstream = each[0].get<std::string>() };
-    for (uint8_t urgency = 0; urgency < PendingReads::kUrgencies; ++urgency) {
-      pending.mReads.Add(urgency, each[1 + urgency].get<uint64_t>());
+    for (uint8_t urgency = 0; urgency < PendingPrefill::kUrgencies; ++urgency) {
+      pending.mPendingPrefill.Add(urgency, each[1 + urgency].get<uint64_t>());
     }
     notes.mPending.push_back(std::move(pending));
   }
   for (const Json& each : json[5]) {
     notes.mSent.push_back({ .mUpstream = each[0].get<std::string>(),
-                            .mParts = each[1].get<std::vector<uint64_t>>(),
+                            .mSegments = each[1].get<std::vector<uint64_t>>(),
                             .mTokens = each[2].get<uint32_t>() });
   }
   for (const Json& each : json[6]) {
@@ -347,7 +348,7 @@
         .mPromptTokens = static_cast<double>(each[3].get<uint64_t>()),
         .mOutputTokens = static_cast<double>(each[4].get<uint64_t>()),
         .mOpen = static_cast<double>(each[5].get<uint64_t>()) / kHundred,
-        .mPause = Millis(each[6].get<int64_t>()),
+        .mMaxPause = Millis(each[6].get<int64_t>()),
         .mUrgency = each[7].get<uint8_t>() });
   }
   for (const Json& each : json[8]) {
--- a/src/libtrefoilgate/peerlink.cpp
+++ b/src/libtrefoilgate/peerlink.cpp
@@ -134,19 +134,19 @@
   } else if (const auto news = DecodeNews(bytes)) {
     mHooks.mOnNews(*news);
   } else if (const auto crashNews = DecodeCrashNews(bytes)) {
-    mHooks.mOnCrashNews(*crashNews);
+    mHooks.mOnCrashUpdate(*crashNews);
   } else if (const auto ask = DecodePermitAsk(bytes)) {
-    OnPermitAsk(*ask);
+    OnPermitRequest(*ask);
   } else if (const auto reply = DecodePermitReply(bytes)) {
     mHooks.mOnPermitReply(*reply);
   }
 }
 
 void
-PeerLink::OnPermitAsk(const trefoilarch::PermitAsk& aAsk)
+PeerLink::OnPermitRequest(const trefoilarch::PermitAsk& aAsk)
 {
   const Udp::endpoint from = mSender;
-  if (const auto reply = mHooks.mOnPermitAsk(TextOf(from), aAsk)) {
+  if (const auto reply = mHooks.mOnPermitRequest(TextOf(from), aAsk)) {
     SendTo(from, EncodePermitReply(*reply));
   }
 }
--- a/src/libtrefoilgate/peerlink.h
+++ b/src/libtrefoilgate/peerlink.h
@@ -28,12 +28,12 @@
   std::function<trefoilarch::PeerNotes()> mTakeNotes;
   std::function<void(const trefoilarch::PeerNotes&)> mOnNotes;
   std::function<void(const trefoilarch::TableNews&)> mOnNews;
-  std::function<void(const trefoilarch::CrashNews&)> mOnCrashNews;
+  std::function<void(const trefoilarch::CrashNews&)> mOnCrashUpdate;
   /** Another entry, at that address, asks for a permit; empty: no answer. */
   std::function<std::optional<trefoilarch::PermitReply>(
     const std::string&,
     const trefoilarch::PermitAsk&)>
-    mOnPermitAsk;
+    mOnPermitRequest;
   std::function<void(const trefoilarch::PermitReply&)> mOnPermitReply;
 };
 
@@ -80,7 +80,7 @@
   void TellNotes();
   void Send(const std::vector<uint8_t>& aBytes);
   void SendTo(const Udp::endpoint& aPeer, const std::vector<uint8_t>& aBytes);
-  void OnPermitAsk(const trefoilarch::PermitAsk& aAsk);
+  void OnPermitRequest(const trefoilarch::PermitAsk& aAsk);
   /** Between two messages: the fewer the more there are to tell it to. */
   Millis Pause() const;
 
--- a/src/trefoilarchd/answerwriter.cpp
+++ b/src/trefoilarchd/answerwriter.cpp
@@ -107,7 +107,7 @@
 
   Millis RemainingSpan() const
   {
-    const Millis end = mTargets.mArrived + mTargets.mDeadline + kGrace;
+    const Millis end = mTargets.mArrivedAt + mTargets.mDeadline + kGrace;
     return std::max(Millis(1), end - trefoilio::MonotonicNow());
   }
 
@@ -151,7 +151,7 @@
   void Take(const AnswerEnd&)
   {
     mEnded = true;
-    const Millis span = trefoilio::MonotonicNow() - mTargets.mArrived;
+    const Millis span = trefoilio::MonotonicNow() - mTargets.mArrivedAt;
     mMetrics.Observe("answer_ms", static_cast<double>(span.Count()), mLabel);
     mMetrics.Count(span <= mTargets.mDeadline ? "answers_in_time_total"
                                               : "answers_late_total",
@@ -168,7 +168,7 @@
       mMetrics.Observe(
         "between_token_ms", static_cast<double>(gap.Count()), mLabel);
     } else {
-      const Millis span = now - mTargets.mArrived;
+      const Millis span = now - mTargets.mArrivedAt;
       mMetrics.Observe(
         "first_token_ms", static_cast<double>(span.Count()), mLabel);
       mMetrics.Count(span <= mTargets.mFirstToken ? "first_tokens_in_time_total"
--- a/src/trefoilarchd/answerwriter.h
+++ b/src/trefoilarchd/answerwriter.h
@@ -16,7 +16,7 @@
 struct AnswerTargets
 {
   std::string mClass;
-  Millis mArrived;
+  Millis mArrivedAt;
   Millis mFirstToken;
   Millis mBetweenToken;
   Millis mDeadline;
--- a/src/trefoilarchd/callerservice.cpp
+++ b/src/trefoilarchd/callerservice.cpp
@@ -246,7 +246,7 @@
 {
   const ServiceLevel level = aClassified.mLevel;
   const AnswerTargets targets{ .mClass = level.mClass,
-                               .mArrived = aArrived,
+                               .mArrivedAt = aArrived,
                                .mFirstToken = level.mFirstTokenTarget,
                                .mBetweenToken = level.mBetweenTokenTarget,
                                .mDeadline = aClassified.mDeadline };
--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -261,16 +261,16 @@
 
 Test(adapter, what_entries_tell_each_other_comes_through_whole)
 {
-  PendingReads reads;
+  PendingPrefill reads;
   reads.Add(0, 10);
   reads.Add(2, 3000);
   const PeerNotes notes{
     .mFrom = "gate-1",
     .mProcess = UINT64_MAX,
     .mSequence = 7,
-    .mPending = { { .mUpstream = "i-1", .mReads = reads } },
+    .mPending = { { .mUpstream = "i-1", .mPendingPrefill = reads } },
     .mSent = { { .mUpstream = "i-2",
-                 .mParts = { 1, UINT64_MAX },
+                 .mSegments = { 1, UINT64_MAX },
                  .mTokens = 17000 } },
     .mReports = { { .mUpstream = "i-3",
                     .mLoad = { .mRunning = 16, .mWaiting = 48, .mSlots = 16 },
@@ -281,7 +281,7 @@
                     .mPromptTokens = 110000,
                     .mOutputTokens = 600,
                     .mOpen = 4.5,
-                    .mPause = Millis(1000),
+                    .mMaxPause = Millis(1000),
                     .mUrgency = 2 } },
     .mSilent = { { .mUpstream = "i-5", .mSilence = Millis(900) } },
     .mAnswered = { "i-4" },
@@ -353,7 +353,7 @@
   for (int each = 0; each < 500; ++each) {
     notes.mPending.push_back({ .mUpstream = "i-" + std::to_string(each) });
     notes.mSent.push_back(
-      { .mUpstream = "i-" + std::to_string(each), .mParts = { 1, 2, 3 } });
+      { .mUpstream = "i-" + std::to_string(each), .mSegments = { 1, 2, 3 } });
     notes.mReports.push_back({ .mUpstream = "i-" + std::to_string(each),
                                .mLoad = { .mRunning = 16, .mSlots = 16 },
                                .mAge = Millis(640) });
@@ -409,14 +409,14 @@
                   { "X-Token-Usage", "1460,80" },
                   { "X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4:250" } }
   };
-  const RequestFacts facts = dialect.mFacts(request);
-  cr_expect(facts.mPatience == Millis(1200));
+  const RequestAttributes facts = dialect.mFacts(request);
+  cr_expect(facts.mCallerTimeout == Millis(1200));
   cr_expect(facts.mKey == "a");
   cr_expect(facts.mPrompt.mPromptTokens == 1460);
-  cr_expect(facts.mPrompt.mMostOutput == 80);
-  cr_expect(facts.mPrompt.mParts.size() == 3);
-  cr_expect(facts.mPrompt.mParts.at(2).mId == 0xe4);
-  cr_expect(facts.mPrompt.mParts.at(0).mTokens == 800);
+  cr_expect(facts.mPrompt.mMaxOutput == 80);
+  cr_expect(facts.mPrompt.mSegments.size() == 3);
+  cr_expect(facts.mPrompt.mSegments.at(2).mId == 0xe4);
+  cr_expect(facts.mPrompt.mSegments.at(0).mTokens == 800);
 }
 
 Test(adapter, odd_headers_do_no_harm)
@@ -426,10 +426,10 @@
                                  { "X-Deadline-Ms", "soon" },
                                  { "X-Token-Usage", "a,b,c" },
                                  { "X-Prompt-Prefix", ",:,x:y" } } };
-  const RequestFacts facts = dialect.mFacts(request);
-  cr_expect(!facts.mPatience.has_value());
+  const RequestAttributes facts = dialect.mFacts(request);
+  cr_expect(!facts.mCallerTimeout.has_value());
   cr_expect(facts.mPrompt.mPromptTokens == 0);
-  cr_expect(facts.mPrompt.mParts.size() == 3);
+  cr_expect(facts.mPrompt.mSegments.size() == 3);
 }
 
 Test(adapter, the_system_sets_its_own_headers_and_passes_others)
--- a/tests/platform/loopcosttest.cpp
+++ b/tests/platform/loopcosttest.cpp
@@ -58,7 +58,7 @@
                                      .mDataCentre = "here",
                                      .mListen = kListen,
                                      .mOperatorListen = kListen,
-                                     .mKeySpan = Millis(4500),
+                                     .mKeyPolicyMaxAge = Millis(4500),
                                      .mStopSpan = Millis(1000),
                                      .mMostDescriptors = 4096,
                                      .mMostBodyBytes = 1 << 24 },
--- a/tests/platform/metricstexttest.cpp
+++ b/tests/platform/metricstexttest.cpp
@@ -102,7 +102,7 @@
   cr_expect(ValueOf(text, "trefoilarch_gate_upstreams{state=\"ready\"}") == 2);
   const double left =
     ValueOf(text, "trefoilarch_gate_retries_left{service=\"svc\"}");
-  cr_expect(left == trefoilarch::RetriesOfEntry(50, 1), "%f", left);
+  cr_expect(left == trefoilarch::RetriesPerEntry(50, 1), "%f", left);
   const double policyAge = ValueOf(text, "trefoilarch_gate_policy_age_ms");
   const double listAge = ValueOf(text, "trefoilarch_gate_list_age_ms");
   cr_expect(policyAge >= 0 && policyAge < 4000, "%f", policyAge);
--- a/tests/replay/gates.cpp
+++ b/tests/replay/gates.cpp
@@ -81,9 +81,9 @@
 {
   PromptShape prompt{ .mModel = "base",
                       .mPromptTokens = aRequest.mPromptTokens,
-                      .mMostOutput = aRequest.mOutputTokens * 2,
-                      .mLikelyOutput = aRequest.mOutputTokens };
-  prompt.mParts = {
+                      .mMaxOutput = aRequest.mOutputTokens * 2,
+                      .mExpectedOutput = aRequest.mOutputTokens };
+  prompt.mSegments = {
     { .mId = aRequest.mPrefix + 1, .mTokens = aRequest.mPrefixTokens },
     { .mId = kOwnParts + aIndex,
       .mTokens = aRequest.mPromptTokens - aRequest.mPrefixTokens }
@@ -124,11 +124,13 @@
     DirectRouter& router = RouterOf(aRequest);
     const Millis now = mTime.Now();
     const std::string path = PathOf(asked.mClass, asked.mIdempotent);
-    const RequestFacts facts{ .mHost = kHost,
-                              .mPath = path,
-                              .mArrived = now,
-                              .mPatience = mTrace.ClassOf(asked).mDeadline,
-                              .mPrompt = PromptOf(asked, aRequest.mIndex) };
+    const RequestAttributes facts{ .mHost = kHost,
+                                   .mPath = path,
+                                   .mArrivedAt = now,
+                                   .mCallerTimeout =
+                                     mTrace.ClassOf(asked).mDeadline,
+                                   .mPrompt =
+                                     PromptOf(asked, aRequest.mIndex) };
     router.ConfirmPolicy(now);
     boost::leaf::try_handle_all(
       [&]() -> Result<void> {
@@ -345,7 +347,7 @@
     }
     const Millis now = mTime.Now();
     DirectRouter& router = RouterOf(open->mRequest);
-    router.OnHeard(*open->mAttempt, now);
+    router.OnBytesReceived(*open->mAttempt, now);
     if (!open->mBegun) {
       open->mBegun = true;
       router.OnReport(*open->mAttempt, aLoad, now);
@@ -417,14 +419,15 @@
   /** Tells the others what is new here, a little later. */
   void TellOthers(DirectRouter& aRouter)
   {
-    if (!mPeers || !aRouter.HasNotes() || !mTelling.insert(&aRouter).second) {
+    if (!mPeers || !aRouter.HasPeerUpdate() ||
+        !mTelling.insert(&aRouter).second) {
       return;
     }
     mTime.After(mTellSpan, [this, from = &aRouter] {
       mTelling.erase(from);
-      const PeerNotes notes = from->TakeNotes(mTime.Now());
+      const PeerNotes notes = from->TakePeerUpdate(mTime.Now());
       for (DirectRouter* router : ToldBy(*from)) {
-        router->OnPeerNotes(notes, mTime.Now());
+        router->OnPeerUpdate(notes, mTime.Now());
       }
     });
   }
--- a/tests/replay/gatestest.cpp
+++ b/tests/replay/gatestest.cpp
@@ -9,8 +9,8 @@
 #include <utility>
 
 using namespace replay;
-using trefoilarch::Placed;
 using trefoilarch::PlacementCandidate;
+using trefoilarch::PlacementChoice;
 using trefoilarch::PlacementCost;
 using trefoilarch::RequestClass;
 
@@ -85,7 +85,9 @@
 RoundRobin()
 {
   const auto turns = std::make_shared<uint64_t>(0);
-  return [turns](const PlacementCandidate& aCandidate, const Placed&, Millis) {
+  return [turns](const PlacementCandidate& aCandidate,
+                 const PlacementChoice&,
+                 Millis) {
     // One more question each time: the numbers stay apart by engine.
     const uint64_t engine = std::stoull(aCandidate.mListed->mAddress);
     constexpr uint64_t kEngines = 12;
@@ -97,9 +99,9 @@
 PlacementCost
 LeastLoad()
 {
-  return [](const PlacementCandidate& aCandidate, const Placed&, Millis aNow) {
-    return 10.0 * aCandidate.mWork->Busy(aNow);
-  };
+  return [](const PlacementCandidate& aCandidate,
+            const PlacementChoice&,
+            Millis aNow) { return 10.0 * aCandidate.mWork->Busy(aNow); };
 }
 
 /** The engine that holds the history, whatever waits there. */
@@ -107,7 +109,7 @@
 AffinityAlone()
 {
   return [](const PlacementCandidate& aCandidate,
-            const Placed& aPlaced,
+            const PlacementChoice& aPlaced,
             Millis aNow) {
     return 1000.0 * aPlaced.mMissing + 10.0 * aCandidate.mWork->Busy(aNow);
   };
--- a/tests/replay/tracegenerator.cpp
+++ b/tests/replay/tracegenerator.cpp
@@ -17,7 +17,7 @@
   double mOutput = 0; /**< median */
   double mSpread = 0.5;
   double mMostPrompt = 8000;
-  double mMostOutput = 2000;
+  double mMaxOutput = 2000;
 };
 
 /** A class, how long its requests are, and how much of them comes. */
@@ -112,7 +112,7 @@
         .mPrefixTokens = promptTokens / 4,
         .mPromptTokens = promptTokens,
         .mOutputTokens =
-          static_cast<uint32_t>(std::clamp(output, 5.0, lengths.mMostOutput)),
+          static_cast<uint32_t>(std::clamp(output, 5.0, lengths.mMaxOutput)),
         .mIdempotent = aStream.mClass.mIdempotent });
   }
 
--- a/tests/unit/claimstest.cpp
+++ b/tests/unit/claimstest.cpp
@@ -42,11 +42,11 @@
 };
 
 /** Entries round one table; its writes come late and lose their answers. */
-class Fleet : private ModelChance
+class Fleet : private ModelRandom
 {
 public:
   explicit Fleet(uint32_t aSeed)
-    : ModelChance(aSeed)
+    : ModelRandom(aSeed)
   {
     for (size_t each = 0; each < kEntries; ++each) {
       mEntries[each].mSkew =
--- a/tests/unit/crashdetectortest.cpp
+++ b/tests/unit/crashdetectortest.cpp
@@ -16,9 +16,9 @@
 {
   CrashDetector detector;
   cr_expect(!detector.OnConnectionLost(kStart, kOne, Millis(1000)));
-  cr_expect(detector.IsInDoubt(kStart));
+  cr_expect(detector.IsCrashSuspected(kStart));
   detector.Expire(Millis(60000));
-  cr_expect(!detector.IsInDoubt(kStart));
+  cr_expect(!detector.IsCrashSuspected(kStart));
   cr_expect(detector.OnEnded(kStart, Millis(60001)).empty());
 }
 
@@ -64,5 +64,5 @@
   detector.OnConnectionLost(kStart, kOne, Millis(1000));
   const UpstreamStart next{ .mUpstream = "u", .mBorn = 2 };
   cr_expect(detector.OnEnded(next, Millis(1001)).empty());
-  cr_expect(detector.IsInDoubt(kStart));
+  cr_expect(detector.IsCrashSuspected(kStart));
 }
--- a/tests/unit/engineadmissiontest.cpp
+++ b/tests/unit/engineadmissiontest.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-constexpr StartTerms kTerms{ .mTarget = Millis(1000), .mLimit = Millis(8000) };
+constexpr StartRequirements kTerms{ .mTarget = Millis(1000),
+                                    .mLimit = Millis(8000) };
 
 bool
-Refuses(const ForecastStart& aForecast, StartTerms aTerms = kTerms)
+Refuses(const StartForecast& aForecast, StartRequirements aTerms = kTerms)
 {
   return EngineAdmission().Refuse(aForecast, aTerms).has_value();
 }
@@ -18,14 +19,14 @@
 
 Test(engineadmission, a_request_that_waits_for_nobody_is_taken)
 {
-  cr_expect(!Refuses({ .mWaitMs = 0, .mReadMs = 300, .mAnswerMs = 900 }));
-  cr_expect(!Refuses({ .mWaitMs = 0, .mReadMs = 9000, .mAnswerMs = 9000 }),
+  cr_expect(!Refuses({ .mWaitMs = 0, .mPrefillMs = 300, .mAnswerMs = 900 }));
+  cr_expect(!Refuses({ .mWaitMs = 0, .mPrefillMs = 9000, .mAnswerMs = 9000 }),
             "to come back later would not make it shorter");
 }
 
 Test(engineadmission, a_long_prompt_is_no_overload)
 {
-  cr_expect(!Refuses({ .mWaitMs = 200, .mReadMs = 3000, .mAnswerMs = 900 }));
+  cr_expect(!Refuses({ .mWaitMs = 200, .mPrefillMs = 3000, .mAnswerMs = 900 }));
 }
 
 Test(engineadmission, a_long_queue_is_refused_until_it_is_short)
@@ -40,10 +41,10 @@
 
 Test(engineadmission, the_less_urgent_are_refused_first)
 {
-  StartTerms less = kTerms;
-  less.mFavour = 0.5;
-  StartTerms more = kTerms;
-  more.mFavour = 2;
+  StartRequirements less = kTerms;
+  less.mPriorityWeight = 0.5;
+  StartRequirements more = kTerms;
+  more.mPriorityWeight = 2;
   double wait = 0;
   while (!Refuses({ .mWaitMs = wait })) {
     wait += 10;
--- a/tests/unit/enginemodeltest.cpp
+++ b/tests/unit/enginemodeltest.cpp
@@ -18,7 +18,7 @@
   {
   }
 
-  Millis Wait(const ReadsBefore& aReads, double aSlow = 1)
+  Millis Wait(const PrefillBacklog& aReads, double aSlow = 1)
   {
     std::uniform_real_distribution<double> chance(0.9, 1.1);
     const double tokens = static_cast<double>(aReads.mAhead) +
@@ -27,7 +27,7 @@
       (kStart + tokens / mPerMs * chance(mRandom)) * aSlow));
   }
 
-  ReadsBefore Draw()
+  PrefillBacklog Draw()
   {
     std::uniform_int_distribution<uint64_t> tokens(200, 20000);
     return { .mAhead = tokens(mRandom), .mBehind = tokens(mRandom) };
@@ -45,7 +45,7 @@
 Teach(EngineModel& aModel, Engines& aEngines, int aAnswers)
 {
   for (int each = 0; each < aAnswers; ++each) {
-    const ReadsBefore reads = aEngines.Draw();
+    const PrefillBacklog reads = aEngines.Draw();
     aModel.OnStarted("llm",
                      "e" + std::to_string(each % 8),
                      reads,
@@ -63,7 +63,7 @@
     EngineModel model;
     Engines engines(perMs);
     Teach(model, engines, 20);
-    const double learnt = model.ReadPerMs("llm");
+    const double learnt = model.PrefillPerMs("llm");
     cr_expect(learnt > perMs * 0.75 && learnt < perMs * 1.25,
               "%f for %f",
               learnt,
@@ -78,7 +78,7 @@
   Engines slow(40);
   Teach(model, fast, 60);
   Teach(model, slow, 60);
-  const double learnt = model.ReadPerMs("llm");
+  const double learnt = model.PrefillPerMs("llm");
   cr_expect(learnt > 32 && learnt < 55, "%f", learnt);
 }
 
@@ -88,7 +88,7 @@
     EngineModel model;
     Engines engines(50, behind);
     Teach(model, engines, 120);
-    const double cost = model.ReadingMs("llm", { .mBehind = 1000 }) * 50 / 1000;
+    const double cost = model.PrefillMs("llm", { .mBehind = 1000 }) * 50 / 1000;
     cr_expect(std::abs(cost - behind) < 0.2, "%f for %f", cost, behind);
   }
 }
@@ -99,9 +99,9 @@
   EngineModel model;
   Engines engines(60);
   Teach(model, engines, 60);
-  const double before = model.ReadPerMs("llm");
+  const double before = model.PrefillPerMs("llm");
   model.OnStarted("llm", "e1", { .mAhead = 3000 }, Millis(3000), Millis(6000));
-  cr_expect(model.ReadPerMs("llm") > before * 0.8);
+  cr_expect(model.PrefillPerMs("llm") > before * 0.8);
 }
 
 Test(enginemodel, a_slow_engine_is_told_from_its_peers_and_forgiven)
@@ -111,7 +111,7 @@
   Teach(model, engines, 60);
   const Millis now(6000);
   for (int each = 0; each < 4; ++each) {
-    const ReadsBefore reads{ .mAhead = 6000 };
+    const PrefillBacklog reads{ .mAhead = 6000 };
     model.OnStarted("llm", "slow", reads, engines.Wait(reads, 5), now);
   }
   cr_expect(model.Slowness("slow", now) >= 3);
@@ -126,5 +126,6 @@
   EngineModel model;
   Engines engines(20);
   Teach(model, engines, 60);
-  cr_expect(model.ReadPerMs("other") == EngineModelOptions{}.mPriorPerMs);
+  cr_expect(model.PrefillPerMs("other") ==
+            EngineModelOptions{}.mPriorPrefillPerMs);
 }
--- a/tests/unit/entryfaultstest.cpp
+++ b/tests/unit/entryfaultstest.cpp
@@ -107,9 +107,9 @@
 {
   const std::string truth = VirtualFleet::TrueAnswer(aId);
   RC_LOG() << aId.Text() << " got " << aCaller.mData << "\n";
-  RC_ASSERT(aCaller.Ended() != aCaller.mLeft);
+  RC_ASSERT(aCaller.Ended() != aCaller.mDisconnected);
   RC_ASSERT(truth.starts_with(aCaller.mData));
-  if (aCaller.mWhole) {
+  if (aCaller.mComplete) {
     RC_ASSERT(aCaller.mData == truth);
   }
   if (!aCaller.mIdempotent) {
@@ -118,8 +118,8 @@
   if (aCaller.mRefusal) {
     RC_ASSERT(aCaller.mRefusal->mKind != ErrorKind::CallerLeft);
   }
-  if (!aCaller.mLeft) {
-    RC_ASSERT(aCaller.mEnded <= aCaller.mDeadline);
+  if (!aCaller.mDisconnected) {
+    RC_ASSERT(aCaller.mEndedAt <= aCaller.mDeadline);
   }
   if (aCaller.mRefusal && aCaller.mRefusal->mRan == Ran::No) {
     RC_ASSERT(aCaller.mRuns == 0);
@@ -154,12 +154,12 @@
       RC_ASSERT(fleet.Entry().OpenRequests() == 0U);
       RC_ASSERT(fleet.DrainedAtOnce());
       for (const RequestId& id : storm.InCalm()) {
-        RC_ASSERT(fleet.Callers().at(id).mWhole);
+        RC_ASSERT(fleet.Callers().at(id).mComplete);
       }
       for (const auto& [id, caller] : fleet.Callers()) {
         CheckCaller(id, caller);
-        endings[caller.mWhole ? "whole"
-                : caller.mLeft
+        endings[caller.mComplete ? "whole"
+                : caller.mDisconnected
                   ? "left"
                   : std::string(Name(caller.mRefusal->mKind)) + " " +
                       std::string(Name(caller.mRefusal->mRan))]++;
@@ -180,7 +180,7 @@
                 VirtualFleet& fleet = storm.Run();
                 RC_ASSERT(fleet.Reopened().empty());
                 for (const auto& [id, caller] : fleet.Callers()) {
-                  RC_ASSERT(caller.mWhole || caller.mLeft);
+                  RC_ASSERT(caller.mComplete || caller.mDisconnected);
                   RC_ASSERT(caller.mRuns <= 1);
                 }
               });
@@ -206,7 +206,7 @@
       fleet.Run(kQuiet);
       for (const auto& [id, caller] : fleet.Callers()) {
         CheckCaller(id, caller);
-        RC_ASSERT(caller.mWhole);
+        RC_ASSERT(caller.mComplete);
       }
     });
   cr_assert(holds);
@@ -214,7 +214,7 @@
 
 Test(entryfaults, what_a_restart_lost_is_told_or_rerun_at_once)
 {
-  VirtualFleet fleet(3, 1, { .mMostPause = Millis(1000) }, AnyUpstream());
+  VirtualFleet fleet(3, 1, { .mMaxPause = Millis(1000) }, AnyUpstream());
   fleet.Run(Millis(2000));
   for (int i = 0; i < 40; i++) {
     fleet.Ask(i % 2 == 0, Millis(60000));
@@ -229,26 +229,26 @@
       cr_assert(caller.mRefusal->mRan == Ran::Maybe);
       cr_assert(caller.mRefusal->mKind == KindOfLoss(caller));
     } else if (!caller.mIdempotent) {
-      cr_assert(caller.mWhole);
+      cr_assert(caller.mComplete);
     }
   }
   cr_assert_gt(refused, 20);
   fleet.Run(kQuiet);
   for (const auto& [id, caller] : fleet.Callers()) {
-    cr_assert(caller.mWhole || (caller.mRefusal && caller.mRuns == 1));
+    cr_assert(caller.mComplete || (caller.mRefusal && caller.mRuns == 1));
   }
 }
 
 Test(entryfaults, a_busy_upstream_is_not_taken_for_a_silent_channel)
 {
-  VirtualFleet fleet(1, 1, { .mMostPause = Millis(6000) }, AnyUpstream());
+  VirtualFleet fleet(1, 1, { .mMaxPause = Millis(6000) }, AnyUpstream());
   for (int i = 1; i <= 20; i++) {
     fleet.At(Millis(20000) * i, [&fleet] { fleet.Ask(true, Millis(120000)); });
   }
   fleet.Run(Millis(600000));
   cr_assert(fleet.Reopened().empty());
   for (const auto& [id, caller] : fleet.Callers()) {
-    cr_assert(caller.mWhole);
+    cr_assert(caller.mComplete);
   }
 }
 
@@ -264,7 +264,7 @@
       fleet.Run(asked + Millis(10000));
       cr_assert_eq(fleet.Reopened().size(), 1);
       cr_assert(fleet.Reopened().at("engine-0") - asked <= Millis(2000));
-      cr_assert(fleet.Callers().at(id).mWhole);
+      cr_assert(fleet.Callers().at(id).mComplete);
     }
   }
 }
--- a/tests/unit/keyfreshnesstest.cpp
+++ b/tests/unit/keyfreshnesstest.cpp
@@ -45,12 +45,12 @@
 }
 
 class KeyModel
-  : private ModelChance
+  : private ModelRandom
   , private ModelEvents
 {
 public:
   explicit KeyModel(uint32_t aSeed)
-    : ModelChance(aSeed)
+    : ModelRandom(aSeed)
     , mDrift(static_cast<int64_t>(Draw(201)) - 100)
     , mRouter({ .mSeed = aSeed })
   {
@@ -188,7 +188,7 @@
         BOOST_LEAF_AUTO(
           bound,
           mRouter.Bind(
-            { .mHost = "h", .mPath = "/x", .mKey = "k", .mArrived = mNow },
+            { .mHost = "h", .mPath = "/x", .mKey = "k", .mArrivedAt = mNow },
             mNow));
         return mRouter.StillAllowed(bound, mNow);
       },
@@ -200,7 +200,8 @@
       mLastVersion = mRouter.Index()->Version();
       return;
     }
-    const bool calm = mCalm >= 100 && mNow - mDisturbedAt > kCalm;
+    const bool calm =
+      mSuppressedFaultPercent >= 100 && mNow - mDisturbedAt > kCalm;
     const bool known =
       mRouter.Index() && mRouter.Index()->Version() == mStored->mVersion;
     RC_ASSERT(!calm || !known || mRevokedAt);
--- a/tests/unit/leasetest.cpp
+++ b/tests/unit/leasetest.cpp
@@ -30,11 +30,11 @@
 };
 
 /** Processes with clocks of their own contend for one lease. */
-class Contenders : private ModelChance
+class Contenders : private ModelRandom
 {
 public:
   explicit Contenders(uint32_t aSeed)
-    : ModelChance(aSeed)
+    : ModelRandom(aSeed)
   {
     for (size_t each = 0; each < kProcesses; ++each) {
       mProcesses[each].mOffset = Draw(1000000);
--- a/tests/unit/listlapsetest.cpp
+++ b/tests/unit/listlapsetest.cpp
@@ -53,12 +53,12 @@
 };
 
 class ListModel
-  : private ModelChance
+  : private ModelRandom
   , private ModelEvents
 {
 public:
   ListModel(uint32_t aSeed, size_t aEntries)
-    : ModelChance(aSeed)
+    : ModelRandom(aSeed)
     , mLapsesWhileDown(Chance(50))
     , mEntries(aEntries)
   {
--- a/tests/unit/modelchance.h
+++ b/tests/unit/modelchance.h
@@ -6,12 +6,12 @@
 #include <vector>
 
 /** What chance decides in a model of processes round a faulty table. */
-class ModelChance
+class ModelRandom
 {
 protected:
-  explicit ModelChance(uint32_t aSeed)
+  explicit ModelRandom(uint32_t aSeed)
     : mRandom(aSeed)
-    , mCalm(std::max<uint32_t>(mRandom() % 150, 50) - 50)
+    , mSuppressedFaultPercent(std::max<uint32_t>(mRandom() % 150, 50) - 50)
   {
   }
 
@@ -20,11 +20,11 @@
   /** As Chance, but the rarer the calmer this run is. */
   bool Fault(uint32_t aPercent)
   {
-    return Draw(100) >= mCalm && Chance(aPercent);
+    return Draw(100) >= mSuppressedFaultPercent && Chance(aPercent);
   }
 
   std::mt19937 mRandom;
-  uint32_t mCalm;
+  uint32_t mSuppressedFaultPercent;
 };
 
 /** Takes one operation out of those that are under way. */
--- a/tests/unit/orderstest.cpp
+++ b/tests/unit/orderstest.cpp
@@ -44,11 +44,11 @@
 };
 
 /** Sidecars that replace each other give orders to the same engines. */
-class Site : private ModelChance
+class Site : private ModelRandom
 {
 public:
   Site(uint32_t aSeed, bool aEnginesCheck)
-    : ModelChance(aSeed)
+    : ModelRandom(aSeed)
     , mEnginesCheck(aEnginesCheck)
   {
     for (size_t each = 0; each < kProcesses; ++each) {
--- a/tests/unit/outlierdetectortest.cpp
+++ b/tests/unit/outlierdetectortest.cpp
@@ -76,7 +76,7 @@
   group.Fail(2);
   cr_assert(group.State(2) == OutlierState::Ejected);
   group.mNow += Millis(5000);
-  cr_assert(group.State(2) == OutlierState::Trial);
+  cr_assert(group.State(2) == OutlierState::Probing);
   group.Fail(2);
   group.mNow += Millis(9999);
   cr_assert(group.State(2) == OutlierState::Ejected, "twice as long");
@@ -135,7 +135,7 @@
   cr_assert_leq(fleet.Calls().at(NameOf(0)), 20);
   int whole = 0;
   for (const auto& [id, caller] : fleet.Callers()) {
-    whole += caller.mWhole ? 1 : 0;
+    whole += caller.mComplete ? 1 : 0;
   }
   cr_assert_geq(whole, 599);
 }
--- a/tests/unit/pauserecordtest.cpp
+++ b/tests/unit/pauserecordtest.cpp
@@ -17,14 +17,14 @@
       aRecord.OnPause("strict", Millis(20), now);
       aRecord.OnPause("long", part % 10 == 0 ? aLongPause : Millis(20), now);
     }
-    aRecord.OnStream("strict", now);
-    aRecord.OnStream("long", now);
+    aRecord.OnStreamEnded("strict", now);
+    aRecord.OnStreamEnded("long", now);
   }
 }
 
 /** Lanes of twelve engines, for strict streams and long prompts. */
 size_t
-EnginesInLanes(Lanes& aLanes, const PauseRecord& aRecord)
+EnginesInLanes(DedicatedPools& aLanes, const PauseRecord& aRecord)
 {
   const Route strict{ .mName = "strict",
                       .mStream = true,
@@ -44,11 +44,11 @@
     aLanes.OnRequest("llm", longer, { .mPromptTokens = 9000 }, now);
   }
   return aLanes
-    .PlacesFor("llm",
-               strict,
-               all,
-               { .mPauses = aRecord, .mReadPerMs = 60 },
-               Millis(1000))
+    .PositionsFor("llm",
+                  strict,
+                  all,
+                  { .mPauses = aRecord, .mPrefillPerMs = 60 },
+                  Millis(1000))
     .size();
 }
 
@@ -66,11 +66,11 @@
 Test(pauserecord, little_is_not_enough)
 {
   PauseRecord record;
-  cr_expect(!record.Knows("strict", "long"));
+  cr_expect(!record.HasEnoughData("strict", "long"));
   Record(record, Millis(300), 1);
-  cr_expect(!record.Knows("strict", "long"));
+  cr_expect(!record.HasEnoughData("strict", "long"));
   Record(record, Millis(300), 5);
-  cr_expect(record.Knows("strict", "long"));
+  cr_expect(record.HasEnoughData("strict", "long"));
 }
 
 /** Engines that read in short chunks hold nobody up: all of them may take
@@ -80,7 +80,7 @@
   for (const int64_t pause : { 80, 300 }) {
     PauseRecord record;
     Record(record, Millis(pause));
-    Lanes lanes;
+    DedicatedPools lanes;
     cr_expect(EnginesInLanes(lanes, record) == (pause > 200 ? 12U : 0U));
   }
 }
--- a/tests/unit/peerworktest.cpp
+++ b/tests/unit/peerworktest.cpp
@@ -9,12 +9,12 @@
 PeerNotes
 Notes(const char* aFrom, uint64_t aSequence, uint64_t aTokens)
 {
-  PendingReads reads;
+  PendingPrefill reads;
   reads.Add(1, aTokens);
   return { .mFrom = aFrom,
            .mProcess = 1,
            .mSequence = aSequence,
-           .mPending = { { .mUpstream = "e", .mReads = reads } } };
+           .mPending = { { .mUpstream = "e", .mPendingPrefill = reads } } };
 }
 
 uint64_t
@@ -66,7 +66,7 @@
 
 Test(pendingreads, more_urgent_prompts_are_read_first)
 {
-  PendingReads reads;
+  PendingPrefill reads;
   reads.Add(0, 10);
   reads.Add(1, 200);
   reads.Add(9, 3000);
--- a/tests/unit/permittest.cpp
+++ b/tests/unit/permittest.cpp
@@ -37,12 +37,12 @@
 };
 
 class PermitModel
-  : private ModelChance
+  : private ModelRandom
   , private ModelEvents
 {
 public:
   PermitModel(uint32_t aSeed, Setting aSetting)
-    : ModelChance(aSeed)
+    : ModelRandom(aSeed)
     , mSetting(aSetting)
     , mLoss(aSetting.mTroubled ? 5 : 1)
   {
--- a/tests/unit/policyfleet.cpp
+++ b/tests/unit/policyfleet.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 PolicyFleet::PolicyFleet(uint32_t aSeed)
-  : ModelChance(aSeed)
+  : ModelRandom(aSeed)
 {
   for (size_t each = 0; each < kProcesses; ++each) {
     Boot(each);
--- a/tests/unit/policyfleet.h
+++ b/tests/unit/policyfleet.h
@@ -50,7 +50,7 @@
  * Reads and writes take effect late, in any order, and lose their answers;
  * processes pause, restart and hear of each other's versions.
  */
-class PolicyFleet : private ModelChance
+class PolicyFleet : private ModelRandom
 {
 public:
   explicit PolicyFleet(uint32_t aSeed);
--- a/tests/unit/quarantinefleet.cpp
+++ b/tests/unit/quarantinefleet.cpp
@@ -111,7 +111,7 @@
     aRequest.mEntry =
       static_cast<size_t>(Below(static_cast<int64_t>(mEntries.size())));
   } while (!mStarted[aRequest.mEntry]);
-  aRequest.mArrived = mNow;
+  aRequest.mArrivedAt = mNow;
   aRequest.mHeldSince = mNow;
   mResult.mInnocents += aRequest.mPoison < 0 ? 1 : 0;
   Place(aRequest);
--- a/tests/unit/quarantinefleet.h
+++ b/tests/unit/quarantinefleet.h
@@ -85,7 +85,7 @@
     /** Number of the poison request, or none. */
     int mPoison = -1;
     size_t mEntry = 0;
-    Millis mArrived;
+    Millis mArrivedAt;
     Millis mHeldSince;
     int mAttempts = 0;
     bool mWaited = false;
--- a/tests/unit/requestplantest.cpp
+++ b/tests/unit/requestplantest.cpp
@@ -27,8 +27,9 @@
 DirectRouter
 MakeRouter(size_t aUpstreams, double aRetries = 100)
 {
-  DirectRouter router(
-    { .mRetries = { .mPercent = 100, .mFirst = aRetries, .mMost = aRetries } });
+  DirectRouter router({ .mRetries = { .mPercent = 100,
+                                      .mInitial = aRetries,
+                                      .mMax = aRetries } });
   RoutePolicy policy{ .mVersion = 1 };
   policy.mRoutes = { MakeRoute("once", RepeatRule::AtMostOnce, 3),
                      MakeRoute("safe", RepeatRule::Idempotent, 3),
@@ -54,7 +55,7 @@
       BOOST_LEAF_ASSIGN(
         bound,
         aRouter.Bind(
-          { .mHost = "h", .mPath = aPath, .mKey = "k", .mArrived = aNow },
+          { .mHost = "h", .mPath = aPath, .mKey = "k", .mArrivedAt = aNow },
           aNow));
       return {};
     },
@@ -68,14 +69,14 @@
 {
   BoundRequest request = Bound(aRouter, "/safe/x");
   request.mPrompt = { .mPromptTokens = 9000,
-                      .mParts = { { .mId = 1, .mTokens = 5000 },
-                                  { .mId = 2, .mTokens = 4000 } },
-                      .mShared = 1 };
+                      .mSegments = { { .mId = 1, .mTokens = 5000 },
+                                     { .mId = 2, .mTokens = 4000 } },
+                      .mSharedSegments = 1 };
   return request;
 }
 
 ErrorKind
-BindError(DirectRouter& aRouter, const RequestFacts& aFacts, Millis aNow)
+BindError(DirectRouter& aRouter, const RequestAttributes& aFacts, Millis aNow)
 {
   return boost::leaf::try_handle_all(
     [&]() -> Result<ErrorKind> {
@@ -108,7 +109,7 @@
     const BoundRequest request = BoundSession(router);
     const auto first = router.Place(request, {}, Millis(0));
     if (!silent) {
-      router.OnHeard(*first, Millis(1400));
+      router.OnBytesReceived(*first, Millis(1400));
     }
     const auto next = router.Place(request, { first->mUpstream }, Millis(1500));
     cr_expect(next->mHolderAddress == (silent ? "" : first->mAddress));
@@ -213,7 +214,7 @@
       router.OnEnded(attempt, AttemptOutcome::Failed, now);
     } else if (fate == Fate::Good) {
       step = plan.OnHead(200, now);
-      cr_assert(std::holds_alternative<PassOn>(step));
+      cr_assert(std::holds_alternative<ForwardAnswer>(step));
       router.OnEnded(attempt, AttemptOutcome::Good, now);
     } else {
       if (fate == Fate::CutShort) {
@@ -227,7 +228,7 @@
   }
   played.mAttempts = plan.Attempts();
   played.mCut = std::holds_alternative<CutAnswer>(step);
-  played.mAnswered = std::holds_alternative<PassOn>(step);
+  played.mAnswered = std::holds_alternative<ForwardAnswer>(step);
   if (const auto* refusal = std::get_if<AnswerRefusal>(&step)) {
     const int status = AnswerFor(refusal->mRefusal.mKind).mHttpStatus;
     played.mSaidNotRun = status == 429 || status == 503;
@@ -317,9 +318,15 @@
 Test(directrouter, keys_are_refused_on_a_stale_policy_without_calling_them_bad)
 {
   DirectRouter router = MakeRouter(1);
-  const RequestFacts known{ .mHost = "h", .mPath = "/safe/x", .mKey = "k" };
-  const RequestFacts unknown{ .mHost = "h", .mPath = "/safe/x", .mKey = "q" };
-  const RequestFacts elsewhere{ .mHost = "h", .mPath = "/none/", .mKey = "k" };
+  const RequestAttributes known{ .mHost = "h",
+                                 .mPath = "/safe/x",
+                                 .mKey = "k" };
+  const RequestAttributes unknown{ .mHost = "h",
+                                   .mPath = "/safe/x",
+                                   .mKey = "q" };
+  const RequestAttributes elsewhere{ .mHost = "h",
+                                     .mPath = "/none/",
+                                     .mKey = "k" };
   cr_expect(BindError(router, unknown, Millis(100)) == ErrorKind::BadToken);
   cr_expect(BindError(router, elsewhere, Millis(100)) ==
             ErrorKind::UnknownRoute);
@@ -419,7 +426,8 @@
   PlacedAttempt broken{ .mUpstream = "u0",
                         .mAddress = "a:1",
                         .mBackup = "u1",
-                        .mBackupLife = router.Directory().Find("u1")->mLife };
+                        .mBackupIncarnationNumber =
+                          router.Directory().Find("u1")->mIncarnationNumber };
   cr_expect(router.PlaceAtBackup(bound, broken, Millis(0)).has_value());
   router.Directory().Put(
     { .mId = "u1", .mService = "svc", .mAddress = "a:1", .mLeaving = true });
@@ -469,7 +477,7 @@
   policy.mWorkspaces = { { .mName = "desk", .mKeys = { "k" } } };
   router.SetPolicy(std::make_shared<const RoutePolicy>(std::move(policy)));
   BoundRequest bound = Bound(router, "/resume/x");
-  bound.mPrompt = { .mPromptTokens = 100, .mMostOutput = 100 };
+  bound.mPrompt = { .mPromptTokens = 100, .mMaxOutput = 100 };
   RequestPlan single(router, bound);
   const PlanStep first = single.Begin(Millis(0));
   cr_assert(!std::get<SendRequest>(first).mAttempt.mBackup.empty());
@@ -550,7 +558,8 @@
     auto attempt = router.Place(request, {}, Millis(10));
     cr_assert(attempt.has_value());
     attempt->mBackup = attempt->mUpstream == "u0" ? "u1" : "u0";
-    attempt->mBackupLife = router.Directory().Find(attempt->mBackup)->mLife;
+    attempt->mBackupIncarnationNumber =
+      router.Directory().Find(attempt->mBackup)->mIncarnationNumber;
     if (startsAgain) {
       StartAgain(router, attempt->mBackup, 20);
     }
@@ -611,21 +620,22 @@
 Test(directrouter, what_others_told_is_forgotten_when_nobody_is_heard)
 {
   DirectRouter router = MakeRouter(1);
-  PendingReads reads;
+  PendingPrefill reads;
   reads.Add(0, 5000);
-  router.OnPeerNotes({ .mFrom = "other",
-                       .mSequence = 1,
-                       .mPending = { { .mUpstream = "u0", .mReads = reads } } },
-                     Millis(0));
+  router.OnPeerUpdate(
+    { .mFrom = "other",
+      .mSequence = 1,
+      .mPending = { { .mUpstream = "u0", .mPendingPrefill = reads } } },
+    Millis(0));
   const auto before = router.Place(BoundSession(router), {}, Millis(10));
   cr_assert(before.has_value());
-  cr_expect(before->mReads.mAhead > 5000);
+  cr_expect(before->mPrefillBacklog.mAhead > 5000);
   router.OnEnded(*before, AttemptOutcome::Good, Millis(20));
   const BoundRequest later = Bound(router, "/safe/x", Millis(2500));
   const auto after = router.Place(later, {}, Millis(2500));
   cr_assert(after.has_value());
   cr_expect(router.Peers() == 0);
-  cr_expect(after->mReads.mAhead == 0);
+  cr_expect(after->mPrefillBacklog.mAhead == 0);
 }
 
 /** What one entry sends where is known to the other, and counts there. */
@@ -636,19 +646,19 @@
   const BoundRequest session = BoundSession(one);
   const auto sent = one.Place(session, {}, Millis(0));
   cr_assert(sent.has_value());
-  cr_expect(one.HasNotes());
-  const PeerNotes notes = one.TakeNotes(Millis(0));
-  cr_expect(!one.HasNotes());
+  cr_expect(one.HasPeerUpdate());
+  const PeerNotes notes = one.TakePeerUpdate(Millis(0));
+  cr_expect(!one.HasPeerUpdate());
   cr_assert(notes.mPending.size() == 1 && notes.mSent.size() == 1);
-  cr_expect(notes.mSent[0].mParts == std::vector<uint64_t>{ 1 });
-  other.OnPeerNotes(notes, Millis(5));
+  cr_expect(notes.mSent[0].mSegments == std::vector<uint64_t>{ 1 });
+  other.OnPeerUpdate(notes, Millis(5));
   cr_expect(other.Peers() == 1);
   // The parts are there: only what is the request's own has to be read.
   const auto next = other.Place(session, {}, Millis(10));
   cr_assert(next.has_value());
   cr_expect(next->mUpstream == sent->mUpstream);
   cr_expect(next->mWork.mPrefill == 4000);
-  cr_expect(next->mReads.mAhead == sent->mWork.mPrefill + 4000);
+  cr_expect(next->mPrefillBacklog.mAhead == sent->mWork.mPrefill + 4000);
 }
 
 /** Two others wait in vain at an upstream to which this entry has sent nothing:
@@ -663,14 +673,14 @@
   const std::vector<SilentUpstream> silent{ { .mUpstream = first->mUpstream,
                                               .mSilence = Millis(1200) } };
   for (const char* from : { "one", "two" }) {
-    router.OnPeerNotes({ .mFrom = from, .mSequence = 1, .mSilent = silent },
-                       Millis(2000));
+    router.OnPeerUpdate({ .mFrom = from, .mSequence = 1, .mSilent = silent },
+                        Millis(2000));
   }
   const auto second = router.Place(session, {}, Millis(2010));
   cr_assert(second.has_value());
   cr_expect(second->mUpstream != first->mUpstream);
   router.OnEnded(*second, AttemptOutcome::Withdrawn, Millis(2020));
-  router.OnPeerNotes(
+  router.OnPeerUpdate(
     { .mFrom = "one", .mSequence = 2, .mAnswered = { first->mUpstream } },
     Millis(2030));
   const auto third = router.Place(session, {}, Millis(2040));
@@ -693,7 +703,7 @@
 CrashUnder(DirectRouter& aRouter, const PlacedAttempt& aAttempt, Millis aNow)
 {
   cr_expect(aRouter.OnConnectionLost(aAttempt, aNow));
-  aRouter.OnRefused(aAttempt.mUpstream, aNow);
+  aRouter.OnConnectionRefused(aAttempt.mUpstream, aNow);
   aRouter.OnEnded(aAttempt, AttemptOutcome::Broken, aNow);
   aRouter.Directory().Remove(aAttempt.mUpstream, aNow);
   aRouter.OnDirectoryChanged(aNow);
@@ -718,10 +728,12 @@
   const PlacedAttempt trial = AttemptOf(second.Begin(Millis(200)));
   RequestPlan third(router, BoundPoison(router, Millis(210)));
   cr_expect(std::holds_alternative<HoldRequest>(third.Begin(Millis(210))));
-  cr_expect(std::holds_alternative<HoldRequest>(third.OnHoldOver(Millis(240))));
+  cr_expect(
+    std::holds_alternative<HoldRequest>(third.OnHoldElapsed(Millis(240))));
   cr_expect(!third.MayHaveRun());
   router.OnEnded(trial, AttemptOutcome::Good, Millis(250));
-  cr_expect(std::holds_alternative<SendRequest>(third.OnHoldOver(Millis(270))));
+  cr_expect(
+    std::holds_alternative<SendRequest>(third.OnHoldElapsed(Millis(270))));
 }
 
 Test(requestplan, one_that_crashed_three_upstreams_is_refused_as_not_run)
@@ -740,7 +752,8 @@
   cr_assert(answer != nullptr);
   cr_expect(answer->mRefusal.mKind == ErrorKind::Quarantined);
   cr_expect(answer->mRefusal.mRan == Ran::No);
-  cr_expect(answer->mRefusal.mRetryAfter == router.HeldBack().IdleSpan());
+  cr_expect(answer->mRefusal.mRetryAfter ==
+            router.CrashQuarantine().IdleSpan());
   RequestPlan other(router, Bound(router, "/safe/x", now));
   AttemptOf(other.Begin(now + Millis(1000)));
 }
@@ -775,7 +788,7 @@
   router.Directory().Put(leaving);
   router.OnDirectoryChanged(Millis(110));
   cr_expect(!router.OnConnectionLost(*attempt, Millis(150)));
-  router.OnRefused(attempt->mUpstream, Millis(151));
+  router.OnConnectionRefused(attempt->mUpstream, Millis(151));
   cr_expect(router.TakeCrashes().empty());
 }
 
--- a/tests/unit/retrybudgettest.cpp
+++ b/tests/unit/retrybudgettest.cpp
@@ -81,7 +81,7 @@
   int lost = 0;
   for (const auto& [id, caller] : fleet.Callers()) {
     cr_assert(caller.mIdempotent || caller.mRuns <= 1);
-    lost += caller.mWhole ? 0 : 1;
+    lost += caller.mComplete ? 0 : 1;
   }
   const int running = 60;
   cr_assert_leq(lost, running, "only what ran when they went");
@@ -91,7 +91,7 @@
 {
   for (const double slack : { 0.0, 36.2, 54.0, 246.0, 1000.0 }) {
     for (const size_t entries : { 1U, 4U, 5U, 31U, 103U, 340U }) {
-      const double each = RetriesOfEntry(slack, entries);
+      const double each = RetriesPerEntry(slack, entries);
       cr_expect(each * static_cast<double>(entries) <= slack + 1e-9,
                 "%g of %zu entries",
                 slack,
@@ -102,6 +102,6 @@
 
 Test(retrybudget, an_entry_that_knows_of_no_others_yet_saves_one)
 {
-  cr_expect(RetriesOfEntry(246, 0) == 1);
-  cr_expect(RetriesOfEntry(0, 0) == 0);
+  cr_expect(RetriesPerEntry(246, 0) == 1);
+  cr_expect(RetriesPerEntry(0, 0) == 0);
 }
--- a/tests/unit/sharedtierstest.cpp
+++ b/tests/unit/sharedtierstest.cpp
@@ -63,12 +63,12 @@
   bool Takes(const char* aPath, uint32_t aTokens, Millis aNow)
   {
     mRouter.ConfirmPolicy(aNow);
-    const RequestFacts facts{ .mHost = "h",
-                              .mPath = aPath,
-                              .mArrived = aNow,
-                              .mPatience = Millis(6000),
-                              .mPrompt = { .mPromptTokens = aTokens,
-                                           .mMostOutput = 40 } };
+    const RequestAttributes facts{ .mHost = "h",
+                                   .mPath = aPath,
+                                   .mArrivedAt = aNow,
+                                   .mCallerTimeout = Millis(6000),
+                                   .mPrompt = { .mPromptTokens = aTokens,
+                                                .mMaxOutput = 40 } };
     return boost::leaf::try_handle_all(
       [&]() -> Result<bool> {
         BOOST_LEAF_AUTO(bound, mRouter.Bind(facts, aNow));
@@ -96,8 +96,8 @@
   size_t refused = 0;
   for (Millis now(1000); now < kSpan; now += kStep) {
     if (now.Count() % kNotesPause.Count() == 0) {
-      quiet.mRouter.OnPeerNotes(busy.mRouter.TakeNotes(now), now);
-      busy.mRouter.OnPeerNotes(quiet.mRouter.TakeNotes(now), now);
+      quiet.mRouter.OnPeerUpdate(busy.mRouter.TakePeerUpdate(now), now);
+      busy.mRouter.OnPeerUpdate(quiet.mRouter.TakePeerUpdate(now), now);
     }
     // Engines that are full: what the busy entry sends does not start.
     if (!busy.Takes("/quote/x", 2400, now)) {
--- a/tests/unit/startmetertest.cpp
+++ b/tests/unit/startmetertest.cpp
@@ -103,7 +103,7 @@
   }
   cr_expect(meter.Refuse(kTarget, kLimit, 1, Millis(900)));
   for (int each = 0; each < 100; ++each) {
-    meter.OnGivenUp(Millis(0));
+    meter.OnAbandoned(Millis(0));
   }
   cr_expect(!meter.Refuse(kTarget, kLimit, 1, Millis(900)));
 }
