--- a/tests/unit/tablewatchtest.cpp
+++ b/tests/unit/tablewatchtest.cpp
@@ -47,12 +47,12 @@
 };
 
 class TableModel
-  : private ModelChance
+  : private ModelRandom
   , private ModelEvents
 {
 public:
   TableModel(uint32_t aSeed, Telling aTelling)
-    : ModelChance(aSeed)
+    : ModelRandom(aSeed)
     , mTelling(aTelling)
     , mDrift(static_cast<int64_t>(Draw(201)) - 100)
   {
--- a/tests/unit/upstreamdirectorytest.cpp
+++ b/tests/unit/upstreamdirectorytest.cpp
@@ -247,7 +247,7 @@
 {
   const UpstreamId id = aUpstream.mId;
   aDirectory.Put(std::move(aUpstream));
-  return aDirectory.Find(id)->mLife;
+  return aDirectory.Find(id)->mIncarnationNumber;
 }
 
 ListedUpstream
@@ -302,7 +302,7 @@
   directory.Remove("a", Millis(5000));
   cr_expect(directory.Find("a") != nullptr);
   directory.ReplaceAll({ Born(4000, 1) }, Millis(5000));
-  cr_expect(directory.Find("a")->mLife != first);
+  cr_expect(directory.Find("a")->mIncarnationNumber != first);
   cr_expect(!directory.Expire());
 }
 
--- a/tests/unit/upstreamworktest.cpp
+++ b/tests/unit/upstreamworktest.cpp
@@ -13,7 +13,7 @@
   work.OnReport({ .mRunning = 5, .mWaiting = 2, .mSlots = 16 }, Millis(110));
   cr_expect(work.Busy(Millis(110)) == 7);
   work.OnSent(attempt, Millis(120));
-  work.OnSentByOther(Millis(130));
+  work.OnSentByPeer(Millis(130));
   cr_expect(work.Busy(Millis(140)) == 9);
   work.OnEnded(attempt, false, Millis(150));
   cr_expect(work.Busy(Millis(160)) == 8);
--- a/tests/unit/virtualcaller.h
+++ b/tests/unit/virtualcaller.h
@@ -24,18 +24,18 @@
 struct VirtualCaller
 {
   bool mIdempotent = true;
-  Millis mArrived;
+  Millis mArrivedAt;
   Millis mDeadline;
   bool mHead = false;
   std::string mData{};
-  bool mWhole = false;
-  bool mLeft = false;
+  bool mComplete = false;
+  bool mDisconnected = false;
   std::optional<Refusal> mRefusal{};
-  Millis mEnded{};
+  Millis mEndedAt{};
   /** Times that an upstream began to work on it. */
   int mRuns = 0;
 
-  bool Ended() const { return mWhole || mRefusal; }
+  bool Ended() const { return mComplete || mRefusal; }
 };
 
 /** How the upstreams of a VirtualFleet behave; chances from 0 to 1. */
@@ -43,7 +43,7 @@
 {
   double mCrash = 0;
   double mRefuse = 0;
-  Millis mMostPause{ 100 };
+  Millis mMaxPause{ 100 };
 };
 
 } // namespace trefoilarch
--- a/tests/unit/virtualfleet.h
+++ b/tests/unit/virtualfleet.h
@@ -88,7 +88,7 @@
   {
     const RequestId id{ mRandom(), mRandom() };
     mCallers[id] = { .mIdempotent = aIdempotent,
-                     .mArrived = mNow,
+                     .mArrivedAt = mNow,
                      .mDeadline = mNow + aDeadline };
     EntryRequest request;
     request.mId = id;
@@ -109,7 +109,7 @@
   {
     VirtualCaller& caller = mCallers.at(aId);
     if (!caller.Ended()) {
-      caller.mLeft = true;
+      caller.mDisconnected = true;
       CarryOut(mEntry->OnCallerLeft(aId, mNow));
     }
   }
@@ -366,7 +366,7 @@
   {
     VirtualCaller& caller = mCallers.at(aId);
     Demand(!caller.Ended(), "something after the final answer");
-    Demand(!caller.mLeft, "something for a caller that left");
+    Demand(!caller.mDisconnected, "something for a caller that left");
     return caller;
   }
 
@@ -388,15 +388,15 @@
   void Do(AnswerEnd& aAction)
   {
     VirtualCaller& caller = CallerOf(aAction.mId);
-    caller.mWhole = true;
-    caller.mEnded = mNow;
+    caller.mComplete = true;
+    caller.mEndedAt = mNow;
   }
 
   void Do(AnswerError& aAction)
   {
     VirtualCaller& caller = CallerOf(aAction.mId);
     caller.mRefusal = aAction.mRefusal;
-    caller.mEnded = mNow;
+    caller.mEndedAt = mNow;
   }
 
   void CarryOut(Host& aHost, SidecarActions aActions)
@@ -444,7 +444,7 @@
 
   void Produce(Host& aHost, AttemptKey aKey, uint64_t aPart)
   {
-    const Millis when = mNow + Chance(EngineOf(aHost).mMostPause.Count());
+    const Millis when = mNow + Chance(EngineOf(aHost).mMaxPause.Count());
     At(when, [this, &aHost, aKey, aPart, boots = aHost.mBoots] {
       if (aHost.mBoots != boots || !aHost.mCalls.contains(aKey)) {
         return;
--- a/tests/unit/workplacementtest.cpp
+++ b/tests/unit/workplacementtest.cpp
@@ -52,17 +52,18 @@
 Session(uint64_t aSession, uint64_t aOwn)
 {
   return PromptShape{ .mPromptTokens = 9000,
-                      .mMostOutput = 200,
-                      .mParts = { { .mId = 1, .mTokens = 2500 },
-                                  { .mId = 100 + aSession, .mTokens = 3800 },
-                                  { .mId = 100000 + aOwn, .mTokens = 2700 } },
-                      .mShared = 2 };
+                      .mMaxOutput = 200,
+                      .mSegments = { { .mId = 1, .mTokens = 2500 },
+                                     { .mId = 100 + aSession, .mTokens = 3800 },
+                                     { .mId = 100000 + aOwn,
+                                       .mTokens = 2700 } },
+                      .mSharedSegments = 2 };
 }
 
 /** What is known of engines that read 80 prompt tokens in a millisecond. */
-constexpr EngineFacts kFacts{ .mReadPerMs = 80 };
+constexpr EngineInfo kFacts{ .mPrefillPerMs = 80 };
 
-Placed
+PlacementChoice
 Choose(WorkPlacement& aPlacement,
        const std::vector<PlacementCandidate>& aCandidates,
        const PromptShape& aPrompt,
@@ -78,24 +79,24 @@
      const PromptShape& aPrompt,
      Millis aNow)
 {
-  aPlacement.Memory().OnSent(
+  aPlacement.PrefixCaches().OnSent(
     aUpstream, aPrompt.SharedIds(), aPrompt.mPromptTokens, aNow);
 }
 
 /** Nothing is known of pauses. */
-const LanePlaces&
-PlacesFor(Lanes& aLanes,
-          const Route& aRoute,
-          const Engines& aEngines,
-          Millis aNow,
-          uint32_t aSlots = 0)
+const PoolPositions&
+PositionsFor(DedicatedPools& aLanes,
+             const Route& aRoute,
+             const Engines& aEngines,
+             Millis aNow,
+             uint32_t aSlots = 0)
 {
   static const PauseRecord kNone;
-  return aLanes.PlacesFor(
+  return aLanes.PositionsFor(
     "llm",
     aRoute,
     aEngines.Listed(),
-    { .mPauses = kNone, .mReadPerMs = 80, .mSlots = aSlots },
+    { .mPauses = kNone, .mPrefillPerMs = 80, .mSlots = aSlots },
     aNow);
 }
 
@@ -113,7 +114,7 @@
 
 /** The engines of the route's own lane. */
 std::set<UpstreamId>
-OwnLane(Lanes& aLanes,
+OwnLane(DedicatedPools& aLanes,
         const Route& aRoute,
         const Engines& aEngines,
         Millis aNow,
@@ -121,7 +122,7 @@
 {
   std::set<UpstreamId> own;
   for (const auto& [id, place] :
-       PlacesFor(aLanes, aRoute, aEngines, aNow, aSlots)) {
+       PositionsFor(aLanes, aRoute, aEngines, aNow, aSlots)) {
     if (place.mDistance == 0) {
       own.insert(id);
     }
@@ -158,8 +159,9 @@
   for (size_t each = 0; each < all.size(); ++each) {
     const bool inside = each < aLane;
     const size_t edge = inside ? aLane - each - 1 : each - aLane;
-    all[each].mLane = { .mDistance = inside ? 0U : 1U,
-                        .mFromEdge = static_cast<uint32_t>(edge) };
+    all[each].mPoolPosition = { .mDistance = inside ? 0U : 1U,
+                                .mBoundaryDistance =
+                                  static_cast<uint32_t>(edge) };
   }
   return all;
 }
@@ -198,11 +200,11 @@
   const auto choose = [&](int64_t aNow) {
     return Choose(placement, engines.Candidates(), Session(5, 1), Millis(aNow));
   };
-  const Placed usual = choose(0);
+  const PlacementChoice usual = choose(0);
   cr_expect(usual.mHolder.empty(), "nobody else has it");
   const UpstreamId other = usual.mUpstream == "e3" ? "e4" : "e3";
   Send(placement, other, Session(5, 2), Millis(100));
-  const Placed back = choose(2000);
+  const PlacementChoice back = choose(2000);
   cr_expect(back.mUpstream == usual.mUpstream);
   cr_expect(back.mHolder == other);
   Send(placement, usual.mUpstream, Session(5, 3), Millis(3000));
@@ -224,7 +226,7 @@
     const size_t busy = std::stoul(usual.mUpstream.substr(1));
     // Prompts of 240 ms of this entry wait there, and as much of others.
     engines.mWork[busy].OnSent({ .mPrefill = 19200 }, Millis(0));
-    engines.mWork[busy].OnHeard(Millis(100));
+    engines.mWork[busy].OnBytesReceived(Millis(100));
     const auto next =
       Choose(placement, engines.Candidates(), Session(5, 2), Millis(100));
     cr_expect((next.mUpstream != usual.mUpstream) == known);
@@ -274,7 +276,7 @@
   engines.mWork[0].OnSent({}, Millis(0));
   int avoided = 0;
   for (int each = 0; each < 50; ++each) {
-    const PromptShape prompt{ .mPromptTokens = 500, .mMostOutput = 100 };
+    const PromptShape prompt{ .mPromptTokens = 500, .mMaxOutput = 100 };
     const auto placed =
       Choose(placement, engines.Candidates(), prompt, Millis(2000));
     avoided += placed.mUpstream == "e1" ? 1 : 0;
@@ -305,10 +307,10 @@
 Test(lanes, long_prompts_and_strict_streams_share_no_engine)
 {
   const Engines engines(12);
-  Lanes lanes;
+  DedicatedPools lanes;
   const Route strict = MakeRoute("strict", 200);
   const Route longer = MakeRoute("longer", 800);
-  const PromptShape small{ .mPromptTokens = 700, .mMostOutput = 900 };
+  const PromptShape small{ .mPromptTokens = 700, .mMaxOutput = 900 };
   for (uint64_t each = 0; each < 300; ++each) {
     lanes.OnRequest("llm", longer, Session(each, each), At(each * 10));
     lanes.OnRequest("llm", strict, small, At(each * 10));
@@ -325,12 +327,12 @@
 Test(lanes, routes_between_have_a_lane_of_their_own)
 {
   const Engines engines(24);
-  Lanes lanes;
+  DedicatedPools lanes;
   const Route strict = MakeRoute("strict", 200);
   const Route middle = MakeRoute("middle", 300);
   const Route longer = MakeRoute("longer", 800);
-  const PromptShape small{ .mPromptTokens = 700, .mMostOutput = 900 };
-  const PromptShape medium{ .mPromptTokens = 2400, .mMostOutput = 90 };
+  const PromptShape small{ .mPromptTokens = 700, .mMaxOutput = 900 };
+  const PromptShape medium{ .mPromptTokens = 2400, .mMaxOutput = 90 };
   for (uint64_t each = 0; each < 300; ++each) {
     lanes.OnRequest("llm", longer, Session(each, each), At(each * 10));
     lanes.OnRequest("llm", middle, medium, At(each * 10));
@@ -342,7 +344,7 @@
                      OwnLane(lanes, strict, engines, now).size();
   cr_expect(all == 24);
   uint32_t farthest = 0;
-  for (const auto& [id, place] : PlacesFor(lanes, strict, engines, now)) {
+  for (const auto& [id, place] : PositionsFor(lanes, strict, engines, now)) {
     farthest = std::max(farthest, place.mDistance);
   }
   cr_expect(farthest == 2);
@@ -351,10 +353,10 @@
 Test(lanes, engines_tell_how_far_they_are_from_the_boundary)
 {
   const Engines engines(24);
-  Lanes lanes;
+  DedicatedPools lanes;
   const Route strict = MakeRoute("strict", 200);
   const Route longer = MakeRoute("longer", 800);
-  const PromptShape small{ .mPromptTokens = 700, .mMostOutput = 900 };
+  const PromptShape small{ .mPromptTokens = 700, .mMaxOutput = 900 };
   for (uint64_t each = 0; each < 300; ++each) {
     lanes.OnRequest("llm", longer, Session(each, each), At(each * 10));
     lanes.OnRequest("llm", strict, small, At(each * 10));
@@ -362,8 +364,8 @@
   std::multiset<uint32_t> inside;
   std::multiset<uint32_t> outside;
   for (const auto& [id, place] :
-       PlacesFor(lanes, strict, engines, Millis(3000))) {
-    (place.mDistance == 0 ? inside : outside).insert(place.mFromEdge);
+       PositionsFor(lanes, strict, engines, Millis(3000))) {
+    (place.mDistance == 0 ? inside : outside).insert(place.mBoundaryDistance);
   }
   for (const auto& side : { inside, outside }) {
     uint32_t next = 0;
@@ -377,23 +379,23 @@
 Test(lanes, routes_that_are_alike_share_all_engines)
 {
   const Engines engines(6);
-  Lanes lanes;
+  DedicatedPools lanes;
   const Route one = MakeRoute("one", 200);
   const Route other = MakeRoute("other", 300);
   for (uint64_t each = 0; each < 100; ++each) {
     lanes.OnRequest("llm", one, Session(each, each), At(each));
     lanes.OnRequest("llm", other, Session(each, each), At(each));
   }
-  cr_expect(PlacesFor(lanes, one, engines, Millis(100)).empty());
+  cr_expect(PositionsFor(lanes, one, engines, Millis(100)).empty());
 }
 
 Test(lanes, the_boundary_stays_while_demand_wavers)
 {
   const Engines engines(12);
-  Lanes lanes;
+  DedicatedPools lanes;
   const Route strict = MakeRoute("strict", 200);
   const Route longer = MakeRoute("longer", 800);
-  const PromptShape small{ .mPromptTokens = 700, .mMostOutput = 900 };
+  const PromptShape small{ .mPromptTokens = 700, .mMaxOutput = 900 };
   std::set<size_t> sizes;
   for (uint64_t each = 0; each < 2000; ++each) {
     if (each % 10 < 5 + (each / 400) % 2) {
@@ -410,10 +412,10 @@
 Test(lanes, boundaries_move_for_all_routes_at_once)
 {
   const Engines engines(24);
-  Lanes lanes;
+  DedicatedPools lanes;
   const Route strict = MakeRoute("strict", 200);
   const Route longer = MakeRoute("longer", 800);
-  const PromptShape small{ .mPromptTokens = 700, .mMostOutput = 900 };
+  const PromptShape small{ .mPromptTokens = 700, .mMaxOutput = 900 };
   std::set<size_t> sizes;
   for (uint64_t each = 0; each < 3000; ++each) {
     // The demand for long prompts comes and goes.
@@ -443,7 +445,7 @@
 
 Test(sharedparts, the_last_part_of_one_off_prompts_is_their_own)
 {
-  SharedParts parts;
+  SharedSegmentDetector parts;
   size_t shared = 0;
   for (uint64_t each = 0; each < 300; ++each) {
     shared = parts.OnPrompt("once", Session(each % 20, each));
@@ -453,7 +455,7 @@
 
 Test(sharedparts, a_last_part_that_comes_again_is_a_sessions)
 {
-  SharedParts parts;
+  SharedSegmentDetector parts;
   size_t shared = 0;
   for (uint64_t each = 0; each < 300; ++each) {
     shared = parts.OnPrompt("turns", Session(each % 20, each % 20));
@@ -466,7 +468,7 @@
 PromptShape
 Small()
 {
-  return PromptShape{ .mPromptTokens = 700, .mMostOutput = 900 };
+  return PromptShape{ .mPromptTokens = 700, .mMaxOutput = 900 };
 }
 
 } // namespace
@@ -478,7 +480,7 @@
   const Engines engines(160);
   const Route strict = MakeRoute("strict", 200);
   const Route longer = MakeRoute("longer", 800);
-  std::vector<Lanes> entries(40);
+  std::vector<DedicatedPools> entries(40);
   for (uint64_t each = 0; each < entries.size(); ++each) {
     for (uint64_t request = 0; request < 20; ++request) {
       const Millis now = At(request * 100);
@@ -492,14 +494,14 @@
   for (uint64_t from = 0; from < entries.size(); ++from) {
     for (uint64_t to = 0; to < entries.size(); ++to) {
       if (from != to) {
-        entries[to].OnDemands(
+        entries[to].OnPeerDemands(
           "entry-" + std::to_string(from), entries[from].Demands(now), now);
       }
     }
   }
   const auto first = OwnLane(entries[0], strict, engines, now);
   cr_expect(first.size() > 19 && first.size() < 120);
-  for (Lanes& each : entries) {
+  for (DedicatedPools& each : entries) {
     cr_expect(OwnLane(each, strict, engines, now) == first);
   }
 }
@@ -509,7 +511,7 @@
 Test(lanes, the_most_urgent_have_engines_enough_where_there_are_too_few)
 {
   const Engines engines(160);
-  Lanes lanes;
+  DedicatedPools lanes;
   Route strict = MakeRoute("strict", 200);
   strict.mPriority = 0;
   Route longer = MakeRoute("longer", 800);
@@ -541,11 +543,11 @@
     engines.mWork[each].OnReport(
       { .mRunning = 15, .mWaiting = waiting, .mSlots = 16 }, Millis(0));
   }
-  const EngineFacts facts{ .mReadPerMs = 80,
-                           .mAnswerMs = 1000,
-                           .mPeersHeard = true,
-                           .mUnheardPerMs = 0.02 };
-  const PromptShape plain{ .mPromptTokens = 700, .mMostOutput = 500 };
+  const EngineInfo facts{ .mPrefillPerMs = 80,
+                          .mAnswerMs = 1000,
+                          .mPeersReporting = true,
+                          .mUnreportedPerMs = 0.02 };
+  const PromptShape plain{ .mPromptTokens = 700, .mMaxOutput = 500 };
   std::map<UpstreamId, int> counts;
   for (uint64_t entry = 0; entry < 100; ++entry) {
     WorkPlacement placement({ .mDataCentre = "here", .mSeed = entry });
@@ -568,12 +570,12 @@
     engines.mWork[each].OnReport(
       { .mRunning = 16, .mWaiting = each == 7 ? 0U : 20U }, Millis(0));
   }
-  const EngineFacts facts{ .mReadPerMs = 80,
-                           .mAnswerMs = 1000,
-                           .mPeersHeard = true,
-                           .mHeardPerMs = 0.02,
-                           .mTellMs = 20 };
-  const PromptShape plain{ .mPromptTokens = 700, .mMostOutput = 500 };
+  const EngineInfo facts{ .mPrefillPerMs = 80,
+                          .mAnswerMs = 1000,
+                          .mPeersReporting = true,
+                          .mReportedPerMs = 0.02,
+                          .mReportIntervalMs = 20 };
+  const PromptShape plain{ .mPromptTokens = 700, .mMaxOutput = 500 };
   for (uint64_t entry = 0; entry < 100; ++entry) {
     WorkPlacement placement({ .mDataCentre = "here", .mSeed = entry });
     cr_expect(
