--- a/src/libtrefoilarch/crashdetector.cpp
+++ b/src/libtrefoilarch/crashdetector.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 bool
-CrashDetector::OnConnectionLost(const UpstreamStart& aStart,
+CrashDetector::OnConnectionLost(const UpstreamIncarnation& aStart,
                                 const RequestFingerprint& aRequest,
                                 Millis aNow)
 {
@@ -38,7 +38,7 @@
 }
 
 CrashDetector::Suspects
-CrashDetector::OnEnded(const UpstreamStart& aStart, Millis aNow)
+CrashDetector::OnEnded(const UpstreamIncarnation& aStart, Millis aNow)
 {
   const auto place = mWatched.find(aStart);
   if (place == mWatched.end() || place->second.mEnded) {
@@ -60,13 +60,13 @@
 }
 
 void
-CrashDetector::OnLeaving(const UpstreamStart& aStart)
+CrashDetector::OnLeaving(const UpstreamIncarnation& aStart)
 {
   mWatched.erase(aStart);
 }
 
 void
-CrashDetector::OnListening(const UpstreamStart& aStart)
+CrashDetector::OnListening(const UpstreamIncarnation& aStart)
 {
   const auto place = mWatched.find(aStart);
   if (place != mWatched.end()) {
@@ -75,7 +75,7 @@
 }
 
 bool
-CrashDetector::IsCrashSuspected(const UpstreamStart& aStart) const
+CrashDetector::IsCrashSuspected(const UpstreamIncarnation& aStart) const
 {
   const auto place = mWatched.find(aStart);
   return place != mWatched.end() && !place->second.mEnded &&
--- a/src/libtrefoilarch/crashdetector.h
+++ b/src/libtrefoilarch/crashdetector.h
@@ -26,7 +26,7 @@
    * whole. True where that start of the upstream is known to have crashed: the
    * request is one more suspect.
    */
-  bool OnConnectionLost(const UpstreamStart& aStart,
+  bool OnConnectionLost(const UpstreamIncarnation& aStart,
                         const RequestFingerprint& aRequest,
                         Millis aNow);
 
@@ -34,16 +34,16 @@
    * That start of the upstream is over. Returns the suspects, none where
    * nothing broke there lately.
    */
-  Suspects OnEnded(const UpstreamStart& aStart, Millis aNow);
+  Suspects OnEnded(const UpstreamIncarnation& aStart, Millis aNow);
 
   /** It was told to leave: its end says nothing. */
-  void OnLeaving(const UpstreamStart& aStart);
+  void OnLeaving(const UpstreamIncarnation& aStart);
 
   /** Somebody listens at its address: it may be another process by now. */
-  void OnListening(const UpstreamStart& aStart);
+  void OnListening(const UpstreamIncarnation& aStart);
 
   /** Whether a connection broke there, and it is being found out why. */
-  bool IsCrashSuspected(const UpstreamStart& aStart) const;
+  bool IsCrashSuspected(const UpstreamIncarnation& aStart) const;
 
   /** Forgets what is too old to explain an end. */
   void Expire(Millis aNow);
@@ -62,7 +62,7 @@
     Millis mChangedAt;
   };
 
-  std::map<UpstreamStart, Watched> mWatched;
+  std::map<UpstreamIncarnation, Watched> mWatched;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/crashevidence.cpp
+++ b/src/libtrefoilarch/crashevidence.cpp
@@ -10,7 +10,7 @@
 }
 
 bool
-CrashEvidence::Add(const UpstreamStart& aStart,
+CrashEvidence::Add(const UpstreamIncarnation& aStart,
                    const RequestFingerprint& aRequest,
                    Millis aAt)
 {
@@ -23,7 +23,7 @@
   crash->second.mSuspects.insert(aRequest);
   crash->second.mAt = fresh ? aAt : std::min(crash->second.mAt, aAt);
   mPairs++;
-  while (mPairs > mOptions.mMostPairs && mCrashes.size() > 1) {
+  while (mPairs > mOptions.mMaxPairs && mCrashes.size() > 1) {
     DropOldest();
   }
   return true;
@@ -54,8 +54,8 @@
 }
 
 size_t
-CrashEvidence::CrashesWithout(const RequestFingerprint& aRequest,
-                              const IsExplanation& aExplains) const
+CrashEvidence::UnexplainedCrashes(const RequestFingerprint& aRequest,
+                                  const IsExplanation& aExplains) const
 {
   const auto place = mSuspects.find(aRequest);
   if (place == mSuspects.end()) {
@@ -73,10 +73,10 @@
     std::count_if(crashes.begin(), crashes.end(), counts));
 }
 
-std::vector<UpstreamStart>
-CrashEvidence::StartsOf(const RequestFingerprint& aRequest) const
+std::vector<UpstreamIncarnation>
+CrashEvidence::IncarnationsOf(const RequestFingerprint& aRequest) const
 {
-  std::vector<UpstreamStart> starts;
+  std::vector<UpstreamIncarnation> starts;
   const auto place = mSuspects.find(aRequest);
   if (place != mSuspects.end()) {
     for (const auto& [start, at] : place->second.mCrashes) {
@@ -87,7 +87,7 @@
 }
 
 Millis
-CrashEvidence::Since(const RequestFingerprint& aRequest) const
+CrashEvidence::FirstCrashAt(const RequestFingerprint& aRequest) const
 {
   const auto place = mSuspects.find(aRequest);
   if (place == mSuspects.end() || place->second.mCrashes.empty()) {
@@ -105,31 +105,31 @@
 void
 CrashEvidence::Expire(Millis aNow)
 {
-  std::vector<UpstreamStart> old;
+  std::vector<UpstreamIncarnation> old;
   for (const auto& [start, crash] : mCrashes) {
-    if (aNow - crash.mAt > mOptions.mSpan) {
+    if (aNow - crash.mAt > mOptions.mRetention) {
       old.push_back(start);
     }
   }
-  for (const UpstreamStart& each : old) {
+  for (const UpstreamIncarnation& each : old) {
     Drop(each);
   }
   std::erase_if(mSuspects, [&](const auto& aEntry) {
     const Suspect& suspect = aEntry.second;
     return suspect.mCrashes.empty() &&
-           aNow - suspect.mClearedAt > mOptions.mSpan;
+           aNow - suspect.mClearedAt > mOptions.mRetention;
   });
 }
 
 size_t
-CrashEvidence::Total(const RequestFingerprint& aRequest) const
+CrashEvidence::TotalCrashes(const RequestFingerprint& aRequest) const
 {
   const auto place = mSuspects.find(aRequest);
   return place == mSuspects.end() ? 0 : place->second.mCrashes.size();
 }
 
 void
-CrashEvidence::Drop(const UpstreamStart& aStart)
+CrashEvidence::Drop(const UpstreamIncarnation& aStart)
 {
   const auto crash = mCrashes.find(aStart);
   for (const RequestFingerprint& each : crash->second.mSuspects) {
@@ -151,7 +151,7 @@
     mCrashes.begin(), mCrashes.end(), [](const auto& aOne, const auto& aTwo) {
       return aOne.second.mAt < aTwo.second.mAt;
     });
-  Drop(UpstreamStart(oldest->first));
+  Drop(UpstreamIncarnation(oldest->first));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/crashevidence.h
+++ b/src/libtrefoilarch/crashevidence.h
@@ -17,9 +17,9 @@
 struct CrashEvidenceOptions
 {
   /** A crash counts for so long. */
-  Millis mSpan{ 3600000 };
+  Millis mRetention{ 3600000 };
   /** Pairs of request and crash; the oldest go first. */
-  size_t mMostPairs = 4096;
+  size_t mMaxPairs = 4096;
 };
 
 /**
@@ -34,30 +34,31 @@
   explicit CrashEvidence(CrashEvidenceOptions aOptions = {});
 
   /** True where that was not known. */
-  bool Add(const UpstreamStart& aStart,
+  bool Add(const UpstreamIncarnation& aStart,
            const RequestFingerprint& aRequest,
            Millis aAt);
   /** The request got a whole answer at that instant. */
   void Clear(const RequestFingerprint& aRequest, Millis aAt);
 
   /** Crashes that the request was at. */
-  size_t Total(const RequestFingerprint& aRequest) const;
+  size_t TotalCrashes(const RequestFingerprint& aRequest) const;
   using IsExplanation = std::function<bool(const RequestFingerprint&)>;
   /** Those at which no other request was that explains them. */
-  size_t CrashesWithout(const RequestFingerprint& aRequest,
-                        const IsExplanation& aExplains) const;
+  size_t UnexplainedCrashes(const RequestFingerprint& aRequest,
+                            const IsExplanation& aExplains) const;
   /** The upstreams that crashed while the request was there. */
-  std::vector<UpstreamStart> StartsOf(const RequestFingerprint& aRequest) const;
+  std::vector<UpstreamIncarnation> IncarnationsOf(
+    const RequestFingerprint& aRequest) const;
 
   /** The first of them all; 0 for none. */
-  Millis Since(const RequestFingerprint& aRequest) const;
+  Millis FirstCrashAt(const RequestFingerprint& aRequest) const;
 
   void Expire(Millis aNow);
 
 private:
   struct Suspect
   {
-    std::map<UpstreamStart, Millis> mCrashes;
+    std::map<UpstreamIncarnation, Millis> mCrashes;
     /** What is told later of crashes before that is void. */
     Millis mClearedAt;
   };
@@ -67,12 +68,12 @@
     Millis mAt;
   };
 
-  void Drop(const UpstreamStart& aStart);
+  void Drop(const UpstreamIncarnation& aStart);
   void DropOldest();
 
   CrashEvidenceOptions mOptions;
   std::unordered_map<RequestFingerprint, Suspect> mSuspects;
-  std::map<UpstreamStart, Crash> mCrashes;
+  std::map<UpstreamIncarnation, Crash> mCrashes;
   size_t mPairs = 0;
 };
 
--- a/src/libtrefoilarch/crashnews.h
+++ b/src/libtrefoilarch/crashnews.h
@@ -12,7 +12,7 @@
 /** An upstream's crash and requests that broke with it at one entry. */
 struct CrashReport
 {
-  UpstreamStart mStart;
+  UpstreamIncarnation mIncarnation;
   std::vector<RequestFingerprint> mSuspects;
   /** Since the crash. */
   Millis mAge;
@@ -30,7 +30,7 @@
 };
 
 /** A request in quarantine. */
-struct HeldWord
+struct QuarantineReport
 {
   RequestFingerprint mRequest;
   /** Since the first of the crashes that speak against it. */
@@ -38,36 +38,36 @@
   /** Since a caller last sent it. */
   Millis mIdleFor;
 
-  bool operator==(const HeldWord&) const = default;
+  bool operator==(const QuarantineReport&) const = default;
 };
 
 /** What entries tell each other of requests that may crash upstreams. Each
  * part may be lost, doubled or late. */
-struct CrashNews
+struct CrashUpdate
 {
   std::vector<CrashReport> mReports;
   /** Got a whole answer, or were let go by an operator. */
   std::vector<AgedRequest> mCleared;
   /** Suspects that have just been sent to an upstream. */
-  std::vector<RequestFingerprint> mTrials;
-  std::vector<HeldWord> mQuarantined;
+  std::vector<RequestFingerprint> mProbes;
+  std::vector<QuarantineReport> mQuarantined;
 
   bool IsEmpty() const
   {
-    return mReports.empty() && mCleared.empty() && mTrials.empty() &&
+    return mReports.empty() && mCleared.empty() && mProbes.empty() &&
            mQuarantined.empty();
   }
   /** Requests that are named in it, for its size as a message. */
   size_t Size() const
   {
-    size_t size = mCleared.size() + mTrials.size() + mQuarantined.size();
+    size_t size = mCleared.size() + mProbes.size() + mQuarantined.size();
     for (const CrashReport& each : mReports) {
       size += 2 + each.mSuspects.size();
     }
     return size;
   }
 
-  bool operator==(const CrashNews&) const = default;
+  bool operator==(const CrashUpdate&) const = default;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/crashnewsparts.cpp
+++ b/src/libtrefoilarch/crashnewsparts.cpp
@@ -14,15 +14,15 @@
 
 } // namespace
 
-CrashNewsParts::CrashNewsParts(CrashNews aNews)
+CrashUpdateParts::CrashUpdateParts(CrashUpdate aNews)
 {
-  for (const RequestFingerprint& each : aNews.mTrials) {
-    Room(1).mTrials.push_back(each);
+  for (const RequestFingerprint& each : aNews.mProbes) {
+    Room(1).mProbes.push_back(each);
   }
   for (const AgedRequest& each : aNews.mCleared) {
     Room(1).mCleared.push_back(each);
   }
-  for (const HeldWord& each : aNews.mQuarantined) {
+  for (const QuarantineReport& each : aNews.mQuarantined) {
     Room(1).mQuarantined.push_back(each);
   }
   for (CrashReport& each : aNews.mReports) {
@@ -31,7 +31,7 @@
 }
 
 void
-CrashNewsParts::Add(CrashReport aReport)
+CrashUpdateParts::Add(CrashReport aReport)
 {
   const auto suspects = std::exchange(aReport.mSuspects, {});
   CrashReport part = aReport;
@@ -47,8 +47,8 @@
   }
 }
 
-CrashNews&
-CrashNewsParts::Room(size_t aSize)
+CrashUpdate&
+CrashUpdateParts::Room(size_t aSize)
 {
   if (mParts.empty() || mParts.back().Size() + aSize > kMostNamed) {
     mParts.emplace_back();
--- a/src/libtrefoilarch/crashnewsparts.h
+++ b/src/libtrefoilarch/crashnewsparts.h
@@ -8,19 +8,19 @@
 namespace trefoilarch {
 
 /** Puts what is to be told into messages of which each fits a datagram. */
-class CrashNewsParts
+class CrashUpdateParts
 {
 public:
-  explicit CrashNewsParts(CrashNews aNews);
+  explicit CrashUpdateParts(CrashUpdate aNews);
 
-  std::vector<CrashNews> Take() { return std::move(mParts); }
+  std::vector<CrashUpdate> Take() { return std::move(mParts); }
 
 private:
   void Add(CrashReport aReport);
   /** A part that has room for so many requests. */
-  CrashNews& Room(size_t aSize);
+  CrashUpdate& Room(size_t aSize);
 
-  std::vector<CrashNews> mParts;
+  std::vector<CrashUpdate> mParts;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/directcrashes.cpp
+++ b/src/libtrefoilarch/directcrashes.cpp
@@ -10,7 +10,7 @@
 DirectRouter::RecordAttempt(const BoundRequest& aRequest, Millis aNow)
 {
   mQuarantine.OnSent(aRequest.mFingerprint, aNow);
-  if (mQuarantine.HasNews()) {
+  if (mQuarantine.HasUpdate()) {
     mOptions.mOnCrashUpdate();
   }
 }
@@ -23,9 +23,9 @@
   if (!named || tracked == nullptr || !TakesWork(aAttempt)) {
     return false;
   }
-  const UpstreamStart& start = tracked->mStart;
+  const UpstreamIncarnation& start = tracked->mIncarnation;
   if (mCrashDetector.OnConnectionLost(start, aAttempt.mFingerprint, aNow)) {
-    TakeCrash({ .mStart = start,
+    TakeCrash({ .mIncarnation = start,
                 .mReason = "known",
                 .mSuspects = { aAttempt.mFingerprint } },
               aNow);
@@ -40,7 +40,7 @@
   const auto tracked = mTracked.find(aUpstream);
   if (tracked != mTracked.end() && tracked->second.mListed &&
       !tracked->second.mLeaving) {
-    OnIncarnationEnded(tracked->second.mStart, "refused", aNow);
+    OnIncarnationEnded(tracked->second.mIncarnation, "refused", aNow);
   }
 }
 
@@ -49,7 +49,7 @@
 {
   const auto tracked = mTracked.find(aUpstream);
   if (tracked != mTracked.end()) {
-    mCrashDetector.OnListening(tracked->second.mStart);
+    mCrashDetector.OnListening(tracked->second.mIncarnation);
   }
 }
 
@@ -59,39 +59,40 @@
   const auto tracked = mTracked.find(aAttempt.mUpstream);
   return tracked != mTracked.end() &&
          tracked->second.mIncarnationNumber == aAttempt.mIncarnationNumber &&
-         mCrashDetector.IsCrashSuspected(tracked->second.mStart);
+         mCrashDetector.IsCrashSuspected(tracked->second.mIncarnation);
 }
 
 void
-DirectRouter::OnIncarnationEnded(const UpstreamStart& aStart,
+DirectRouter::OnIncarnationEnded(const UpstreamIncarnation& aStart,
                                  const char* aWhy,
                                  Millis aNow)
 {
   auto suspects = mCrashDetector.OnEnded(aStart, aNow);
   if (!suspects.empty()) {
     mCrashCount++;
-    TakeCrash(
-      { .mStart = aStart, .mReason = aWhy, .mSuspects = std::move(suspects) },
-      aNow);
+    TakeCrash({ .mIncarnation = aStart,
+                .mReason = aWhy,
+                .mSuspects = std::move(suspects) },
+              aNow);
   }
 }
 
 void
 DirectRouter::TakeCrash(UpstreamCrash aCrash, Millis aNow)
 {
-  mQuarantine.OnCrash(aCrash.mStart, aCrash.mSuspects, aNow);
+  mQuarantine.OnCrash(aCrash.mIncarnation, aCrash.mSuspects, aNow);
   mCrashes.push_back(std::move(aCrash));
   mOptions.mOnCrashUpdate();
 }
 
 void
-DirectRouter::OnCrashUpdate(const CrashNews& aNews, Millis aNow)
+DirectRouter::OnCrashUpdate(const CrashUpdate& aNews, Millis aNow)
 {
-  mQuarantine.OnNews(aNews, aNow);
+  mQuarantine.OnUpdate(aNews, aNow);
   for (const CrashReport& each : aNews.mReports) {
-    OnIncarnationEnded(each.mStart, "told", aNow);
+    OnIncarnationEnded(each.mIncarnation, "told", aNow);
   }
-  if (mQuarantine.HasNews()) {
+  if (mQuarantine.HasUpdate()) {
     mOptions.mOnCrashUpdate();
   }
 }
--- a/src/libtrefoilarch/directdump.cpp
+++ b/src/libtrefoilarch/directdump.cpp
@@ -42,7 +42,7 @@
     };
     if (const auto limit = mLimits.Of(id)) {
       load["limit_per_second"] = *limit;
-      load["limited_for_ms"] = (aNow - *mLimits.Since(id)).Count();
+      load["limited_for_ms"] = (aNow - *mLimits.LimitedSince(id)).Count();
       load["sent_by_permit"] = mPermits.Used(id);
     }
     upstreams.push_back({ { "name", id },
--- a/src/libtrefoilarch/directlimits.cpp
+++ b/src/libtrefoilarch/directlimits.cpp
@@ -27,7 +27,7 @@
 void
 DirectRouter::ReportLimitChanges()
 {
-  mHasPeerUpdate = mHasPeerUpdate || mLimits.HasNews();
+  mHasPeerUpdate = mHasPeerUpdate || mLimits.HasUpdate();
   for (const LimitChange& change : mLimits.TakeChanges()) {
     mOptions.mOnLimitChange(change);
   }
@@ -35,17 +35,17 @@
 
 std::optional<PermitReply>
 DirectRouter::OnPermitRequest(const std::string& aFrom,
-                              const PermitAsk& aAsk,
+                              const PermitRequest& aAsk,
                               Millis aNow)
 {
-  mLimits.OnTold(aAsk.mLimit, aNow);
+  mLimits.OnPeerReport(aAsk.mLimit, aNow);
   ReportLimitChanges();
   const auto perSecond = mLimits.Of(aAsk.mLimit.mUpstream);
   if (!perSecond) {
     // The limit has ended, and the other entry will hear of it.
     return PermitReply{ .mNumber = aAsk.mNumber, .mGranted = aAsk.mCount };
   }
-  return mIssuer.OnAsk(aFrom, aAsk, *perSecond, aNow);
+  return mIssuer.OnRequest(aFrom, aAsk, *perSecond, aNow);
 }
 
 void
@@ -53,13 +53,13 @@
                                 uint8_t aUrgency,
                                 Millis aNow)
 {
-  const AddressedAsk ask =
-    mPermits.Ask(mLimits.WordOf(aUpstream, aNow), aUrgency, aNow);
+  const AddressedPermitRequest ask =
+    mPermits.MakeRequest(mLimits.ReportOf(aUpstream, aNow), aUrgency, aNow);
   if (ask.mTo != mPermits.Own()) {
     mOptions.mOnPermitRequest(ask);
     return;
   }
-  if (const auto reply = OnPermitRequest(ask.mTo, ask.mAsk, aNow)) {
+  if (const auto reply = OnPermitRequest(ask.mTo, ask.mRequest, aNow)) {
     mPermits.OnReply(*reply, aNow);
   }
 }
@@ -74,9 +74,9 @@
     return true;
   }
   switch (mPermits.StateOf(aUpstream, aUrgency, aNow)) {
-    case PermitState::Unasked:
+    case PermitState::NotRequested:
       return aWait.mMayRequest;
-    case PermitState::Asked:
+    case PermitState::Requested:
       if (aWait.mUpstream != aUpstream && aWait.mMayRequest) {
         mPermits.NoteMissed(aUpstream);
       }
@@ -97,7 +97,8 @@
   if (!mLimits.Of(aUpstream)) {
     return true;
   }
-  if (mPermits.StateOf(aUpstream, aUrgency, aNow) == PermitState::Unasked) {
+  if (mPermits.StateOf(aUpstream, aUrgency, aNow) ==
+      PermitState::NotRequested) {
     SendPermitRequest(aUpstream, aUrgency, aNow);
   }
   if (mPermits.StateOf(aUpstream, aUrgency, aNow) != PermitState::Granted) {
--- a/src/libtrefoilarch/directplacing.cpp
+++ b/src/libtrefoilarch/directplacing.cpp
@@ -117,7 +117,7 @@
            .mPeersReporting = heard > 0,
            .mReportedPerMs = perEngine * static_cast<double>(heard),
            .mUnreportedPerMs = perEngine * static_cast<double>(others - heard),
-           .mReportIntervalMs = mPeers.PauseMs() };
+           .mReportIntervalMs = mPeers.MeanIntervalMs() };
 }
 
 std::optional<PlacedAttempt>
@@ -172,7 +172,7 @@
     if (TakePermit(upstream, urgency, aNow)) {
       return Send(aRequest, placed, candidates, aNow);
     }
-    if (mPermits.StateOf(upstream, urgency, aNow) == PermitState::Asked) {
+    if (mPermits.StateOf(upstream, urgency, aNow) == PermitState::Requested) {
       aWait.mUpstream = upstream;
       return std::nullopt;
     }
--- a/src/libtrefoilarch/directrouter.cpp
+++ b/src/libtrefoilarch/directrouter.cpp
@@ -67,7 +67,7 @@
     tracked.mListed = true;
     if (!fresh && tracked.mIncarnationNumber != listed.mIncarnationNumber) {
       if (!tracked.mLeaving) {
-        OnIncarnationEnded(tracked.mStart, "replaced", aNow);
+        OnIncarnationEnded(tracked.mIncarnation, "replaced", aNow);
       }
       ForgetIncarnation(id, tracked);
       startedAgain.push_back(id);
@@ -76,10 +76,11 @@
       tracked.mIncarnationNumber = listed.mIncarnationNumber;
       tracked.mColdUntil = aNow + listed.mColdFor;
     }
-    tracked.mStart = { .mUpstream = id, .mBorn = listed.mBorn.value_or(0) };
+    tracked.mIncarnation = { .mUpstream = id,
+                             .mStartTime = listed.mStartTime.value_or(0) };
     tracked.mLeaving = listed.mLeaving;
     if (listed.mLeaving) {
-      mCrashDetector.OnLeaving(tracked.mStart);
+      mCrashDetector.OnLeaving(tracked.mIncarnation);
     }
     tracked.mService = listed.mService;
     mOutliers.Add(id, listed.mService);
@@ -90,7 +91,7 @@
       return false;
     }
     if (!tracked.mLeaving) {
-      OnIncarnationEnded(tracked.mStart, "unlisted", aNow);
+      OnIncarnationEnded(tracked.mIncarnation, "unlisted", aNow);
     }
     mOutliers.Remove(id);
     mEngines.Forget(id);
@@ -228,15 +229,15 @@
   }
 }
 
-PeerNotes
+PeerUpdate
 DirectRouter::TakePeerUpdate(Millis aNow)
 {
-  PeerNotes notes{ .mFrom = mOptions.mName,
-                   .mProcess = mProcess,
-                   .mSequence = ++mNotes,
-                   .mSent = std::exchange(mSent, {}),
-                   .mDemands = mLanes.Demands(aNow),
-                   .mLimits = mLimits.TakeWords(aNow) };
+  PeerUpdate notes{ .mFrom = mOptions.mName,
+                    .mProcess = mProcess,
+                    .mSequence = ++mNotes,
+                    .mSent = std::exchange(mSent, {}),
+                    .mDemands = mLanes.Demands(aNow),
+                    .mLimits = mLimits.TakeReports(aNow) };
   for (const auto& [id, tracked] : mTracked) {
     if (tracked.mWork.Pending().All() > 0) {
       notes.mPending.push_back({ id, tracked.mWork.Pending() });
@@ -266,7 +267,7 @@
 }
 
 void
-DirectRouter::OnPeerUpdate(const PeerNotes& aNotes, Millis aNow)
+DirectRouter::OnPeerUpdate(const PeerUpdate& aNotes, Millis aNow)
 {
   mPeers.Expire(aNow);
   if (!mPeers.Take(aNotes, aNow)) {
@@ -283,13 +284,13 @@
         each.mUpstream, each.mSegments, each.mTokens, aNow);
     }
   }
-  for (const LimitWord& each : aNotes.mLimits) {
-    mLimits.OnTold(each, aNow);
+  for (const LimitReport& each : aNotes.mLimits) {
+    mLimits.OnPeerReport(each, aNow);
   }
   ReportLimitChanges();
   mLanes.OnPeerDemands(aNotes.mFrom, aNotes.mDemands, aNow);
   TakeSilence(aNotes, aNow);
-  for (const HeardReport& each : aNotes.mReports) {
+  for (const ReceivedLoadReport& each : aNotes.mReports) {
     const auto tracked = mTracked.find(each.mUpstream);
     if (allHeard && tracked != mTracked.end()) {
       tracked->second.mWork.OnReport(each.mLoad, aNow - each.mAge);
@@ -298,12 +299,12 @@
 }
 
 void
-DirectRouter::TakeSilence(const PeerNotes& aNotes, Millis aNow)
+DirectRouter::TakeSilence(const PeerUpdate& aNotes, Millis aNow)
 {
   for (const SilentUpstream& each : aNotes.mSilent) {
     const auto tracked = mTracked.find(each.mUpstream);
     if (tracked != mTracked.end()) {
-      tracked->second.mPeerSilence.OnTold(
+      tracked->second.mPeerSilence.OnPeerReport(
         aNotes.mFrom, aNow - each.mSilence, aNow);
     }
   }
@@ -388,7 +389,7 @@
   if (aOutcome == AttemptOutcome::Good && aAttempt.mProvesHarmless) {
     mQuarantine.OnAnswered(aAttempt.mFingerprint, aNow);
   }
-  if (mQuarantine.HasNews()) {
+  if (mQuarantine.HasUpdate()) {
     mOptions.mOnCrashUpdate();
   }
   TrackedUpstream* tracked = FindTracked(aAttempt);
--- a/src/libtrefoilarch/directrouter.h
+++ b/src/libtrefoilarch/directrouter.h
@@ -75,8 +75,8 @@
   std::function<void(const LimitChange&)> mOnLimitChange =
     [](const LimitChange&) {};
   /** Sends an ask for a permit to another entry. */
-  std::function<void(const AddressedAsk&)> mOnPermitRequest =
-    [](const AddressedAsk&) {};
+  std::function<void(const AddressedPermitRequest&)> mOnPermitRequest =
+    [](const AddressedPermitRequest&) {};
   uint64_t mSeed = 1;
 };
 
@@ -160,7 +160,7 @@
 /** An upstream's process that ended with requests under way. */
 struct UpstreamCrash
 {
-  UpstreamStart mStart;
+  UpstreamIncarnation mIncarnation;
   /** What showed it. */
   const char* mReason = "";
   /** The requests of this entry that broke with it. */
@@ -256,12 +256,12 @@
   bool OnConnectionLost(const PlacedAttempt& aAttempt, Millis aNow);
   /** Nobody listens at the upstream's address. */
   void OnConnectionRefused(const UpstreamId& aUpstream, Millis aNow);
-  /** What is to be told of crashes; see Quarantine::TakeNews(). */
-  std::vector<CrashNews> TakeCrashUpdates(bool aAgain, Millis aNow)
+  /** What is to be told of crashes; see Quarantine::TakeUpdates(). */
+  std::vector<CrashUpdate> TakeCrashUpdates(bool aAgain, Millis aNow)
   {
-    return mQuarantine.TakeNews(aAgain, aNow);
+    return mQuarantine.TakeUpdates(aAgain, aNow);
   }
-  void OnCrashUpdate(const CrashNews& aNews, Millis aNow);
+  void OnCrashUpdate(const CrashUpdate& aNews, Millis aNow);
   /** A few times a second. */
   void TickCrashes(Millis aNow);
   /** Crashes since this was last asked, for the log. */
@@ -308,7 +308,7 @@
   void JoinPermitIssuers(Millis aNow) { mIssuer.Join(aNow); }
   /** Another entry, or this one, asks for a permit; empty: no answer. */
   std::optional<PermitReply> OnPermitRequest(const std::string& aFrom,
-                                             const PermitAsk& aAsk,
+                                             const PermitRequest& aAsk,
                                              Millis aNow);
   void OnPermitReply(const PermitReply& aReply, Millis aNow)
   {
@@ -324,9 +324,9 @@
   /** Something is to be told that other entries do not know yet. */
   bool HasPeerUpdate() const { return mHasPeerUpdate; }
   /** What is to be told, whole; it is told then. */
-  PeerNotes TakePeerUpdate(Millis aNow);
+  PeerUpdate TakePeerUpdate(Millis aNow);
   /** What another entry tells. */
-  void OnPeerUpdate(const PeerNotes& aNotes, Millis aNow);
+  void OnPeerUpdate(const PeerUpdate& aNotes, Millis aNow);
   /** Entries that were heard lately. */
   size_t Peers() const { return mPeers.Peers(); }
   /** How many entries there are, this one included. */
@@ -350,7 +350,7 @@
     UpstreamWork mWork;
     PeerSilence mPeerSilence;
     uint64_t mIncarnationNumber = 0;
-    UpstreamStart mStart;
+    UpstreamIncarnation mIncarnation;
     bool mListed = false;
     bool mLeaving = false;
     /** It is slow until then, after its start. */
@@ -366,7 +366,7 @@
   /** The upstream as the attempt knew it, or null where that start is over. */
   TrackedUpstream* FindTracked(const PlacedAttempt& aAttempt);
   /** That process is over, for that reason. */
-  void OnIncarnationEnded(const UpstreamStart& aStart,
+  void OnIncarnationEnded(const UpstreamIncarnation& aStart,
                           const char* aWhy,
                           Millis aNow);
   void TakeCrash(UpstreamCrash aCrash, Millis aNow);
@@ -414,7 +414,7 @@
    */
   bool AllHeard() const;
   /** Who is silent to others, and who is not. */
-  void TakeSilence(const PeerNotes& aNotes, Millis aNow);
+  void TakeSilence(const PeerUpdate& aNotes, Millis aNow);
   /** What is sent where, for this entry's memory and for the others. */
   void TakeNote(const PromptShape& aPrompt,
                 const PlacementChoice& aPlaced,
@@ -446,7 +446,7 @@
   std::vector<UpstreamCrash> mCrashes;
   uint64_t mCrashCount = 0;
   UpstreamLimits mLimits;
-  PermitAsker mPermits;
+  PermitRequester mPermits;
   PermitIssuer mIssuer;
   OutlierDetector mOutliers;
   WorkPlacement mPlacement;
--- a/src/libtrefoilarch/freshness.h
+++ b/src/libtrefoilarch/freshness.h
@@ -55,7 +55,7 @@
    * for at aAsked and carries that reading. Readings that jump back, as after
    * a restart of the other process, start the estimate anew.
    */
-  Millis DateOf(Millis aAsked, Millis aReading)
+  Millis RespondedAt(Millis aAsked, Millis aReading)
   {
     const bool jumpedBack = aReading < mLastReading;
     if (!mOffset || jumpedBack || Estimate(aReading) <= aAsked) {
@@ -71,7 +71,7 @@
    * reading that came by others' hands. Empty where nothing is known of the
    * clock, or the reading can't be of the same one.
    */
-  std::optional<Millis> DateOfReading(Millis aReading, Millis aNow) const
+  std::optional<Millis> LocalTimeOf(Millis aReading, Millis aNow) const
   {
     if (!mOffset || Estimate(aReading) > aNow) {
       return std::nullopt;
@@ -81,10 +81,13 @@
 
   /** Whether an answer that is not held back is due: nothing is known of the
    * other clock, or it is so long ago that much drift has to be allowed for. */
-  bool WantsQuickAnswer(Millis aNow) const { return aNow > QuickAnswerDue(); }
+  bool NeedsMeasurement(Millis aNow) const
+  {
+    return aNow > NextMeasurementAt();
+  }
 
   /** Until then no such answer is wanted. */
-  Millis QuickAnswerDue() const
+  Millis NextMeasurementAt() const
   {
     return mOffset ? mMeasuredAt + kMeasureSpan : Millis(-1);
   }
--- a/src/libtrefoilarch/peernotes.h
+++ b/src/libtrefoilarch/peernotes.h
@@ -17,12 +17,12 @@
 namespace trefoilarch {
 
 /** Prompt tokens of one entry that an upstream has yet to read. */
-struct PendingRead
+struct UpstreamPendingPrefill
 {
   UpstreamId mUpstream;
   PendingPrefill mPendingPrefill;
 
-  bool operator==(const PendingRead&) const = default;
+  bool operator==(const UpstreamPendingPrefill&) const = default;
 };
 
 /** A prompt that an entry has sent to an upstream. */
@@ -38,14 +38,14 @@
 };
 
 /** An upstream's report of its own load, as an entry got it. */
-struct HeardReport
+struct ReceivedLoadReport
 {
   UpstreamId mUpstream;
   ReportedLoad mLoad;
   /** Since it came. */
   Millis mAge;
 
-  bool operator==(const HeardReport&) const = default;
+  bool operator==(const ReceivedLoadReport&) const = default;
 };
 
 /** An upstream from which an entry waits for an answer in vain. */
@@ -60,38 +60,38 @@
 
 /** Which of the store's tables a word is of; the numbers are its sender's and
  * its receiver's to agree on. */
-struct TableNote
+struct PeerTableCheckpoint
 {
   uint8_t mTable = 0;
-  TableWord mWord;
+  TableCheckpoint mCheckpoint;
 
-  bool operator==(const TableNote&) const = default;
+  bool operator==(const PeerTableCheckpoint&) const = default;
 };
 
 /**
  * What an entry tells the others. What is pending is told as a whole, so that
  * a lost message is made good by the next one; prompts are told once.
  */
-struct PeerNotes
+struct PeerUpdate
 {
   std::string mFrom;
   /** Tells one process of that name from the next. */
   uint64_t mProcess = 0;
   /** Rises with each message of a process. */
   uint64_t mSequence = 0;
-  std::vector<PendingRead> mPending;
+  std::vector<UpstreamPendingPrefill> mPending;
   std::vector<SentPrompt> mSent;
-  std::vector<HeardReport> mReports;
+  std::vector<ReceivedLoadReport> mReports;
   std::vector<RouteDemand> mDemands;
   std::vector<SilentUpstream> mSilent;
   /** Upstreams that have answered since the last message. */
   std::vector<UpstreamId> mAnswered;
-  std::vector<TableNote> mTables;
-  std::vector<LimitWord> mLimits;
+  std::vector<PeerTableCheckpoint> mTables;
+  std::vector<LimitReport> mLimits;
   /** How long the store has served; see StoreUptime. */
-  std::optional<ServedRun> mStoreRun;
+  std::optional<StoreServingInterval> mStoreServing;
 
-  bool operator==(const PeerNotes&) const = default;
+  bool operator==(const PeerUpdate&) const = default;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/peerring.cpp
+++ b/src/libtrefoilarch/peerring.cpp
@@ -9,7 +9,8 @@
 /** Entries that ask the store themselves: so many at the least, and one in so
  * many of a larger fleet, so that each entry is told by three. */
 constexpr size_t kLeastListeners = 3;
-constexpr size_t kEntriesPerListener = PeerRing::kMostTold / kLeastListeners;
+constexpr size_t kEntriesPerListener =
+  PeerRing::kMaxReceivers / kLeastListeners;
 
 /** Whether the entry at that place is one of those, evenly spread. */
 bool
@@ -38,9 +39,9 @@
 }
 
 std::vector<std::string>
-PeerRing::Tellers() const
+PeerRing::Senders() const
 {
-  const size_t count = std::min(kMostTold, mOthers.size());
+  const size_t count = std::min(kMaxReceivers, mOthers.size());
   return { mOthers.end() - static_cast<std::ptrdiff_t>(count), mOthers.end() };
 }
 
--- a/src/libtrefoilarch/peersilence.cpp
+++ b/src/libtrefoilarch/peersilence.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 void
-PeerSilence::OnTold(const std::string& aFrom, Millis aSince, Millis aNow)
+PeerSilence::OnPeerReport(const std::string& aFrom, Millis aSince, Millis aNow)
 {
   std::erase_if(mTold, [&](const Told& aTold) {
     return aTold.mFrom == aFrom || aNow - aTold.mAt > kFreshSpan;
--- a/src/libtrefoilarch/peersilence.h
+++ b/src/libtrefoilarch/peersilence.h
@@ -16,7 +16,7 @@
 {
 public:
   /** That entry's requests there have been without a byte since aSince. */
-  void OnTold(const std::string& aFrom, Millis aSince, Millis aNow);
+  void OnPeerReport(const std::string& aFrom, Millis aSince, Millis aNow);
   /** Some entry got an answer. */
   void OnAnswered() { mTold.clear(); }
 
--- a/src/libtrefoilarch/peerwork.cpp
+++ b/src/libtrefoilarch/peerwork.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 bool
-PeerWork::Take(const PeerNotes& aNotes, Millis aNow)
+PeerWork::Take(const PeerUpdate& aNotes, Millis aNow)
 {
   Peer& peer = mPeers[aNotes.mFrom];
   const bool late =
@@ -31,7 +31,7 @@
            .mSequence = aNotes.mSequence,
            .mPending = aNotes.mPending,
            .mHeard = aNow };
-  for (const PendingRead& each : peer.mPending) {
+  for (const UpstreamPendingPrefill& each : peer.mPending) {
     mPending[each.mUpstream] += each.mPendingPrefill;
   }
   return true;
@@ -59,7 +59,7 @@
 void
 PeerWork::Subtract(const Peer& aPeer)
 {
-  for (const PendingRead& each : aPeer.mPending) {
+  for (const UpstreamPendingPrefill& each : aPeer.mPending) {
     const auto place = mPending.find(each.mUpstream);
     place->second -= each.mPendingPrefill;
     if (place->second.All() == 0) {
--- a/src/libtrefoilarch/peerwork.h
+++ b/src/libtrefoilarch/peerwork.h
@@ -20,7 +20,7 @@
 {
 public:
   /** False for a message that is older than what is known of its sender. */
-  bool Take(const PeerNotes& aNotes, Millis aNow);
+  bool Take(const PeerUpdate& aNotes, Millis aNow);
   /** Forgets entries that have fallen silent. */
   void Expire(Millis aNow);
 
@@ -29,14 +29,14 @@
   /** Entries that were heard lately. */
   size_t Peers() const { return mPeers.size(); }
   /** Mean time between two messages of an entry, in milliseconds. */
-  double PauseMs() const { return mPauseMs; }
+  double MeanIntervalMs() const { return mPauseMs; }
 
 private:
   struct Peer
   {
     uint64_t mProcess = 0;
     uint64_t mSequence = 0;
-    std::vector<PendingRead> mPending;
+    std::vector<UpstreamPendingPrefill> mPending;
     Millis mHeard;
   };
 
--- a/src/libtrefoilarch/permit.h
+++ b/src/libtrefoilarch/permit.h
@@ -8,12 +8,12 @@
 namespace trefoilarch {
 
 /** An entry asks the issuer of an upstream's permits for some. */
-struct PermitAsk
+struct PermitRequest
 {
   /** Tells the entry's asks apart. */
   uint64_t mNumber = 0;
   /** The limit as the entry knows it. */
-  LimitWord mLimit;
+  LimitReport mLimit;
   /** How many requests want to go there. */
   uint32_t mCount = 1;
   /** Of the request that wants to go there; 0 is the most urgent. */
@@ -21,7 +21,7 @@
   /** How many entries would rather be asked, and gave no answer. */
   uint32_t mRank = 0;
 
-  bool operator==(const PermitAsk&) const = default;
+  bool operator==(const PermitRequest&) const = default;
 };
 
 /** What the issuer answers. */
--- a/src/libtrefoilarch/permitasker.cpp
+++ b/src/libtrefoilarch/permitasker.cpp
@@ -23,28 +23,30 @@
 
 } // namespace
 
-PermitAsker::PermitAsker(PermitAskerOptions aOptions)
+PermitRequester::PermitRequester(PermitRequesterOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 void
-PermitAsker::SetEntries(std::string aOwn, std::vector<std::string> aOthers)
+PermitRequester::SetEntries(std::string aOwn, std::vector<std::string> aOthers)
 {
   mOwn = std::move(aOwn);
   mOthers = std::move(aOthers);
 }
 
 PermitState
-PermitAsker::StateOf(const UpstreamId& aUpstream, uint8_t aUrgency, Millis aNow)
+PermitRequester::StateOf(const UpstreamId& aUpstream,
+                         uint8_t aUrgency,
+                         Millis aNow)
 {
   const auto place = mWanted.find(aUpstream);
   if (place == mWanted.end()) {
-    return PermitState::Unasked;
+    return PermitState::NotRequested;
   }
   Wanted& wanted = place->second;
-  const bool unanswered = wanted.mState == PermitState::Asked &&
-                          aNow - wanted.mAskedAt >= mOptions.mAnswerSpan;
+  const bool unanswered = wanted.mState == PermitState::Requested &&
+                          aNow - wanted.mAskedAt >= mOptions.mReplyTimeout;
   if (unanswered) {
     NoteSilence(wanted.mIssuer, aNow);
     wanted.mState = PermitState::Denied;
@@ -54,32 +56,34 @@
   const bool ends = wanted.mState == PermitState::Granted ||
                     wanted.mState == PermitState::Denied;
   if (ends && aNow >= wanted.mUntil) {
-    wanted.mState = PermitState::Unasked;
+    wanted.mState = PermitState::NotRequested;
   }
   const bool mayAsk =
     wanted.mState == PermitState::Denied && aUrgency < wanted.mFromUrgency;
-  return mayAsk ? PermitState::Unasked : wanted.mState;
+  return mayAsk ? PermitState::NotRequested : wanted.mState;
 }
 
 void
-PermitAsker::NoteSilence(const std::string& aIssuer, Millis aNow)
+PermitRequester::NoteSilence(const std::string& aIssuer, Millis aNow)
 {
   Silence& silence = mSilent[aIssuer];
   silence.mUnanswered++;
-  if (silence.mUnanswered >= mOptions.mMostUnanswered) {
-    silence.mPassedOverUntil = aNow + mOptions.mSilentSpan;
+  if (silence.mUnanswered >= mOptions.mMaxUnanswered) {
+    silence.mPassedOverUntil = aNow + mOptions.mBypassDuration;
   }
 }
 
 void
-PermitAsker::NoteMissed(const UpstreamId& aUpstream)
+PermitRequester::NoteMissed(const UpstreamId& aUpstream)
 {
   Wanted& wanted = mWanted[aUpstream];
   wanted.mMissed = std::min(wanted.mMissed + 1, kMostMissed);
 }
 
-AddressedAsk
-PermitAsker::Ask(const LimitWord& aLimit, uint8_t aUrgency, Millis aNow)
+AddressedPermitRequest
+PermitRequester::MakeRequest(const LimitReport& aLimit,
+                             uint8_t aUrgency,
+                             Millis aNow)
 {
   Wanted& wanted = mWanted[aLimit.mUpstream];
   const std::vector<std::string> issuers = IssuersOf(aLimit.mUpstream);
@@ -93,53 +97,53 @@
   }
   wanted.mIssuer = *issuer;
   wanted.mNumber = ++mAsks;
-  wanted.mState = PermitState::Asked;
+  wanted.mState = PermitState::Requested;
   wanted.mAskedAt = aNow;
   return { .mTo = wanted.mIssuer,
-           .mAsk = { .mNumber = wanted.mNumber,
-                     .mLimit = aLimit,
-                     .mCount = 1 + std::exchange(wanted.mMissed, 0),
-                     .mUrgency = aUrgency,
-                     .mRank =
-                       static_cast<uint32_t>(issuer - issuers.begin()) } };
+           .mRequest = { .mNumber = wanted.mNumber,
+                         .mLimit = aLimit,
+                         .mCount = 1 + std::exchange(wanted.mMissed, 0),
+                         .mUrgency = aUrgency,
+                         .mRank =
+                           static_cast<uint32_t>(issuer - issuers.begin()) } };
 }
 
 void
-PermitAsker::OnReply(const PermitReply& aReply, Millis aNow)
+PermitRequester::OnReply(const PermitReply& aReply, Millis aNow)
 {
   const auto place =
     std::find_if(mWanted.begin(), mWanted.end(), [&](const auto& aWanted) {
       return aWanted.second.mNumber == aReply.mNumber &&
-             aWanted.second.mState == PermitState::Asked;
+             aWanted.second.mState == PermitState::Requested;
     });
   if (place == mWanted.end() ||
-      aNow - place->second.mAskedAt >= mOptions.mAnswerSpan) {
+      aNow - place->second.mAskedAt >= mOptions.mReplyTimeout) {
     return;
   }
   Wanted& wanted = place->second;
   mSilent.erase(wanted.mIssuer);
   const bool granted = aReply.mGranted > 0;
   wanted.mState = granted ? PermitState::Granted : PermitState::Denied;
-  wanted.mUntil = aNow + (granted ? mOptions.mUseSpan : aReply.mWait);
+  wanted.mUntil = aNow + (granted ? mOptions.mGrantLifetime : aReply.mWait);
   wanted.mLeft = aReply.mGranted;
   wanted.mFromUrgency = aReply.mFromUrgency;
 }
 
 void
-PermitAsker::Use(const UpstreamId& aUpstream)
+PermitRequester::Use(const UpstreamId& aUpstream)
 {
   Wanted& wanted = mWanted[aUpstream];
   wanted.mUsed++;
   wanted.mLeft = std::max(wanted.mLeft, 1U) - 1;
   if (wanted.mLeft == 0) {
-    wanted.mState = PermitState::Unasked;
+    wanted.mState = PermitState::NotRequested;
   }
 }
 
 Millis
-PermitAsker::WaitFor(const UpstreamId& aUpstream,
-                     uint8_t aUrgency,
-                     Millis aNow) const
+PermitRequester::WaitFor(const UpstreamId& aUpstream,
+                         uint8_t aUrgency,
+                         Millis aNow) const
 {
   const auto place = mWanted.find(aUpstream);
   const bool denied = place != mWanted.end() &&
@@ -149,14 +153,14 @@
 }
 
 uint64_t
-PermitAsker::Used(const UpstreamId& aUpstream) const
+PermitRequester::Used(const UpstreamId& aUpstream) const
 {
   const auto place = mWanted.find(aUpstream);
   return place == mWanted.end() ? 0 : place->second.mUsed;
 }
 
 std::vector<std::string>
-PermitAsker::IssuersOf(const UpstreamId& aUpstream) const
+PermitRequester::IssuersOf(const UpstreamId& aUpstream) const
 {
   std::vector<std::pair<uint64_t, std::string>> weighed;
   weighed.reserve(mOthers.size() + 1);
--- a/src/libtrefoilarch/permitasker.h
+++ b/src/libtrefoilarch/permitasker.h
@@ -9,32 +9,32 @@
 
 namespace trefoilarch {
 
-/** How a PermitAsker asks; times in milliseconds. */
-struct PermitAskerOptions
+/** How a PermitRequester asks; times in milliseconds. */
+struct PermitRequesterOptions
 {
   /** Without an answer for this long there will be none. */
-  Millis mAnswerSpan{ 40 };
+  Millis mReplyTimeout{ 40 };
   /** What was granted and not used is void after this. */
-  Millis mUseSpan{ 300 };
+  Millis mGrantLifetime{ 300 };
   /** An issuer that gave no answer so often in a row is passed over. */
-  uint32_t mMostUnanswered = 2;
-  Millis mSilentSpan{ 2000 };
+  uint32_t mMaxUnanswered = 2;
+  Millis mBypassDuration{ 2000 };
 };
 
 /** Where a request stands that wants to go to an upstream with a limit. */
 enum class PermitState : uint8_t
 {
-  Unasked,
-  Asked,
+  NotRequested,
+  Requested,
   Granted,
   Denied,
 };
 
 /** An ask, and the entry that issues that upstream's permits. */
-struct AddressedAsk
+struct AddressedPermitRequest
 {
   std::string mTo;
-  PermitAsk mAsk;
+  PermitRequest mRequest;
 };
 
 /**
@@ -43,10 +43,10 @@
  * found by rendezvous hashing over all entries' addresses; where that one gives
  * no answer, by the next one.
  */
-class PermitAsker
+class PermitRequester
 {
 public:
-  explicit PermitAsker(PermitAskerOptions aOptions = {});
+  explicit PermitRequester(PermitRequesterOptions aOptions = {});
 
   /** Addresses of this entry and the others; alone, it needs none. */
   void SetEntries(std::string aOwn, std::vector<std::string> aOthers);
@@ -60,7 +60,9 @@
    * the next ask is for one more. */
   void NoteMissed(const UpstreamId& aUpstream);
   /** To be sent to that entry, which may be this one. */
-  AddressedAsk Ask(const LimitWord& aLimit, uint8_t aUrgency, Millis aNow);
+  AddressedPermitRequest MakeRequest(const LimitReport& aLimit,
+                                     uint8_t aUrgency,
+                                     Millis aNow);
   void OnReply(const PermitReply& aReply, Millis aNow);
   /** A request goes out by what was granted. */
   void Use(const UpstreamId& aUpstream);
@@ -78,7 +80,7 @@
   {
     uint64_t mNumber = 0;
     std::string mIssuer;
-    PermitState mState = PermitState::Unasked;
+    PermitState mState = PermitState::NotRequested;
     Millis mAskedAt;
     /** Of a grant: until when it holds; of a denial: until when not to ask. */
     Millis mUntil;
@@ -99,7 +101,7 @@
   /** The entries in the order in which they issue for the upstream. */
   std::vector<std::string> IssuersOf(const UpstreamId& aUpstream) const;
 
-  PermitAskerOptions mOptions;
+  PermitRequesterOptions mOptions;
   std::string mOwn;
   std::vector<std::string> mOthers;
   std::map<UpstreamId, Wanted> mWanted;
--- a/src/libtrefoilarch/permitissuer.cpp
+++ b/src/libtrefoilarch/permitissuer.cpp
@@ -37,10 +37,10 @@
 }
 
 std::optional<PermitReply>
-PermitIssuer::OnAsk(const std::string& aFrom,
-                    const PermitAsk& aAsk,
-                    double aPerSecond,
-                    Millis aNow)
+PermitIssuer::OnRequest(const std::string& aFrom,
+                        const PermitRequest& aAsk,
+                        double aPerSecond,
+                        Millis aNow)
 {
   if (aNow < mIssuesFrom) {
     return std::nullopt;
@@ -48,7 +48,7 @@
   Bucket& bucket = BucketFor(aAsk, aNow);
   bucket.mAskers[aFrom] = aNow;
   const double rate =
-    std::max(aPerSecond, mOptions.mLeastPerSecond) * ShareOfRank(bucket.mRank);
+    std::max(aPerSecond, mOptions.mMinPerSecond) * ShareOfRank(bucket.mRank);
   Fill(bucket, rate, aNow);
   const size_t urgency = std::min<size_t>(aAsk.mUrgency, kUrgencies - 1);
   const Millis reserved = ReservedFor(bucket, urgency, rate, aNow);
@@ -74,7 +74,7 @@
 }
 
 PermitIssuer::Bucket&
-PermitIssuer::BucketFor(const PermitAsk& aAsk, Millis aNow)
+PermitIssuer::BucketFor(const PermitRequest& aAsk, Millis aNow)
 {
   const auto [place, fresh] = mBuckets.try_emplace(aAsk.mLimit.mUpstream);
   Bucket& bucket = place->second;
@@ -94,7 +94,7 @@
 {
   const double perMs = aPerSecond / kSecondMs;
   const double most = std::max(
-    kLeastBurst, perMs * static_cast<double>(mOptions.mBurstSpan.Count()));
+    kLeastBurst, perMs * static_cast<double>(mOptions.mBurstWindow.Count()));
   const auto span = static_cast<double>((aNow - aBucket.mFilledAt).Count());
   aBucket.mTokens = std::min(most, aBucket.mTokens + span * perMs);
   aBucket.mFilledAt = aNow;
@@ -107,7 +107,7 @@
                           Millis aNow) const
 {
   const Millis span = std::min(
-    mOptions.mReserveSpan,
+    mOptions.mReserveWindow,
     Millis(static_cast<int64_t>(kLeastBurst / aPerSecond * kSecondMs)));
   Millis reserved;
   for (size_t each = 0; each < aUrgency; ++each) {
--- a/src/libtrefoilarch/permitissuer.h
+++ b/src/libtrefoilarch/permitissuer.h
@@ -14,21 +14,21 @@
 {
   /** An upstream with a limit of nothing gets this many requests a second all
    * the same: its answers alone can tell that the limit has ended. */
-  double mLeastPerSecond = 0.25;
+  double mMinPerSecond = 0.25;
   /** Unused permits are saved up for so long, and two at the least. */
-  Millis mBurstSpan{ 100 };
+  Millis mBurstWindow{ 100 };
   /** Less urgent requests get no permit for so long after a more urgent one
    * got none, or until there have been two. */
-  Millis mReserveSpan{ 500 };
+  Millis mReserveWindow{ 500 };
   /** An entry that has just started issues nothing for so long: others may not
    * know of it yet, and ask who was there before. */
-  Millis mJoinSpan{ 4000 };
+  Millis mJoinDelay{ 4000 };
 };
 
 /**
  * Issues permits to send to upstreams that name a rate limit: a token bucket
  * for each upstream, for all entries together. Which entry issues for which
- * upstream, PermitAsker decides.
+ * upstream, PermitRequester decides.
  */
 class PermitIssuer
 {
@@ -36,13 +36,13 @@
   explicit PermitIssuer(PermitIssuerOptions aOptions = {});
 
   /** Permits are issued from then on; at once, without this. */
-  void Join(Millis aNow) { mIssuesFrom = aNow + mOptions.mJoinSpan; }
+  void Join(Millis aNow) { mIssuesFrom = aNow + mOptions.mJoinDelay; }
 
   /** aPerSecond is the upstream's limit. Empty while nothing is issued. */
-  std::optional<PermitReply> OnAsk(const std::string& aFrom,
-                                   const PermitAsk& aAsk,
-                                   double aPerSecond,
-                                   Millis aNow);
+  std::optional<PermitReply> OnRequest(const std::string& aFrom,
+                                       const PermitRequest& aAsk,
+                                       double aPerSecond,
+                                       Millis aNow);
   void Forget(const UpstreamId& aUpstream) { mBuckets.erase(aUpstream); }
 
 private:
@@ -61,7 +61,7 @@
     std::map<std::string, Millis> mAskers;
   };
 
-  Bucket& BucketFor(const PermitAsk& aAsk, Millis aNow);
+  Bucket& BucketFor(const PermitRequest& aAsk, Millis aNow);
   void Fill(Bucket& aBucket, double aPerSecond, Millis aNow) const;
   /** How long the next permit is kept for more urgent requests. */
   Millis ReservedFor(const Bucket& aBucket,
--- a/src/libtrefoilarch/quarantine.cpp
+++ b/src/libtrefoilarch/quarantine.cpp
@@ -41,7 +41,7 @@
     mSettling.try_emplace(aRequest, aNow);
     return QuarantineVerdict::Wait;
   }
-  const bool patient = crashes > 1 || aWaited < mOptions.mFirstTrialSpan;
+  const bool patient = crashes > 1 || aWaited < mOptions.mFirstProbeTimeout;
   return patient && IsOnItsWay(aRequest, aNow) ? QuarantineVerdict::Wait
                                                : QuarantineVerdict::Run;
 }
@@ -49,15 +49,15 @@
 bool
 Quarantine::TakesTrial(QuarantinedRequest& aHeld, Millis aNow) const
 {
-  if (aNow < aHeld.mTrialAt || aNow - mCrashAt < mOptions.mCalmSpan) {
+  if (aNow < aHeld.mProbeAt || aNow - mCrashAt < mOptions.mCrashFreeInterval) {
     return false;
   }
-  aHeld.mTrialAt = Millis::Never();
+  aHeld.mProbeAt = Millis::Never();
   const size_t own =
-    mEvidence.CrashesWithout(aHeld.mRequest, [this](const auto& aOther) {
+    mEvidence.UnexplainedCrashes(aHeld.mRequest, [this](const auto& aOther) {
       return mHeld.contains(aOther);
     });
-  return own + 1 < mOptions.mMostCrashes;
+  return own + 1 < mOptions.mCrashThreshold;
 }
 
 bool
@@ -65,11 +65,12 @@
 {
   const auto open = mOpen.find(aRequest);
   if (open != mOpen.end() &&
-      aNow - open->second.mLastSent < mOptions.mTrialSpan) {
+      aNow - open->second.mLastSent < mOptions.mProbeTimeout) {
     return true;
   }
-  const auto trial = mTrials.find(aRequest);
-  return trial != mTrials.end() && aNow - trial->second < mOptions.mTrialSpan;
+  const auto trial = mProbes.find(aRequest);
+  return trial != mProbes.end() &&
+         aNow - trial->second < mOptions.mProbeTimeout;
 }
 
 void
@@ -82,7 +83,7 @@
   open.mCount++;
   open.mLastSent = aNow;
   if (IsWorthTelling(aRequest)) {
-    mNews.mTrials.push_back(aRequest);
+    mNews.mProbes.push_back(aRequest);
   }
 }
 
@@ -118,14 +119,14 @@
 }
 
 void
-Quarantine::OnCrash(const UpstreamStart& aStart,
+Quarantine::OnCrash(const UpstreamIncarnation& aStart,
                     const std::vector<RequestFingerprint>& aSuspects,
                     Millis aNow)
 {
   if (aSuspects.empty()) {
     return;
   }
-  const CrashReport report{ .mStart = aStart, .mSuspects = aSuspects };
+  const CrashReport report{ .mIncarnation = aStart, .mSuspects = aSuspects };
   AddEvidence(report, aNow, aNow);
   mNews.mReports.push_back(report);
   if (mRecent.size() == kMostRecent) {
@@ -135,7 +136,7 @@
 }
 
 void
-Quarantine::Hold(const RequestFingerprint& aRequest, Millis aNow)
+Quarantine::OnStoreHold(const RequestFingerprint& aRequest, Millis aNow)
 {
   if (InnocentAt(aRequest) == Millis(0)) {
     Put({ .mRequest = aRequest, .mSuspectSince = aNow, .mLastSent = aNow },
@@ -144,7 +145,7 @@
 }
 
 void
-Quarantine::LetGo(const RequestFingerprint& aRequest, Millis aNow)
+Quarantine::OnStoreRelease(const RequestFingerprint& aRequest, Millis aNow)
 {
   if (mHeld.contains(aRequest)) {
     Clear(aRequest, aNow, "let go in the store");
@@ -152,7 +153,7 @@
 }
 
 bool
-Quarantine::IsLetGo(const RequestFingerprint& aRequest) const
+Quarantine::IsReleased(const RequestFingerprint& aRequest) const
 {
   return !IsQuarantined(aRequest) && InnocentAt(aRequest) > Millis(0);
 }
@@ -181,18 +182,18 @@
 {
   mCrashAt = std::max(mCrashAt, aAt);
   for (const RequestFingerprint& each : aReport.mSuspects) {
-    mEvidence.Add(aReport.mStart, each, aAt);
+    mEvidence.Add(aReport.mIncarnation, each, aAt);
   }
   for (const RequestFingerprint& each : aReport.mSuspects) {
     // The trial has come to its end, if it was not another repeat's.
-    mTrials.erase(each);
+    mProbes.erase(each);
     if (mOpen.contains(each) && IsWorthTelling(each)) {
-      mNews.mTrials.push_back(each);
+      mNews.mProbes.push_back(each);
     }
     const auto held = mHeld.find(each);
     if (held != mHeld.end()) {
       // Who still runs it has not heard.
-      mNews.mQuarantined.push_back(WordOf(held->second, aNow));
+      mNews.mQuarantined.push_back(ReportOf(held->second, aNow));
     } else if (IsCulprit(each)) {
       mSettling[each] = aNow;
     }
@@ -206,7 +207,7 @@
 {
   mEvidence.Clear(aRequest, aAt);
   mSettling.erase(aRequest);
-  mTrials.erase(aRequest);
+  mProbes.erase(aRequest);
   if (mHeld.erase(aRequest) > 0) {
     mCleared[aRequest] = aAt;
     mChanges.push_back({ .mRequest = aRequest, .mReason = aWhy });
@@ -221,12 +222,12 @@
   if (!fresh) {
     return;
   }
-  held->second.mCrashes = mEvidence.StartsOf(aHeld.mRequest);
+  held->second.mCrashes = mEvidence.IncarnationsOf(aHeld.mRequest);
   mChanges.push_back({ .mRequest = aHeld.mRequest,
                        .mHeld = true,
                        .mReason = aWhy,
                        .mCrashes = held->second.mCrashes });
-  if (mHeld.size() > mOptions.mMostHeld) {
+  if (mHeld.size() > mOptions.mMaxHeld) {
     const auto oldest = std::min_element(
       mHeld.begin(), mHeld.end(), [](const auto& aOne, const auto& aTwo) {
         return aOne.second.mLastSent < aTwo.second.mLastSent;
@@ -244,21 +245,23 @@
       continue;
     }
     const QuarantinedRequest held{ .mRequest = each,
-                                   .mSuspectSince = mEvidence.Since(each),
+                                   .mSuspectSince =
+                                     mEvidence.FirstCrashAt(each),
                                    .mLastSent = aNow,
-                                   .mTrialAt = aNow + mOptions.mDoubtSpan };
+                                   .mProbeAt =
+                                     aNow + mOptions.mUncertainProbeDelay };
     Put(held, "crashes");
-    mNews.mQuarantined.push_back(WordOf(held, aNow));
+    mNews.mQuarantined.push_back(ReportOf(held, aNow));
   }
-  std::erase_if(mTrials, [&](const auto& aEntry) {
-    return aNow - aEntry.second > mOptions.mTrialSpan;
+  std::erase_if(mProbes, [&](const auto& aEntry) {
+    return aNow - aEntry.second > mOptions.mProbeTimeout;
   });
   std::erase_if(mClearedToldAt, [&](const auto& aEntry) {
-    return aNow - aEntry.second > mOptions.mSettleSpan;
+    return aNow - aEntry.second > mOptions.mSettleDelay;
   });
   DropIdle(aNow);
   std::erase_if(mCleared, [&](const auto& aEntry) {
-    return aNow - aEntry.second > mOptions.mIdleSpan;
+    return aNow - aEntry.second > mOptions.mIdleTimeout;
   });
   mEvidence.Expire(aNow);
 }
@@ -268,7 +271,7 @@
 {
   std::vector<std::pair<size_t, RequestFingerprint>> settled;
   std::erase_if(mSettling, [&](const auto& aEntry) {
-    const bool due = aNow - aEntry.second >= mOptions.mSettleSpan;
+    const bool due = aNow - aEntry.second >= mOptions.mSettleDelay;
     if (due) {
       settled.emplace_back(CrashesAlone(aEntry.first), aEntry.first);
     }
@@ -288,7 +291,7 @@
 {
   std::vector<RequestFingerprint> idle;
   for (const auto& [request, held] : mHeld) {
-    if (aNow - held.mLastSent > mOptions.mIdleSpan) {
+    if (aNow - held.mLastSent > mOptions.mIdleTimeout) {
       idle.push_back(request);
     }
   }
@@ -329,20 +332,20 @@
 size_t
 Quarantine::CrashesOf(const RequestFingerprint& aRequest) const
 {
-  const size_t total = mEvidence.Total(aRequest);
-  return mEvidence.CrashesWithout(
+  const size_t total = mEvidence.TotalCrashes(aRequest);
+  return mEvidence.UnexplainedCrashes(
     aRequest, [&](const RequestFingerprint& aOther) {
-      return mHeld.contains(aOther) || mEvidence.Total(aOther) > total;
+      return mHeld.contains(aOther) || mEvidence.TotalCrashes(aOther) > total;
     });
 }
 
 size_t
 Quarantine::CrashesAlone(const RequestFingerprint& aRequest) const
 {
-  const size_t total = mEvidence.Total(aRequest);
-  return mEvidence.CrashesWithout(
+  const size_t total = mEvidence.TotalCrashes(aRequest);
+  return mEvidence.UnexplainedCrashes(
     aRequest, [&](const RequestFingerprint& aOther) {
-      return mHeld.contains(aOther) || mEvidence.Total(aOther) >= total;
+      return mHeld.contains(aOther) || mEvidence.TotalCrashes(aOther) >= total;
     });
 }
 
@@ -351,8 +354,8 @@
 {
   const size_t crashes = CrashesOf(aRequest);
   const size_t most = mAnswers.At(aRequest) > Millis(0)
-                        ? mOptions.mMostCrashesOfAnswered
-                        : mOptions.mMostCrashes;
+                        ? mOptions.mAnsweredCrashThreshold
+                        : mOptions.mCrashThreshold;
   return crashes > most || (crashes == most && CrashesAlone(aRequest) > 0);
 }
 
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -19,26 +19,26 @@
 struct QuarantineOptions
 {
   /** Upstreams that crashed under it. */
-  size_t mMostCrashes = 3;
+  size_t mCrashThreshold = 3;
   /** The same for one that had whole answers lately: one that is asked often
    * is at many crashes that it is not the cause of. */
-  size_t mMostCrashesOfAnswered = 6;
+  size_t mAnsweredCrashThreshold = 6;
   /** What other entries saw of the last crash has come by then: another
    * request may explain it. */
-  Millis mSettleSpan{ 300 };
+  Millis mSettleDelay{ 300 };
   /** A suspect that is on its way keeps its repeats waiting for so long: the
    * first after one crash, which many requests are at by chance. */
-  Millis mFirstTrialSpan{ 1000 };
-  Millis mTrialSpan{ 1500 };
+  Millis mFirstProbeTimeout{ 1000 };
+  Millis mProbeTimeout{ 1500 };
   /** One whose crashes may have been another such request's is tried once more,
    * after so long and when no upstream has crashed for so long. */
-  Millis mDoubtSpan{ 1000 };
-  Millis mCalmSpan{ 700 };
+  Millis mUncertainProbeDelay{ 1000 };
+  Millis mCrashFreeInterval{ 700 };
   /** It is let go when no caller has sent it for so long. */
-  Millis mIdleSpan{ 3600000 };
+  Millis mIdleTimeout{ 3600000 };
   /** Requests that are held back at most; the one that was sent the longest
    * ago goes first. */
-  size_t mMostHeld = 1024;
+  size_t mMaxHeld = 1024;
   CrashEvidenceOptions mEvidence;
 };
 
@@ -60,9 +60,9 @@
   Millis mSuspectSince;
   Millis mLastSent;
   /** When it may be tried once more. */
-  Millis mTrialAt = Millis::Never();
+  Millis mProbeAt = Millis::Never();
   /** Under which it crashed; empty where other entries found it. */
-  std::vector<UpstreamStart> mCrashes;
+  std::vector<UpstreamIncarnation> mCrashes;
 };
 
 /** A change in what is held back, for the log. */
@@ -71,15 +71,15 @@
   RequestFingerprint mRequest;
   bool mHeld = false;
   const char* mReason = "";
-  std::vector<UpstreamStart> mCrashes;
+  std::vector<UpstreamIncarnation> mCrashes;
 };
 
 /**
  * Keeps requests that crash every upstream that runs them ("poison requests")
  * from the fleet. A request is a suspect while a crash counts against it: its
  * repeats then run one at a time, as each may cost an upstream. After
- * mMostCrashes it is in quarantine. What one entry learns all others hear, and
- * any of it may be lost: nothing waits for another entry's word.
+ * mCrashThreshold it is in quarantine. What one entry learns all others hear,
+ * and any of it may be lost: nothing waits for another entry's word.
  */
 class Quarantine
 {
@@ -97,23 +97,23 @@
   /** Its answer is whole: it does not crash who runs it. */
   void OnAnswered(const RequestFingerprint& aRequest, Millis aNow);
   /** An upstream crashed, and these requests broke with it here. */
-  void OnCrash(const UpstreamStart& aStart,
+  void OnCrash(const UpstreamIncarnation& aStart,
                const std::vector<RequestFingerprint>& aSuspects,
                Millis aNow);
 
   /** Holds it back on the word of the fleet's store. */
-  void Hold(const RequestFingerprint& aRequest, Millis aNow);
+  void OnStoreHold(const RequestFingerprint& aRequest, Millis aNow);
   /** The store says that it was let go. */
-  void LetGo(const RequestFingerprint& aRequest, Millis aNow);
+  void OnStoreRelease(const RequestFingerprint& aRequest, Millis aNow);
   /** An operator lets it go; all that speaks against it is void. */
   void Release(const RequestFingerprint& aRequest, Millis aNow);
 
   /** Something has to be told at once. */
-  bool HasNews() const { return !mNews.IsEmpty(); }
+  bool HasUpdate() const { return !mNews.IsEmpty(); }
   /** What is to be told, in messages of a bounded size; what is recent or in
    * force is told again where aAgain. */
-  std::vector<CrashNews> TakeNews(bool aAgain, Millis aNow);
-  void OnNews(const CrashNews& aNews, Millis aNow);
+  std::vector<CrashUpdate> TakeUpdates(bool aAgain, Millis aNow);
+  void OnUpdate(const CrashUpdate& aNews, Millis aNow);
   /** Passes on what others tell, where not all entries hear each other. */
   void SetRelays(bool aRelays) { mRelays = aRelays; }
 
@@ -125,10 +125,10 @@
     return mHeld.contains(aRequest);
   }
   /** It was held back or suspected, and is innocent as far as is known. */
-  bool IsLetGo(const RequestFingerprint& aRequest) const;
+  bool IsReleased(const RequestFingerprint& aRequest) const;
   std::vector<RequestFingerprint> Requests() const;
   /** How long it is held back if nobody sends it any more. */
-  Millis IdleSpan() const { return mOptions.mIdleSpan; }
+  Millis IdleTimeout() const { return mOptions.mIdleTimeout; }
   std::vector<QuarantinedRequest> Quarantined() const;
   std::vector<QuarantineChange> TakeChanges();
 
@@ -168,11 +168,11 @@
   void TakeReport(const CrashReport& aReport, Millis aNow);
   void TakeCleared(const AgedRequest& aCleared, Millis aNow);
   void TakeTrial(const RequestFingerprint& aRequest, Millis aNow);
-  void TakeHeld(const HeldWord& aHeld, Millis aNow);
+  void TakeHeld(const QuarantineReport& aHeld, Millis aNow);
   /** Whether a held one is tried once more now, by this entry. */
   bool TakesTrial(QuarantinedRequest& aHeld, Millis aNow) const;
   bool IsOnItsWay(const RequestFingerprint& aRequest, Millis aNow) const;
-  HeldWord WordOf(const QuarantinedRequest& aHeld, Millis aNow) const;
+  QuarantineReport ReportOf(const QuarantinedRequest& aHeld, Millis aNow) const;
   void Clear(const RequestFingerprint& aRequest, Millis aAt, const char* aWhy);
   /** The times are those of the word, if it is another entry's. */
   void Put(const QuarantinedRequest& aHeld, const char* aWhy);
@@ -186,11 +186,11 @@
   /** Attempts of this entry that are under way. */
   std::unordered_map<RequestFingerprint, Open> mOpen;
   /** When another entry last sent the suspect. */
-  std::unordered_map<RequestFingerprint, Millis> mTrials;
+  std::unordered_map<RequestFingerprint, Millis> mProbes;
   /** Culprits, and when the last crash was heard of. */
   std::map<RequestFingerprint, Millis> mSettling;
   std::map<RequestFingerprint, QuarantinedRequest> mHeld;
-  CrashNews mNews;
+  CrashUpdate mNews;
   /** Reports of this entry that others may have missed. */
   std::vector<Told> mRecent;
   /** Requests that were let go, and when: an older word that they are held
--- a/src/libtrefoilarch/quarantinenews.cpp
+++ b/src/libtrefoilarch/quarantinenews.cpp
@@ -38,13 +38,13 @@
     { .mRequest = aRequest, .mAge = aNow - InnocentAt(aRequest) });
 }
 
-std::vector<CrashNews>
-Quarantine::TakeNews(bool aAgain, Millis aNow)
+std::vector<CrashUpdate>
+Quarantine::TakeUpdates(bool aAgain, Millis aNow)
 {
   if (aAgain) {
     Repeat(aNow);
   }
-  return CrashNewsParts(std::exchange(mNews, {})).Take();
+  return CrashUpdateParts(std::exchange(mNews, {})).Take();
 }
 
 void
@@ -65,9 +65,9 @@
     return;
   }
   mHeldToldAt = aNow;
-  std::vector<HeldWord> held;
+  std::vector<QuarantineReport> held;
   for (const auto& [request, each] : mHeld) {
-    held.push_back(WordOf(each, aNow));
+    held.push_back(ReportOf(each, aNow));
   }
   std::sort(held.begin(), held.end(), [](const auto& aOne, const auto& aTwo) {
     return aOne.mIdleFor < aTwo.mIdleFor;
@@ -77,7 +77,7 @@
 }
 
 void
-Quarantine::OnNews(const CrashNews& aNews, Millis aNow)
+Quarantine::OnUpdate(const CrashUpdate& aNews, Millis aNow)
 {
   for (const CrashReport& each : aNews.mReports) {
     TakeReport(each, aNow);
@@ -85,10 +85,10 @@
   for (const AgedRequest& each : aNews.mCleared) {
     TakeCleared(each, aNow);
   }
-  for (const RequestFingerprint& each : aNews.mTrials) {
+  for (const RequestFingerprint& each : aNews.mProbes) {
     TakeTrial(each, aNow);
   }
-  for (const HeldWord& each : aNews.mQuarantined) {
+  for (const QuarantineReport& each : aNews.mQuarantined) {
     TakeHeld(each, aNow);
   }
 }
@@ -118,19 +118,20 @@
 void
 Quarantine::TakeTrial(const RequestFingerprint& aRequest, Millis aNow)
 {
-  const auto [trial, fresh] = mTrials.try_emplace(aRequest, aNow);
-  const bool known = !fresh && aNow - trial->second < mOptions.mFirstTrialSpan;
+  const auto [trial, fresh] = mProbes.try_emplace(aRequest, aNow);
+  const bool known =
+    !fresh && aNow - trial->second < mOptions.mFirstProbeTimeout;
   if (known) {
     return;
   }
   trial->second = aNow;
   if (mRelays && IsWorthTelling(aRequest)) {
-    mNews.mTrials.push_back(aRequest);
+    mNews.mProbes.push_back(aRequest);
   }
   const auto held = mHeld.find(aRequest);
   if (held != mHeld.end()) {
-    held->second.mTrialAt = Millis::Never();
-    mNews.mQuarantined.push_back(WordOf(held->second, aNow));
+    held->second.mProbeAt = Millis::Never();
+    mNews.mQuarantined.push_back(ReportOf(held->second, aNow));
   }
 }
 
@@ -138,10 +139,11 @@
 Quarantine::TakeReport(const CrashReport& aReport, Millis aNow)
 {
   const Millis at = aNow - aReport.mAge;
-  CrashReport fresh{ .mStart = aReport.mStart, .mAge = aReport.mAge };
+  CrashReport fresh{ .mIncarnation = aReport.mIncarnation,
+                     .mAge = aReport.mAge };
   for (const RequestFingerprint& each : aReport.mSuspects) {
     const Millis innocentAt = InnocentAt(each);
-    if (innocentAt < at && mEvidence.Add(aReport.mStart, each, at)) {
+    if (innocentAt < at && mEvidence.Add(aReport.mIncarnation, each, at)) {
       fresh.mSuspects.push_back(each);
     } else if (innocentAt < at) {
       continue;
@@ -166,16 +168,16 @@
     if (!IsWorthTelling(each)) {
       continue;
     }
-    const Millis age = aNow - mEvidence.Since(each);
-    for (const UpstreamStart& start : mEvidence.StartsOf(each)) {
+    const Millis age = aNow - mEvidence.FirstCrashAt(each);
+    for (const UpstreamIncarnation& start : mEvidence.IncarnationsOf(each)) {
       mNews.mReports.push_back(
-        { .mStart = start, .mSuspects = { each }, .mAge = age });
+        { .mIncarnation = start, .mSuspects = { each }, .mAge = age });
     }
   }
 }
 
 void
-Quarantine::TakeHeld(const HeldWord& aHeld, Millis aNow)
+Quarantine::TakeHeld(const QuarantineReport& aHeld, Millis aNow)
 {
   const Millis since = aNow - aHeld.mSuspectFor;
   const Millis lastSent = aNow - aHeld.mIdleFor;
@@ -189,7 +191,7 @@
     held->second.mLastSent = std::max(held->second.mLastSent, lastSent);
     return;
   }
-  if (aHeld.mIdleFor > mOptions.mIdleSpan) {
+  if (aHeld.mIdleFor > mOptions.mIdleTimeout) {
     return;
   }
   Put({ .mRequest = aHeld.mRequest,
@@ -201,8 +203,8 @@
   }
 }
 
-HeldWord
-Quarantine::WordOf(const QuarantinedRequest& aHeld, Millis aNow) const
+QuarantineReport
+Quarantine::ReportOf(const QuarantinedRequest& aHeld, Millis aNow) const
 {
   return { .mRequest = aHeld.mRequest,
            .mSuspectFor = aNow - aHeld.mSuspectSince,
--- a/src/libtrefoilarch/requestplan.cpp
+++ b/src/libtrefoilarch/requestplan.cpp
@@ -181,7 +181,7 @@
     case QuarantineVerdict::Refuse:
       // An hour without it lets it go; before that no return can help.
       return Refuse(
-        ErrorKind::Quarantined, mRouter.CrashQuarantine().IdleSpan(), aNow);
+        ErrorKind::Quarantined, mRouter.CrashQuarantine().IdleTimeout(), aNow);
     case QuarantineVerdict::Wait:
       break;
   }
--- a/src/libtrefoilarch/storeuptime.cpp
+++ b/src/libtrefoilarch/storeuptime.cpp
@@ -14,25 +14,25 @@
 {
   // Answers may overtake each other, but not by so much.
   const bool clockWasReset =
-    mRun && aReading + mOptions.mLeastOutage < mRun->mSince;
+    mRun && aReading + mOptions.mMinOutage < mRun->mSince;
   if (clockWasReset) {
     mRun.reset();
   }
-  return OnTold({ .mSince = aReading, .mUntil = aReading });
+  return OnPeerReport({ .mSince = aReading, .mUntil = aReading });
 }
 
 bool
-StoreUptime::OnTold(const ServedRun& aTold)
+StoreUptime::OnPeerReport(const StoreServingInterval& aTold)
 {
   if (!mRun) {
     mRun = aTold;
     return false;
   }
-  const bool isBefore = aTold.mUntil + mOptions.mLeastOutage < mRun->mSince;
+  const bool isBefore = aTold.mUntil + mOptions.mMinOutage < mRun->mSince;
   if (isBefore) {
     return false;
   }
-  const bool isAfter = aTold.mSince > mRun->mUntil + mOptions.mLeastOutage;
+  const bool isAfter = aTold.mSince > mRun->mUntil + mOptions.mMinOutage;
   mSawOutage = mSawOutage || isAfter;
   mRun->mSince = isAfter ? aTold.mSince : std::min(mRun->mSince, aTold.mSince);
   mRun->mUntil = std::max(mRun->mUntil, aTold.mUntil);
--- a/src/libtrefoilarch/storeuptime.h
+++ b/src/libtrefoilarch/storeuptime.h
@@ -12,7 +12,7 @@
 {
   /** The store was away where nobody is known to have had an answer for
    * longer than this. */
-  Millis mLeastOutage{ 1250 };
+  Millis mMinOutage{ 1250 };
 };
 
 /**
@@ -30,10 +30,10 @@
    * shows an outage since the answers before. */
   bool OnAnswer(Millis aReading);
   /** Another entry knows of that run; true as above. */
-  bool OnTold(const ServedRun& aTold);
+  bool OnPeerReport(const StoreServingInterval& aTold);
 
   /** Empty before the first answer. */
-  const std::optional<ServedRun>& Run() const { return mRun; }
+  const std::optional<StoreServingInterval>& Interval() const { return mRun; }
 
   /** An outage was seen, though others may have shown since that it was none.
    */
@@ -41,7 +41,7 @@
 
 private:
   StoreUptimeOptions mOptions;
-  std::optional<ServedRun> mRun;
+  std::optional<StoreServingInterval> mRun;
   bool mSawOutage = false;
 };
 
--- a/src/libtrefoilarch/tablenews.h
+++ b/src/libtrefoilarch/tablenews.h
@@ -24,16 +24,16 @@
  * What an entry has just been told of a table by the store. Its rows, if there
  * are any, are all that changed after mAfter and up to mUpTo.
  */
-struct TableNews
+struct TableUpdate
 {
-  /** See TableNote. */
+  /** See PeerTableCheckpoint. */
   uint8_t mTable = 0;
-  TableWord mWord;
+  TableCheckpoint mCheckpoint;
   uint64_t mAfter = 0;
   uint64_t mUpTo = 0;
   std::vector<TableRow> mRows;
 
-  bool operator==(const TableNews&) const = default;
+  bool operator==(const TableUpdate&) const = default;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/tablewatch.cpp
+++ b/src/libtrefoilarch/tablewatch.cpp
@@ -48,7 +48,7 @@
 }
 
 void
-TableWatch::OnPage(const TableAnswer& aPage)
+TableWatch::OnPage(const TableResponse& aPage)
 {
   if (!mFirstPage) {
     mFirstPage = aPage;
@@ -58,7 +58,7 @@
   }
   // A row of the first page may have changed before the last one was read: the
   // copy is as old as its oldest page.
-  const TableAnswer oldest = *std::exchange(mFirstPage, std::nullopt);
+  const TableResponse oldest = *std::exchange(mFirstPage, std::nullopt);
   NoteBack();
   mVersion = oldest.mVersion;
   // A row that was removed before is not among them: its version is unknown,
@@ -69,9 +69,9 @@
 }
 
 void
-TableWatch::OnChanges(const TableAnswer& aAnswer)
+TableWatch::OnChanges(const TableResponse& aAnswer)
 {
-  const Millis took = aAnswer.mAnswered - aAnswer.mAsked;
+  const Millis took = aAnswer.mReceivedAt - aAnswer.mSentAt;
   if (mFailures == 0 && took > mOptions.mWait + kLateAnswer) {
     mFailures = 1;
     mHooks.mOnLost("late answer", took);
@@ -81,17 +81,17 @@
   TakeVersions(aAnswer);
   if (std::exchange(mProofAsked, false)) {
     // Its answer may be older than this one, and must not come after it.
-    mHooks.mAbandon();
+    mHooks.mCancelQueries();
   }
   if (aAnswer.mHasRows && !aAnswer.mHasMore) {
-    Gather(aAnswer.mAnswered);
+    Gather(aAnswer.mReceivedAt);
   } else {
     Follow();
   }
 }
 
 void
-TableWatch::OnProof(const TableAnswer& aAnswer)
+TableWatch::OnVerification(const TableResponse& aAnswer)
 {
   mProofAsked = false;
   const bool wasLost = mPhase == Phase::Asking;
@@ -100,7 +100,7 @@
   if (aAnswer.mHasRows) {
     // The waiting question should have told of them: it was lost.
     Abandon();
-    Gather(aAnswer.mAnswered);
+    Gather(aAnswer.mReceivedAt);
   } else if (wasLost) {
     Follow();
   }
@@ -137,12 +137,12 @@
 TableWatch::LongestPause() const
 {
   const size_t entries = std::clamp(mEntries, kFewEntries, kManyEntries);
-  return mOptions.mBound * static_cast<int64_t>(entries) /
+  return mOptions.mMaxAge * static_cast<int64_t>(entries) /
          static_cast<int64_t>(kManyEntries);
 }
 
 void
-TableWatch::OnWord(const TableWord& aWord, Millis aNow)
+TableWatch::OnCheckpoint(const TableCheckpoint& aWord, Millis aNow)
 {
   if (mPhase == Phase::Lost && !mHurried && WasReadSinceLost(aWord)) {
     // Once: a store may serve others and turn this one away for long.
@@ -150,30 +150,30 @@
     std::uniform_int_distribution<int64_t> pause(0, kReturnSpreadMs);
     mPhaseEnds = std::min(mPhaseEnds, aNow + Millis(pause(mRandom)));
   }
-  const bool older = mReading && aWord.mReading <= *mReading;
+  const bool older = mStoreTime && aWord.mStoreTime <= *mStoreTime;
   if (mVersion == 0 || aWord.mLastChange > mVersion || older) {
     return;
   }
-  const auto made = mClock.DateOfReading(aWord.mReading, aNow);
+  const auto made = mClock.LocalTimeOf(aWord.mStoreTime, aNow);
   if (!made) {
     return;
   }
-  mReading = aWord.mReading;
+  mStoreTime = aWord.mStoreTime;
   mFreshness.Confirm(*made);
   mHooks.mOnConfirmed(*made);
   DrawProofAge();
 }
 
 bool
-TableWatch::WasReadSinceLost(const TableWord& aWord) const
+TableWatch::WasReadSinceLost(const TableCheckpoint& aWord) const
 {
   const auto confirmed = mFreshness.At();
-  return mReading && confirmed &&
-         aWord.mReading > *mReading + (mLostAt - *confirmed);
+  return mStoreTime && confirmed &&
+         aWord.mStoreTime > *mStoreTime + (mLostAt - *confirmed);
 }
 
 void
-TableWatch::SetListening(bool aListening)
+TableWatch::SetPollsStore(bool aListening)
 {
   mListening = aListening;
   if (mListening && mPhase == Phase::Following && !mFeedAsked) {
@@ -182,7 +182,7 @@
 }
 
 bool
-TableWatch::OnNews(uint64_t aAfter, uint64_t aUpTo)
+TableWatch::OnUpdate(uint64_t aAfter, uint64_t aUpTo)
 {
   // An answer that is under way may hold older rows, which must not come after
   // these.
@@ -196,13 +196,14 @@
   return true;
 }
 
-std::optional<TableWord>
-TableWatch::Word() const
+std::optional<TableCheckpoint>
+TableWatch::Checkpoint() const
 {
-  if (mVersion == 0 || !mReading) {
+  if (mVersion == 0 || !mStoreTime) {
     return std::nullopt;
   }
-  return TableWord{ .mLastChange = mLastChange, .mReading = *mReading };
+  return TableCheckpoint{ .mLastChange = mLastChange,
+                          .mStoreTime = *mStoreTime };
 }
 
 void
@@ -233,7 +234,7 @@
   if (mProofAsked) {
     return Millis::Never();
   }
-  return std::min(ProofDue(), mClock.QuickAnswerDue());
+  return std::min(ProofDue(), mClock.NextMeasurementAt());
 }
 
 Millis
@@ -241,20 +242,21 @@
 {
   const Millis confirmed = mFreshness.At().value_or(Millis(0));
   const Millis due = confirmed + mProofAge;
-  const bool wanted = mReading && mWantedReading > *mReading;
+  const bool wanted = mStoreTime && mWantedReading > *mStoreTime;
   return wanted
-           ? std::min(due,
-                      confirmed + (mWantedReading - *mReading) + kWantedMargin)
+           ? std::min(
+               due, confirmed + (mWantedReading - *mStoreTime) + kWantedMargin)
            : due;
 }
 
 void
 TableWatch::Read()
 {
-  mPhase = Phase::Reading;
+  mPhase = Phase::ReadingTable;
   mPhaseEnds = Millis::Never();
   mFirstPage.reset();
-  mHooks.mAsk({ .mKind = TableQuestion::Kind::Whole, .mSpan = kAnswerSpan });
+  mHooks.mSendQuery(
+    { .mKind = TableQuery::Kind::FullRead, .mTimeout = kAnswerSpan });
 }
 
 void
@@ -266,27 +268,27 @@
     return;
   }
   mFeedAsked = true;
-  mHooks.mAsk({ .mKind = TableQuestion::Kind::Changes,
-                .mAfter = mVersion,
-                .mWait = mOptions.mWait,
-                .mSpan = mOptions.mWait + kAnswerSpan });
+  mHooks.mSendQuery({ .mKind = TableQuery::Kind::Changes,
+                      .mAfter = mVersion,
+                      .mWait = mOptions.mWait,
+                      .mTimeout = mOptions.mWait + kAnswerSpan });
 }
 
 void
 TableWatch::Gather(Millis aNow)
 {
-  if (mOptions.mGather == Millis(0) || !mListening) {
+  if (mOptions.mBatchDelay == Millis(0) || !mListening) {
     Follow();
     return;
   }
   mPhase = Phase::Gathering;
-  mPhaseEnds = aNow + mOptions.mGather;
+  mPhaseEnds = aNow + mOptions.mBatchDelay;
 }
 
 void
 TableWatch::Abandon()
 {
-  mHooks.mAbandon();
+  mHooks.mCancelQueries();
   mFeedAsked = false;
   mProofAsked = false;
 }
@@ -295,13 +297,13 @@
 TableWatch::AskProof()
 {
   mProofAsked = true;
-  mHooks.mAsk({ .mKind = TableQuestion::Kind::Proof,
-                .mAfter = mVersion,
-                .mSpan = kAnswerSpan });
+  mHooks.mSendQuery({ .mKind = TableQuery::Kind::Verification,
+                      .mAfter = mVersion,
+                      .mTimeout = kAnswerSpan });
 }
 
 void
-TableWatch::TakeVersions(const TableAnswer& aAnswer)
+TableWatch::TakeVersions(const TableResponse& aAnswer)
 {
   mVersion = std::max(mVersion, aAnswer.mVersion);
   if (aAnswer.mHasRows) {
@@ -315,11 +317,11 @@
 }
 
 void
-TableWatch::Confirm(const TableAnswer& aAnswer)
+TableWatch::Confirm(const TableResponse& aAnswer)
 {
-  const Millis made = mClock.DateOf(aAnswer.mAsked, aAnswer.mReading);
-  const Millis at = std::clamp(made, aAnswer.mAsked, aAnswer.mAnswered);
-  mReading = aAnswer.mReading;
+  const Millis made = mClock.RespondedAt(aAnswer.mSentAt, aAnswer.mStoreTime);
+  const Millis at = std::clamp(made, aAnswer.mSentAt, aAnswer.mReceivedAt);
+  mStoreTime = aAnswer.mStoreTime;
   mFreshness.Confirm(at);
   mHooks.mOnConfirmed(at);
   DrawProofAge();
@@ -330,8 +332,8 @@
 {
   // Entries that hear each other do not all ask at once: the first one's
   // answer serves the others.
-  std::uniform_int_distribution<int64_t> age(mOptions.mBound.Count() / 2,
-                                             mOptions.mBound.Count());
+  std::uniform_int_distribution<int64_t> age(mOptions.mMaxAge.Count() / 2,
+                                             mOptions.mMaxAge.Count());
   mProofAge = Millis(age(mRandom));
 }
 
@@ -339,7 +341,7 @@
 TableWatch::NoteBack()
 {
   if (std::exchange(mFailures, 0) > 0) {
-    mHooks.mOnBack();
+    mHooks.mOnRecovered();
   }
 }
 
--- a/src/libtrefoilarch/tablewatch.h
+++ b/src/libtrefoilarch/tablewatch.h
@@ -13,31 +13,31 @@
 namespace trefoilarch {
 
 /** What a TableWatch asks the store. */
-struct TableQuestion
+struct TableQuery
 {
   enum class Kind : uint8_t
   {
-    Whole,   /**< all rows, in as many pages as it takes */
-    Changes, /**< what has changed; the store may hold the answer back */
-    Proof,   /**< the same, to be answered at once */
+    FullRead,     /**< all rows, in as many pages as it takes */
+    Changes,      /**< what has changed; the store may hold the answer back */
+    Verification, /**< the same, to be answered at once */
   };
 
-  Kind mKind = Kind::Whole;
+  Kind mKind = Kind::FullRead;
   /** Changes after this version are asked for. */
   uint64_t mAfter = 0;
   /** How long the store may hold the answer back. */
   Millis mWait;
   /** Without an answer for this long there will be none. */
-  Millis mSpan;
+  Millis mTimeout;
 
-  bool operator==(const TableQuestion&) const = default;
+  bool operator==(const TableQuery&) const = default;
 };
 
 /** What an answer of the store tells, its rows aside. */
-struct TableAnswer
+struct TableResponse
 {
-  Millis mAsked;
-  Millis mAnswered;
+  Millis mSentAt;
+  Millis mReceivedAt;
   /** The newest version that the answer goes up to. */
   uint64_t mVersion = 0;
   /** The newest version of the rows in it; 0 where that is not told. */
@@ -46,7 +46,7 @@
   /** It does not tell all: there is more behind. */
   bool mHasMore = false;
   /** The store's clock. */
-  Millis mReading;
+  Millis mStoreTime;
 };
 
 /** How a TableWatch carries out what it decides. */
@@ -54,33 +54,33 @@
 {
   /** Asks. A question for a proof is asked beside the others; any other one
    * takes the place of what was asked before. */
-  std::function<void(const TableQuestion&)> mAsk;
+  std::function<void(const TableQuery&)> mSendQuery;
   /** Drops every question that is under way, and its connection. */
-  std::function<void()> mAbandon;
+  std::function<void()> mCancelQueries;
   /** The copy was the newest at that instant. */
   std::function<void(Millis)> mOnConfirmed;
   /** The table can't be read: why, and how long an answer was waited for. */
   std::function<void(const std::string&, Millis)> mOnLost;
   /** It can be read again. */
-  std::function<void()> mOnBack;
+  std::function<void()> mOnRecovered;
 };
 
 /** How a table is watched. */
 struct TableWatchOptions
 {
   /** A copy that was not confirmed for this long has to be proved. */
-  Millis mBound{ 1000 };
+  Millis mMaxAge{ 1000 };
   /** How long the store may hold an answer back while nothing changes. */
   Millis mWait{ 25000 };
   /** Between an answer with changes and the next question, so that changes
    * that come in numbers are told together. */
-  Millis mGather{ 0 };
+  Millis mBatchDelay{ 0 };
   uint64_t mSeed = 1;
 
   /** The bound for a table whose changes have to be obeyed within that span:
    * what is left of it is for the store's answer and for the way to the
    * upstream. */
-  static constexpr Millis BoundFor(Millis aInForce) { return aInForce / 2; }
+  static constexpr Millis MaxAgeFor(Millis aInForce) { return aInForce / 2; }
 };
 
 /**
@@ -101,10 +101,10 @@
   void Start();
 
   /** A page of the whole table; the rows are all there where none follows. */
-  void OnPage(const TableAnswer& aPage);
+  void OnPage(const TableResponse& aPage);
   /** The answer to the question for changes. */
-  void OnChanges(const TableAnswer& aAnswer);
-  void OnProof(const TableAnswer& aAnswer);
+  void OnChanges(const TableResponse& aAnswer);
+  void OnVerification(const TableResponse& aAnswer);
   /** The store no longer has the history that was asked for. */
   void OnHistoryGone();
   /** A question failed, whichever. */
@@ -112,30 +112,30 @@
 
   /** What another entry knows. Where the table is lost, it may tell that the
    * store is back: NextTick() is then due sooner. */
-  void OnWord(const TableWord& aWord, Millis aNow);
+  void OnCheckpoint(const TableCheckpoint& aWord, Millis aNow);
   /** What this one knows; empty before the first answer. */
-  std::optional<TableWord> Word() const;
+  std::optional<TableCheckpoint> Checkpoint() const;
   /** The store's clock when the copy was last confirmed; set before it is told
    * that it was, and empty before the first time. */
-  std::optional<Millis> Reading() const { return mReading; }
+  std::optional<Millis> StoreTime() const { return mStoreTime; }
 
   /**
    * Whether this entry asks for changes, or hears of them from others that do.
    * What they do not tell shows by their words and by the next proof.
    */
-  void SetListening(bool aListening);
-  bool Listening() const { return mListening; }
+  void SetPollsStore(bool aListening);
+  bool PollsStore() const { return mListening; }
   /** How many entries ask the store, this one included: the fewer, the sooner
    * each asks again for a table that is lost. */
   void SetEntries(size_t aEntries) { mEntries = aEntries; }
   /** News from another entry: true where the copy takes those rows that are
    * newer than what it had. */
-  bool OnNews(uint64_t aAfter, uint64_t aUpTo);
+  bool OnUpdate(uint64_t aAfter, uint64_t aUpTo);
   /** The copy has every change up to here. */
   uint64_t Version() const { return mVersion; }
   /** A confirmation of that reading of the store's clock, or a later one, is
    * wanted as soon as it can be had. */
-  void WantReading(Millis aReading) { mWantedReading = aReading; }
+  void RequireStoreTime(Millis aReading) { mWantedReading = aReading; }
 
   /** Does what is due. */
   void Tick(Millis aNow);
@@ -147,11 +147,11 @@
 private:
   enum class Phase : uint8_t
   {
-    Reading,   /**< the whole table is asked for */
-    Following, /**< changes are asked for */
-    Gathering, /**< changes have come, and more may follow */
-    Lost,      /**< the next question waits for its time */
-    Asking,    /**< the table is lost, and a proof is asked for */
+    ReadingTable, /**< the whole table is asked for */
+    Following,    /**< changes are asked for */
+    Gathering,    /**< changes have come, and more may follow */
+    Lost,         /**< the next question waits for its time */
+    Asking,       /**< the table is lost, and a proof is asked for */
   };
 
   void Read();
@@ -159,32 +159,32 @@
   void Gather(Millis aNow);
   void Abandon();
   /** The store has answered another entry since this one lost it. */
-  bool WasReadSinceLost(const TableWord& aWord) const;
+  bool WasReadSinceLost(const TableCheckpoint& aWord) const;
   void AskProof();
   /** At the most, between two questions while the table is lost. */
   Millis LongestPause() const;
   /** When the next proof is due. */
   Millis ProofDue() const;
-  void TakeVersions(const TableAnswer& aAnswer);
-  void Confirm(const TableAnswer& aAnswer);
+  void TakeVersions(const TableResponse& aAnswer);
+  void Confirm(const TableResponse& aAnswer);
   void DrawProofAge();
   void NoteBack();
 
   TableWatchOptions mOptions;
   TableWatchHooks mHooks;
   std::mt19937_64 mRandom;
-  Phase mPhase = Phase::Reading;
+  Phase mPhase = Phase::ReadingTable;
   /** When the phase ends by itself. */
   Millis mPhaseEnds = Millis::Never();
   /** The copy has every change up to here; 0: it has yet to be read. */
   uint64_t mVersion = 0;
   uint64_t mLastChange = 0;
   /** The first page of a table that is being read. */
-  std::optional<TableAnswer> mFirstPage;
+  std::optional<TableResponse> mFirstPage;
   RemoteClock mClock;
   Freshness mFreshness;
   /** The store's clock when the copy was last confirmed. */
-  std::optional<Millis> mReading;
+  std::optional<Millis> mStoreTime;
   Millis mWantedReading;
   /** The age at which this entry asks for a proof. */
   Millis mProofAge;
--- a/src/libtrefoilarch/upstreamdirectory.cpp
+++ b/src/libtrefoilarch/upstreamdirectory.cpp
@@ -20,8 +20,8 @@
   const bool another = fresh || IsAnotherStart(place, aUpstream);
   aUpstream.mIncarnationNumber =
     another ? ++mIncarnations : place.mIncarnationNumber;
-  if (!another && !aUpstream.mBorn) {
-    aUpstream.mBorn = place.mBorn;
+  if (!another && !aUpstream.mStartTime) {
+    aUpstream.mStartTime = place.mStartTime;
   }
   const bool moved = place.mService != aUpstream.mService;
   place = std::move(aUpstream);
@@ -37,10 +37,10 @@
   if (aBefore.mAddress != aNow.mAddress) {
     return true;
   }
-  if (aBefore.mBorn && aNow.mBorn) {
+  if (aBefore.mStartTime && aNow.mStartTime) {
     // One that is earlier is another start too: a start has one time, and the
     // list is read in order, but the clock that tells it may be set back.
-    return aBefore.mBorn != aNow.mBorn;
+    return aBefore.mStartTime != aNow.mStartTime;
   }
   return aBefore.mSequence && aNow.mSequence &&
          *aNow.mSequence < *aBefore.mSequence;
@@ -89,10 +89,10 @@
 }
 
 void
-UpstreamDirectory::OnStoreTold(const ServedRun& aTold)
+UpstreamDirectory::OnStoreReport(const StoreServingInterval& aTold)
 {
   const Millis served = ServedWhenRead();
-  if (mStore.OnTold(aTold)) {
+  if (mStore.OnPeerReport(aTold)) {
     OnOutage(served);
   }
 }
@@ -100,7 +100,7 @@
 void
 UpstreamDirectory::OnListConfirmed(Millis aReading)
 {
-  mReading = aReading;
+  mStoreTime = aReading;
 }
 
 void
@@ -114,21 +114,21 @@
 Millis
 UpstreamDirectory::ServedWhenRead() const
 {
-  const auto& run = mStore.Run();
+  const auto& run = mStore.Interval();
   if (!run) {
     return Millis(0);
   }
   // The list may be confirmed by an answer of which the run does not know yet.
-  return std::max(Millis(0), std::min(mReading, run->mUntil) - run->mSince);
+  return std::max(Millis(0), std::min(mStoreTime, run->mUntil) - run->mSince);
 }
 
 std::optional<Millis>
-UpstreamDirectory::ReadingWanted() const
+UpstreamDirectory::RequiredStoreTime() const
 {
   if (mUnlisted.empty()) {
     return std::nullopt;
   }
-  return mStore.Run()->mSince + mOptions.mReturnSpan;
+  return mStore.Interval()->mSince + mOptions.mRelistWindow;
 }
 
 bool
@@ -141,7 +141,7 @@
   }
   const Millis served = ServedWhenRead();
   const Millis inAll = aUnlisted.mOffset + served;
-  return served >= mOptions.mReturnSpan || inAll >= mOptions.mMostServed;
+  return served >= mOptions.mRelistWindow || inAll >= mOptions.mMaxServingTime;
 }
 
 bool
--- a/src/libtrefoilarch/upstreamdirectory.h
+++ b/src/libtrefoilarch/upstreamdirectory.h
@@ -25,7 +25,7 @@
   Millis mColdFor;
   /** When its process started, Unix milliseconds; a process may start again
    * under its id. */
-  std::optional<int64_t> mBorn;
+  std::optional<int64_t> mStartTime;
   /** Its count of what it has said; begins anew with each start. */
   std::optional<uint64_t> mSequence;
   /** Set by the directory: tells one start under an id from another. */
@@ -51,10 +51,10 @@
 {
   /** Living upstreams that lapsed in an outage of the store are listed again
    * within this after its return. */
-  Millis mReturnSpan{ 2000 };
+  Millis mRelistWindow{ 2000 };
   /** One that is not listed again while the store serves for this long in all
    * is gone, however often the store goes away. */
-  Millis mMostServed{ 10000 };
+  Millis mMaxServingTime{ 10000 };
   StoreUptimeOptions mStore;
 };
 
@@ -79,15 +79,18 @@
 
   /** See StoreUptime. */
   void OnStoreAnswer(Millis aReading);
-  void OnStoreTold(const ServedRun& aTold);
-  const std::optional<ServedRun>& StoreRun() const { return mStore.Run(); }
+  void OnStoreReport(const StoreServingInterval& aTold);
+  const std::optional<StoreServingInterval>& StoreServing() const
+  {
+    return mStore.Interval();
+  }
   /** The list was the newest when the store's clock showed that; to be told
    * before the rows that came with it. */
   void OnListConfirmed(Millis aReading);
 
   /** A list that is the newest when the store's clock shows this tells whether
    * those that it lacks are gone; empty where it lacks none. */
-  std::optional<Millis> ReadingWanted() const;
+  std::optional<Millis> RequiredStoreTime() const;
 
   /** Drops what is gone by what is known of the store; true where that changed
    * anything. */
@@ -123,7 +126,7 @@
   std::map<UpstreamId, UnlistedUpstream> mUnlisted;
   StoreUptime mStore;
   /** The store's clock when the list was last the newest. */
-  Millis mReading;
+  Millis mStoreTime;
   uint64_t mIncarnations = 0;
 };
 
--- a/src/libtrefoilarch/upstreamlimits.cpp
+++ b/src/libtrefoilarch/upstreamlimits.cpp
@@ -44,7 +44,7 @@
 }
 
 void
-UpstreamLimits::OnTold(const LimitWord& aWord, Millis aNow)
+UpstreamLimits::OnPeerReport(const LimitReport& aWord, Millis aNow)
 {
   const bool known = mKnown.contains(aWord.mUpstream);
   if (aWord.mPerSecond || known) {
@@ -73,7 +73,7 @@
   mChanges.push_back({ .mUpstream = aUpstream,
                        .mBefore = before,
                        .mNow = aPerSecond,
-                       .mTold = aTold,
+                       .mFromPeer = aTold,
                        .mLasted = before ? aNow - known.mSince : Millis(0) });
   known.mPerSecond = aPerSecond;
   known.mToldAt.reset();
@@ -94,8 +94,8 @@
   return place == mKnown.end() ? std::nullopt : place->second.mPerSecond;
 }
 
-LimitWord
-UpstreamLimits::WordOf(const UpstreamId& aUpstream, Millis aNow) const
+LimitReport
+UpstreamLimits::ReportOf(const UpstreamId& aUpstream, Millis aNow) const
 {
   const auto place = mKnown.find(aUpstream);
   if (place == mKnown.end()) {
@@ -107,7 +107,7 @@
 }
 
 std::optional<Millis>
-UpstreamLimits::Since(const UpstreamId& aUpstream) const
+UpstreamLimits::LimitedSince(const UpstreamId& aUpstream) const
 {
   const auto place = mKnown.find(aUpstream);
   const bool limited = place != mKnown.end() && place->second.mPerSecond;
@@ -123,20 +123,20 @@
     }));
 }
 
-std::vector<LimitWord>
-UpstreamLimits::TakeWords(Millis aNow)
+std::vector<LimitReport>
+UpstreamLimits::TakeReports(Millis aNow)
 {
   mHasNews = false;
   std::erase_if(mKnown, [aNow](const auto& aKnown) {
     const Known& known = aKnown.second;
     return aNow - known.mAt > (known.mPerSecond ? kForgetSpan : kEndSpan);
   });
-  std::vector<LimitWord> words;
+  std::vector<LimitReport> words;
   for (auto& [id, known] : mKnown) {
     const bool due = !known.mToldAt || aNow - *known.mToldAt >= kRepeat;
-    if (due && words.size() < kMostWords) {
+    if (due && words.size() < kMaxReports) {
       known.mToldAt = aNow;
-      words.push_back(WordOf(id, aNow));
+      words.push_back(ReportOf(id, aNow));
     }
   }
   return words;
--- a/src/libtrefoilarch/upstreamlimits.h
+++ b/src/libtrefoilarch/upstreamlimits.h
@@ -22,7 +22,7 @@
 };
 
 /** What entries tell each other of an upstream's limit. */
-struct LimitWord
+struct LimitReport
 {
   UpstreamId mUpstream;
   /** Empty where it has none any more. */
@@ -30,7 +30,7 @@
   /** Since the answer that shows it. */
   Millis mAge;
 
-  bool operator==(const LimitWord&) const = default;
+  bool operator==(const LimitReport&) const = default;
 };
 
 /** A limit that began, changed, ended or could not be read, for the log. */
@@ -41,7 +41,7 @@
   std::optional<double> mNow;
   bool mUnreadable = false;
   /** Another entry told it. */
-  bool mTold = false;
+  bool mFromPeer = false;
   /** How long there had been a limit. */
   Millis mLasted;
 };
@@ -57,25 +57,25 @@
                 const std::optional<NamedLimit>& aLimit,
                 Millis aSentAt,
                 Millis aNow);
-  void OnTold(const LimitWord& aWord, Millis aNow);
+  void OnPeerReport(const LimitReport& aWord, Millis aNow);
   /** Another process has taken the upstream's place, or it is gone. */
   void Forget(const UpstreamId& aUpstream);
 
   /** Requests a second; empty where there is no limit. */
   std::optional<double> Of(const UpstreamId& aUpstream) const;
   /** What is known of the upstream, to be told. */
-  LimitWord WordOf(const UpstreamId& aUpstream, Millis aNow) const;
+  LimitReport ReportOf(const UpstreamId& aUpstream, Millis aNow) const;
   /** Since when the upstream has had a limit. */
-  std::optional<Millis> Since(const UpstreamId& aUpstream) const;
+  std::optional<Millis> LimitedSince(const UpstreamId& aUpstream) const;
   /** How many upstreams have one. */
   size_t Limited() const;
 
-  /** Words that TakeWords() gives at a time; the rest comes next. */
-  static constexpr size_t kMostWords = 16;
+  /** Reports that TakeReports() gives at a time; the rest comes next. */
+  static constexpr size_t kMaxReports = 16;
   /** What others have to be told now. */
-  std::vector<LimitWord> TakeWords(Millis aNow);
+  std::vector<LimitReport> TakeReports(Millis aNow);
   /** Something is to be told that is new. */
-  bool HasNews() const { return mHasNews; }
+  bool HasUpdate() const { return mHasNews; }
   /** Changes since this was last asked. */
   std::vector<LimitChange> TakeChanges();
 
--- a/src/libtrefoilgate/crashdatagram.cpp
+++ b/src/libtrefoilgate/crashdatagram.cpp
@@ -79,7 +79,7 @@
 } // namespace
 
 std::vector<uint8_t>
-EncodeCrashNews(const CrashNews& aNews)
+EncodeCrashNews(const CrashUpdate& aNews)
 {
   Json reports = Json::array();
   for (const CrashReport& each : aNews.mReports) {
@@ -87,8 +87,8 @@
     for (const RequestFingerprint& suspect : each.mSuspects) {
       Append(suspects, suspect);
     }
-    reports.push_back({ each.mStart.mUpstream,
-                        each.mStart.mBorn,
+    reports.push_back({ each.mIncarnation.mUpstream,
+                        each.mIncarnation.mStartTime,
                         MillisWithin(each.mAge, kMostAgeMs),
                         std::move(suspects) });
   }
@@ -98,11 +98,11 @@
     cleared.push_back(MillisWithin(each.mAge, kMostAgeMs));
   }
   Json trials = Json::array();
-  for (const RequestFingerprint& each : aNews.mTrials) {
+  for (const RequestFingerprint& each : aNews.mProbes) {
     Append(trials, each);
   }
   Json held = Json::array();
-  for (const HeldWord& each : aNews.mQuarantined) {
+  for (const QuarantineReport& each : aNews.mQuarantined) {
     Append(held, each.mRequest);
     held.push_back(MillisWithin(each.mSuspectFor, kMostAgeMs));
     held.push_back(MillisWithin(each.mIdleFor, kMostAgeMs));
@@ -114,18 +114,20 @@
                                         std::move(held) }));
 }
 
-std::optional<CrashNews>
+std::optional<CrashUpdate>
 DecodeCrashNews(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
   if (!IsNews(json)) {
     return std::nullopt;
   }
-  CrashNews news;
+  CrashUpdate news;
   for (const Json& each : json[1]) {
-    CrashReport report{ .mStart = { .mUpstream = each[0].get<std::string>(),
-                                    .mBorn = each[1].get<int64_t>() },
-                        .mAge = AgeAt(each, 2) };
+    CrashReport report{
+      .mIncarnation = { .mUpstream = each[0].get<std::string>(),
+                        .mStartTime = each[1].get<int64_t>() },
+      .mAge = AgeAt(each, 2)
+    };
     for (size_t place = 0; place < each[3].size(); place += 2) {
       report.mSuspects.push_back(RequestAt(each[3], place));
     }
@@ -136,7 +138,7 @@
                               .mAge = AgeAt(json[2], place + 2) });
   }
   for (size_t place = 0; place < json[3].size(); place += 2) {
-    news.mTrials.push_back(RequestAt(json[3], place));
+    news.mProbes.push_back(RequestAt(json[3], place));
   }
   for (size_t place = 0; place < json[4].size(); place += 4) {
     news.mQuarantined.push_back({ .mRequest = RequestAt(json[4], place),
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -63,12 +63,12 @@
 DirectoryOptions
 DirectoryOptionsOf(const GateSettings& aSettings)
 {
-  const Millis bound = TableWatchOptions::BoundFor(aSettings.mDrainSpan);
+  const Millis bound = TableWatchOptions::MaxAgeFor(aSettings.mDrainSpan);
   // An entry lapses after three heartbeats of silence, one of which may pass
   // before the outage and one after it.
   const Millis least =
     std::max(aSettings.mHeartbeat, bound + bound / kUsualGapPart);
-  return { .mStore = { .mLeastOutage = least } };
+  return { .mStore = { .mMinOutage = least } };
 }
 
 /** Entries that share the fleet's retries, before others are listed: one that
@@ -92,19 +92,20 @@
   : mLoop(aLoop)
   , mOptions(std::move(aOptions))
   , mLog({ .mProcess = mOptions.mSettings.mName })
-  , mRouter(
-      { .mDataCentre = mOptions.mSettings.mDataCentre,
-        .mKeyPolicyMaxAge = mOptions.mSettings.mKeyPolicyMaxAge,
-        .mRetries =
-          RetriesOf(mOptions.mSettings, EntriesAtStart(mOptions.mSettings)),
-        .mName = mOptions.mSettings.mName,
-        .mDirectory = DirectoryOptionsOf(mOptions.mSettings),
-        .mOnCrashUpdate = [this] { OnCrashUpdate(); },
-        .mOnLimitChange =
-          [this](const LimitChange& aChange) { LogLimit(aChange); },
-        .mOnPermitRequest =
-          [this](const AddressedAsk& aAsk) { mPeers.Ask(aAsk.mTo, aAsk.mAsk); },
-        .mSeed = mOptions.mSeed })
+  , mRouter({ .mDataCentre = mOptions.mSettings.mDataCentre,
+              .mKeyPolicyMaxAge = mOptions.mSettings.mKeyPolicyMaxAge,
+              .mRetries = RetriesOf(mOptions.mSettings,
+                                    EntriesAtStart(mOptions.mSettings)),
+              .mName = mOptions.mSettings.mName,
+              .mDirectory = DirectoryOptionsOf(mOptions.mSettings),
+              .mOnCrashUpdate = [this] { OnCrashUpdate(); },
+              .mOnLimitChange =
+                [this](const LimitChange& aChange) { LogLimit(aChange); },
+              .mOnPermitRequest =
+                [this](const AddressedPermitRequest& aAsk) {
+                  mPeers.Ask(aAsk.mTo, aAsk.mRequest);
+                },
+              .mSeed = mOptions.mSeed })
   , mPool(aLoop,
           { .mOnRefused =
               [this](const UpstreamId& aUpstream) {
@@ -276,27 +277,27 @@
     .mHasNotes = [this] { return mRouter.HasPeerUpdate(); },
     .mTakeNotes =
       [this] {
-        PeerNotes notes = mRouter.TakePeerUpdate(BootNow());
+        PeerUpdate notes = mRouter.TakePeerUpdate(BootNow());
         notes.mTables = mTables.mTell();
-        notes.mStoreRun = mRouter.Directory().StoreRun();
+        notes.mStoreServing = mRouter.Directory().StoreServing();
         return notes;
       },
     .mOnNotes =
-      [this](const PeerNotes& aNotes) {
+      [this](const PeerUpdate& aNotes) {
         mHeardAt[aNotes.mFrom] = BootNow();
         mRouter.OnPeerUpdate(aNotes, BootNow());
-        if (aNotes.mStoreRun) {
-          OnStoreTold(*aNotes.mStoreRun);
+        if (aNotes.mStoreServing) {
+          OnStoreReport(*aNotes.mStoreServing);
         }
         mTables.mOnTold(aNotes.mTables);
       },
-    .mOnNews = [this](const TableNews& aNews) { mTables.mOnNews(aNews); },
+    .mOnNews = [this](const TableUpdate& aNews) { mTables.mOnNews(aNews); },
     .mOnCrashUpdate =
-      [this](const CrashNews& aNews) {
+      [this](const CrashUpdate& aNews) {
         mRouter.OnCrashUpdate(aNews, BootNow());
       },
     .mOnPermitRequest =
-      [this](const std::string& aFrom, const PermitAsk& aAsk) {
+      [this](const std::string& aFrom, const PermitRequest& aAsk) {
         return mRouter.OnPermitRequest(aFrom, aAsk, BootNow());
       },
     .mOnPermitReply =
--- a/src/libtrefoilgate/gateway.h
+++ b/src/libtrefoilgate/gateway.h
@@ -39,12 +39,12 @@
  * where the hooks are not set. */
 struct TableHooks
 {
-  using Notes = std::vector<trefoilarch::TableNote>;
+  using Notes = std::vector<trefoilarch::PeerTableCheckpoint>;
 
   std::function<Notes()> mTell = [] { return Notes(); };
   std::function<void(const Notes&)> mOnTold = [](const Notes&) {};
-  std::function<void(const trefoilarch::TableNews&)> mOnNews =
-    [](const trefoilarch::TableNews&) {};
+  std::function<void(const trefoilarch::TableUpdate&)> mOnNews =
+    [](const trefoilarch::TableUpdate&) {};
   /** The list of upstreams is to be confirmed when the store's clock shows
    * that. */
   std::function<void(trefoilarch::Millis)> mOnListWanted =
@@ -97,7 +97,7 @@
   /** The other entries' addresses. */
   void SetPeers(const std::vector<std::string>& aAddresses);
   void SetTableHooks(TableHooks aHooks) { mTables = std::move(aHooks); }
-  void TellNews(const trefoilarch::TableNews& aNews) { mPeers.Tell(aNews); }
+  void TellNews(const trefoilarch::TableUpdate& aNews) { mPeers.Tell(aNews); }
   /** Where other entries reach this one; empty where they can't. */
   std::string PeerAddress() const { return mPeers.Address(); }
   /** When that entry was last heard; 0 for never. */
@@ -155,7 +155,7 @@
   /** Drops upstreams that are gone by what is known of the store, once the
    * event that is being handled is over: it may list some of them again. */
   void ExpireUpstreams();
-  void OnStoreTold(const trefoilarch::ServedRun& aRun);
+  void OnStoreReport(const trefoilarch::StoreServingInterval& aRun);
   /** Which upstreams are kept though the list lacks them. */
   void LogUnlisted();
   void LogLimit(const trefoilarch::LimitChange& aChange);
--- a/src/libtrefoilgate/gatewaycrashes.cpp
+++ b/src/libtrefoilgate/gatewaycrashes.cpp
@@ -28,11 +28,11 @@
 }
 
 std::vector<std::string>
-NamesOf(const std::vector<UpstreamStart>& aStarts)
+NamesOf(const std::vector<UpstreamIncarnation>& aStarts)
 {
   std::vector<std::string> names;
   names.reserve(aStarts.size());
-  for (const UpstreamStart& each : aStarts) {
+  for (const UpstreamIncarnation& each : aStarts) {
     names.push_back(each.mUpstream);
   }
   return names;
@@ -56,7 +56,7 @@
 void
 Gateway::TellCrashNews(bool aAgain)
 {
-  for (const CrashNews& each : mRouter.TakeCrashUpdates(aAgain, BootNow())) {
+  for (const CrashUpdate& each : mRouter.TakeCrashUpdates(aAgain, BootNow())) {
     mPeers.Tell(each);
   }
   LogCrashes();
@@ -68,8 +68,8 @@
   for (const UpstreamCrash& each : mRouter.TakeCrashes()) {
     mLog.Write(LineKind::Belief,
                "upstream_crashed",
-               { { "upstream", each.mStart.mUpstream },
-                 { "born", each.mStart.mBorn },
+               { { "upstream", each.mIncarnation.mUpstream },
+                 { "born", each.mIncarnation.mStartTime },
                  { "why", each.mReason },
                  { "suspects", each.mSuspects.size() },
                  { "fingerprints", TextsOf(each.mSuspects) } });
--- a/src/libtrefoilgate/gatewayoperator.cpp
+++ b/src/libtrefoilgate/gatewayoperator.cpp
@@ -76,9 +76,9 @@
   for (const QuarantinedRequest& each :
        mRouter.CrashQuarantine().Quarantined()) {
     auto crashes = nlohmann::json::array();
-    for (const UpstreamStart& start : each.mCrashes) {
+    for (const UpstreamIncarnation& start : each.mCrashes) {
       crashes.push_back(
-        { { "upstream", start.mUpstream }, { "born", start.mBorn } });
+        { { "upstream", start.mUpstream }, { "born", start.mStartTime } });
     }
     requests.push_back(
       { { "fingerprint", each.mRequest.Text() },
--- a/src/libtrefoilgate/gatewayupstreams.cpp
+++ b/src/libtrefoilgate/gatewayupstreams.cpp
@@ -40,7 +40,7 @@
     if (mRouter.Directory().Expire()) {
       OnDirectoryChanged();
     }
-    if (const auto wanted = mRouter.Directory().ReadingWanted()) {
+    if (const auto wanted = mRouter.Directory().RequiredStoreTime()) {
       mTables.mOnListWanted(*wanted);
     }
   });
@@ -62,9 +62,9 @@
 }
 
 void
-Gateway::OnStoreTold(const ServedRun& aRun)
+Gateway::OnStoreReport(const StoreServingInterval& aRun)
 {
-  mRouter.Directory().OnStoreTold(aRun);
+  mRouter.Directory().OnStoreReport(aRun);
   ExpireUpstreams();
 }
 
@@ -101,11 +101,11 @@
   } else if (aChange.mNow) {
     fields["per_second"] = *aChange.mNow;
     fields["before"] = aChange.mBefore.value_or(-1);
-    fields["told"] = aChange.mTold;
+    fields["told"] = aChange.mFromPeer;
   } else {
     event = "upstream_limit_ended";
     fields["lasted_ms"] = aChange.mLasted.Count();
-    fields["told"] = aChange.mTold;
+    fields["told"] = aChange.mFromPeer;
   }
   mLog.Write(LineKind::Belief, event, fields);
 }
--- a/src/libtrefoilgate/peerdatagram.cpp
+++ b/src/libtrefoilgate/peerdatagram.cpp
@@ -26,7 +26,7 @@
 constexpr size_t kMostAnswered = 32;
 constexpr size_t kMostSilent = 16;
 constexpr size_t kMostTables = 8;
-constexpr size_t kMostLimits = UpstreamLimits::kMostWords;
+constexpr size_t kMostLimits = UpstreamLimits::kMaxReports;
 
 /** Requests are told in hundredths. */
 constexpr double kHundred = 100;
@@ -47,10 +47,10 @@
 constexpr uint64_t kMostTokens = 1000000000;
 
 Json
-PendingOf(const PeerNotes& aNotes)
+PendingOf(const PeerUpdate& aNotes)
 {
   Json pending = Json::array();
-  for (const PendingRead& each : aNotes.mPending) {
+  for (const UpstreamPendingPrefill& each : aNotes.mPending) {
     if (pending.size() < kMostPending) {
       Json reads = Json::array({ each.mUpstream });
       for (uint8_t urgency = 0; urgency < PendingPrefill::kUrgencies;
@@ -64,7 +64,7 @@
 }
 
 Json
-SentOf(const PeerNotes& aNotes)
+SentOf(const PeerUpdate& aNotes)
 {
   Json sent = Json::array();
   for (const SentPrompt& each : aNotes.mSent) {
@@ -76,10 +76,10 @@
 }
 
 Json
-ReportsOf(const PeerNotes& aNotes)
+ReportsOf(const PeerUpdate& aNotes)
 {
   Json reports = Json::array();
-  for (const HeardReport& each : aNotes.mReports) {
+  for (const ReceivedLoadReport& each : aNotes.mReports) {
     const ReportedLoad& load = each.mLoad;
     const uint32_t most =
       std::max({ load.mRunning, load.mWaiting, load.mSlots });
@@ -102,7 +102,7 @@
 }
 
 Json
-DemandsOf(const PeerNotes& aNotes)
+DemandsOf(const PeerUpdate& aNotes)
 {
   Json demands = Json::array();
   for (const RouteDemand& each : aNotes.mDemands) {
@@ -121,7 +121,7 @@
 }
 
 Json
-SilentOf(const PeerNotes& aNotes)
+SilentOf(const PeerUpdate& aNotes)
 {
   Json silent = Json::array();
   for (const SilentUpstream& each : aNotes.mSilent) {
@@ -134,7 +134,7 @@
 }
 
 Json
-AnsweredOf(const PeerNotes& aNotes)
+AnsweredOf(const PeerUpdate& aNotes)
 {
   Json answered = Json::array();
   for (const UpstreamId& each : aNotes.mAnswered) {
@@ -146,14 +146,14 @@
 }
 
 Json
-TablesOf(const PeerNotes& aNotes)
+TablesOf(const PeerUpdate& aNotes)
 {
   Json tables = Json::array();
-  for (const TableNote& each : aNotes.mTables) {
-    const int64_t reading = each.mWord.mReading.Count();
+  for (const PeerTableCheckpoint& each : aNotes.mTables) {
+    const int64_t reading = each.mCheckpoint.mStoreTime.Count();
     if (tables.size() < kMostTables && reading >= 0) {
       tables.push_back({ each.mTable,
-                         each.mWord.mLastChange,
+                         each.mCheckpoint.mLastChange,
                          static_cast<uint64_t>(reading) });
     }
   }
@@ -162,21 +162,21 @@
 
 /** The newest answer and the run's length; nothing where there is no run. */
 Json
-StoreRunOf(const PeerNotes& aNotes)
+StoreRunOf(const PeerUpdate& aNotes)
 {
-  if (!aNotes.mStoreRun || aNotes.mStoreRun->mUntil < Millis(0)) {
+  if (!aNotes.mStoreServing || aNotes.mStoreServing->mUntil < Millis(0)) {
     return Json::array();
   }
-  const ServedRun& run = *aNotes.mStoreRun;
+  const StoreServingInterval& run = *aNotes.mStoreServing;
   return { static_cast<uint64_t>(run.mUntil.Count()),
            MillisWithin(run.mUntil - run.mSince, kMostRunMs) };
 }
 
 Json
-LimitsOf(const PeerNotes& aNotes)
+LimitsOf(const PeerUpdate& aNotes)
 {
   Json limits = Json::array();
-  for (const LimitWord& each : aNotes.mLimits) {
+  for (const LimitReport& each : aNotes.mLimits) {
     if (limits.size() < kMostLimits) {
       limits.push_back(LimitJson(each));
     }
@@ -294,7 +294,7 @@
 } // namespace
 
 std::vector<uint8_t>
-EncodeNotes(const PeerNotes& aNotes)
+EncodeNotes(const PeerUpdate& aNotes)
 {
   return Json::to_msgpack(Json::array({ kFormat,
                                         aNotes.mFrom,
@@ -311,18 +311,18 @@
                                         LimitsOf(aNotes) }));
 }
 
-std::optional<PeerNotes>
+std::optional<PeerUpdate>
 DecodeNotes(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
   if (!AreNotes(json)) {
     return std::nullopt;
   }
-  PeerNotes notes{ .mFrom = json[1].get<std::string>(),
-                   .mProcess = json[2].get<uint64_t>(),
-                   .mSequence = json[3].get<uint64_t>() };
+  PeerUpdate notes{ .mFrom = json[1].get<std::string>(),
+                    .mProcess = json[2].get<uint64_t>(),
+                    .mSequence = json[3].get<uint64_t>() };
   for (const Json& each : json[4]) {
-    PendingRead pending{ .mUpstream = each[0].get<std::string>() };
+    UpstreamPendingPrefill pending{ .mUpstream = each[0].get<std::string>() };
     for (uint8_t urgency = 0; urgency < PendingPrefill::kUrgencies; ++urgency) {
       pending.mPendingPrefill.Add(urgency, each[1 + urgency].get<uint64_t>());
     }
@@ -361,13 +361,14 @@
   for (const Json& each : json[10]) {
     notes.mTables.push_back(
       { .mTable = each[0].get<uint8_t>(),
-        .mWord = { .mLastChange = each[1].get<uint64_t>(),
-                   .mReading = Millis(each[2].get<int64_t>()) } });
+        .mCheckpoint = { .mLastChange = each[1].get<uint64_t>(),
+                         .mStoreTime = Millis(each[2].get<int64_t>()) } });
   }
   if (!json[11].empty()) {
     const Millis until(json[11][0].get<int64_t>());
-    notes.mStoreRun = { .mSince = until - Millis(json[11][1].get<int64_t>()),
-                        .mUntil = until };
+    notes.mStoreServing = { .mSince =
+                              until - Millis(json[11][1].get<int64_t>()),
+                            .mUntil = until };
   }
   for (const Json& each : json[12]) {
     notes.mLimits.push_back(LimitFrom(each));
@@ -376,7 +377,7 @@
 }
 
 std::vector<uint8_t>
-EncodeNews(const TableNews& aNews)
+EncodeNews(const TableUpdate& aNews)
 {
   Json rows = Json::array();
   for (const TableRow& row : aNews.mRows) {
@@ -385,34 +386,36 @@
                      row.mRemoved,
                      row.mVersion });
   }
-  const int64_t reading = aNews.mWord.mReading.Count();
+  const int64_t reading = aNews.mCheckpoint.mStoreTime.Count();
   Json news =
     Json::array({ kNewsFormat,
                   aNews.mTable,
-                  aNews.mWord.mLastChange,
+                  aNews.mCheckpoint.mLastChange,
                   static_cast<uint64_t>(std::max<int64_t>(0, reading)),
                   aNews.mAfter,
                   aNews.mUpTo,
                   std::move(rows) });
   std::vector<uint8_t> bytes = Json::to_msgpack(news);
   if (bytes.size() > kMostDatagramBytes && !aNews.mRows.empty()) {
-    return EncodeNews({ .mTable = aNews.mTable, .mWord = aNews.mWord });
+    return EncodeNews(
+      { .mTable = aNews.mTable, .mCheckpoint = aNews.mCheckpoint });
   }
   return bytes;
 }
 
-std::optional<TableNews>
+std::optional<TableUpdate>
 DecodeNews(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
   if (!IsNews(json)) {
     return std::nullopt;
   }
-  TableNews news{ .mTable = json[1].get<uint8_t>(),
-                  .mWord = { .mLastChange = json[2].get<uint64_t>(),
-                             .mReading = Millis(json[3].get<int64_t>()) },
-                  .mAfter = json[4].get<uint64_t>(),
-                  .mUpTo = json[5].get<uint64_t>() };
+  TableUpdate news{ .mTable = json[1].get<uint8_t>(),
+                    .mCheckpoint = { .mLastChange = json[2].get<uint64_t>(),
+                                     .mStoreTime =
+                                       Millis(json[3].get<int64_t>()) },
+                    .mAfter = json[4].get<uint64_t>(),
+                    .mUpTo = json[5].get<uint64_t>() };
   for (const Json& each : json[6]) {
     const Json::binary_t& value = each[1].get_binary();
     news.mRows.push_back({ .mKey = each[0].get<std::string>(),
--- a/src/libtrefoilgate/peerdatagram.h
+++ b/src/libtrefoilgate/peerdatagram.h
@@ -16,19 +16,19 @@
 /** Notes as one datagram between entries: MessagePack, arrays without names.
  * Prompts that find no room in it are left out. */
 std::vector<uint8_t>
-EncodeNotes(const trefoilarch::PeerNotes& aNotes);
+EncodeNotes(const trefoilarch::PeerUpdate& aNotes);
 
 /** News of a table as one datagram, without its rows where they find no room
  * in it: whoever lacks them asks the store. */
 std::vector<uint8_t>
-EncodeNews(const trefoilarch::TableNews& aNews);
+EncodeNews(const trefoilarch::TableUpdate& aNews);
 
 /** Empty where the bytes are no news. */
-std::optional<trefoilarch::TableNews>
+std::optional<trefoilarch::TableUpdate>
 DecodeNews(const std::vector<uint8_t>& aBytes);
 
 /** Empty where the bytes are no notes. */
-std::optional<trefoilarch::PeerNotes>
+std::optional<trefoilarch::PeerUpdate>
 DecodeNotes(const std::vector<uint8_t>& aBytes);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/peerlink.cpp
+++ b/src/libtrefoilgate/peerlink.cpp
@@ -29,7 +29,7 @@
 constexpr Millis kPausePerPeer{ 3 };
 
 /** In a larger fleet each entry tells some of the others, more slowly. */
-constexpr size_t kMostTold = trefoilarch::PeerRing::kMostTold;
+constexpr size_t kMaxReceivers = trefoilarch::PeerRing::kMaxReceivers;
 constexpr Millis kLongPause{ 640 };
 
 std::string
@@ -86,7 +86,7 @@
     }
     const Udp::endpoint peer(endpoint.address(), endpoint.port());
     mListed.insert(peer);
-    if (mTold.size() < kMostTold) {
+    if (mTold.size() < kMaxReceivers) {
       mTold.push_back(peer);
     }
   }
@@ -143,7 +143,7 @@
 }
 
 void
-PeerLink::OnPermitRequest(const trefoilarch::PermitAsk& aAsk)
+PeerLink::OnPermitRequest(const trefoilarch::PermitRequest& aAsk)
 {
   const Udp::endpoint from = mSender;
   if (const auto reply = mHooks.mOnPermitRequest(TextOf(from), aAsk)) {
@@ -152,7 +152,8 @@
 }
 
 void
-PeerLink::Ask(const std::string& aAddress, const trefoilarch::PermitAsk& aAsk)
+PeerLink::Ask(const std::string& aAddress,
+              const trefoilarch::PermitRequest& aAsk)
 {
   const auto endpoint = EndpointOf(aAddress);
   SendTo({ endpoint.address(), endpoint.port() }, EncodePermitAsk(aAsk));
@@ -177,13 +178,13 @@
 }
 
 void
-PeerLink::Tell(const trefoilarch::TableNews& aNews)
+PeerLink::Tell(const trefoilarch::TableUpdate& aNews)
 {
   Send(EncodeNews(aNews));
 }
 
 void
-PeerLink::Tell(const trefoilarch::CrashNews& aNews)
+PeerLink::Tell(const trefoilarch::CrashUpdate& aNews)
 {
   Send(EncodeCrashNews(aNews));
 }
@@ -208,7 +209,7 @@
 Millis
 PeerLink::Pause() const
 {
-  if (mListed.size() > kMostTold) {
+  if (mListed.size() > kMaxReceivers) {
     return kLongPause;
   }
   return std::max(kLeastPause,
--- a/src/libtrefoilgate/peerlink.h
+++ b/src/libtrefoilgate/peerlink.h
@@ -25,14 +25,14 @@
 {
   /** Whether there is something new to be told. */
   std::function<bool()> mHasNotes;
-  std::function<trefoilarch::PeerNotes()> mTakeNotes;
-  std::function<void(const trefoilarch::PeerNotes&)> mOnNotes;
-  std::function<void(const trefoilarch::TableNews&)> mOnNews;
-  std::function<void(const trefoilarch::CrashNews&)> mOnCrashUpdate;
+  std::function<trefoilarch::PeerUpdate()> mTakeNotes;
+  std::function<void(const trefoilarch::PeerUpdate&)> mOnNotes;
+  std::function<void(const trefoilarch::TableUpdate&)> mOnNews;
+  std::function<void(const trefoilarch::CrashUpdate&)> mOnCrashUpdate;
   /** Another entry, at that address, asks for a permit; empty: no answer. */
   std::function<std::optional<trefoilarch::PermitReply>(
     const std::string&,
-    const trefoilarch::PermitAsk&)>
+    const trefoilarch::PermitRequest&)>
     mOnPermitRequest;
   std::function<void(const trefoilarch::PermitReply&)> mOnPermitReply;
 };
@@ -56,10 +56,10 @@
   void SetPeers(const std::vector<std::string>& aAddresses);
 
   /** Tells what can't wait for the next notes. */
-  void Tell(const trefoilarch::TableNews& aNews);
-  void Tell(const trefoilarch::CrashNews& aNews);
+  void Tell(const trefoilarch::TableUpdate& aNews);
+  void Tell(const trefoilarch::CrashUpdate& aNews);
   /** Asks the entry at that address. */
-  void Ask(const std::string& aAddress, const trefoilarch::PermitAsk& aAsk);
+  void Ask(const std::string& aAddress, const trefoilarch::PermitRequest& aAsk);
 
   /** Where it listens; empty where it does not. */
   std::string Address() const;
@@ -80,7 +80,7 @@
   void TellNotes();
   void Send(const std::vector<uint8_t>& aBytes);
   void SendTo(const Udp::endpoint& aPeer, const std::vector<uint8_t>& aBytes);
-  void OnPermitRequest(const trefoilarch::PermitAsk& aAsk);
+  void OnPermitRequest(const trefoilarch::PermitRequest& aAsk);
   /** Between two messages: the fewer the more there are to tell it to. */
   Millis Pause() const;
 
--- a/src/libtrefoilgate/permitdatagram.cpp
+++ b/src/libtrefoilgate/permitdatagram.cpp
@@ -38,7 +38,7 @@
 } // namespace
 
 Json
-LimitJson(const LimitWord& aLimit)
+LimitJson(const LimitReport& aLimit)
 {
   return { aLimit.mUpstream,
            aLimit.mPerSecond.value_or(kNoLimit),
@@ -52,11 +52,11 @@
          IsPerSecond(aValue[1]) && IsAtMost(aValue[2], kMostMillis);
 }
 
-LimitWord
+LimitReport
 LimitFrom(const Json& aValue)
 {
-  LimitWord limit{ .mUpstream = aValue[0].get<std::string>(),
-                   .mAge = Millis(aValue[2].get<int64_t>()) };
+  LimitReport limit{ .mUpstream = aValue[0].get<std::string>(),
+                     .mAge = Millis(aValue[2].get<int64_t>()) };
   const auto perSecond = aValue[1].get<double>();
   if (perSecond != kNoLimit) {
     limit.mPerSecond = perSecond;
@@ -65,7 +65,7 @@
 }
 
 std::vector<uint8_t>
-EncodePermitAsk(const PermitAsk& aAsk)
+EncodePermitAsk(const PermitRequest& aAsk)
 {
   return Json::to_msgpack(Json::array({ kAskFormat,
                                         aAsk.mNumber,
@@ -85,7 +85,7 @@
                                         aReply.mFromUrgency }));
 }
 
-std::optional<PermitAsk>
+std::optional<PermitRequest>
 DecodePermitAsk(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
@@ -97,11 +97,11 @@
   if (!isAsk) {
     return std::nullopt;
   }
-  return PermitAsk{ .mNumber = json[1].get<uint64_t>(),
-                    .mLimit = LimitFrom(json[2]),
-                    .mCount = json[3].get<uint32_t>(),
-                    .mUrgency = json[4].get<uint8_t>(),
-                    .mRank = json[5].get<uint32_t>() };
+  return PermitRequest{ .mNumber = json[1].get<uint64_t>(),
+                        .mLimit = LimitFrom(json[2]),
+                        .mCount = json[3].get<uint32_t>(),
+                        .mUrgency = json[4].get<uint8_t>(),
+                        .mRank = json[5].get<uint32_t>() };
 }
 
 std::optional<PermitReply>
--- a/src/libtrefoilgate/permitdatagram.h
+++ b/src/libtrefoilgate/permitdatagram.h
@@ -11,20 +11,20 @@
 
 /** An upstream's limit as messages between entries hold it. */
 nlohmann::json
-LimitJson(const trefoilarch::LimitWord& aLimit);
+LimitJson(const trefoilarch::LimitReport& aLimit);
 bool
 IsLimitJson(const nlohmann::json& aValue);
 /** Of a value that IsLimitJson(). */
-trefoilarch::LimitWord
+trefoilarch::LimitReport
 LimitFrom(const nlohmann::json& aValue);
 
 std::vector<uint8_t>
-EncodePermitAsk(const trefoilarch::PermitAsk& aAsk);
+EncodePermitAsk(const trefoilarch::PermitRequest& aAsk);
 std::vector<uint8_t>
 EncodePermitReply(const trefoilarch::PermitReply& aReply);
 
 /** Empty where the bytes are no ask. */
-std::optional<trefoilarch::PermitAsk>
+std::optional<trefoilarch::PermitRequest>
 DecodePermitAsk(const std::vector<uint8_t>& aBytes);
 /** Empty where the bytes are no reply. */
 std::optional<trefoilarch::PermitReply>
--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -116,7 +116,7 @@
   cr_assert(upstream.has_value());
   cr_expect(upstream->mLeaving);
   cr_expect(upstream->mSlots == 6);
-  cr_expect(upstream->mBorn == 1700000000);
+  cr_expect(upstream->mStartTime == 1700000000);
   cr_expect(upstream->mSequence == 4U);
 }
 
@@ -126,7 +126,7 @@
   row.erase("born");
   const auto upstream = ReadRow(row);
   cr_assert(upstream.has_value());
-  cr_expect(!upstream->mBorn.has_value());
+  cr_expect(!upstream->mStartTime.has_value());
 }
 
 /** Whatever another writer may leave there names no upstream. */
@@ -264,7 +264,7 @@
   PendingPrefill reads;
   reads.Add(0, 10);
   reads.Add(2, 3000);
-  const PeerNotes notes{
+  const PeerUpdate notes{
     .mFrom = "gate-1",
     .mProcess = UINT64_MAX,
     .mSequence = 7,
@@ -286,11 +286,12 @@
     .mSilent = { { .mUpstream = "i-5", .mSilence = Millis(900) } },
     .mAnswered = { "i-4" },
     .mTables = { { .mTable = 1,
-                   .mWord = { .mLastChange = 4711,
-                              .mReading = Millis(98765) } } },
+                   .mCheckpoint = { .mLastChange = 4711,
+                                    .mStoreTime = Millis(98765) } } },
     .mLimits = { { .mUpstream = "i-6", .mPerSecond = 1.6, .mAge = Millis(30) },
                  { .mUpstream = "i-7", .mAge = Millis(2000) } },
-    .mStoreRun = ServedRun{ .mSince = Millis(90000), .mUntil = Millis(98765) }
+    .mStoreServing =
+      StoreServingInterval{ .mSince = Millis(90000), .mUntil = Millis(98765) }
   };
   const std::vector<uint8_t> bytes = EncodeNotes(notes);
   const auto read = DecodeNotes(bytes);
@@ -307,9 +308,9 @@
 
 Test(adapter, news_of_a_table_come_through_whole)
 {
-  const TableNews news{
+  const TableUpdate news{
     .mTable = 1,
-    .mWord = { .mLastChange = 12, .mReading = Millis(98765) },
+    .mCheckpoint = { .mLastChange = 12, .mStoreTime = Millis(98765) },
     .mAfter = 9,
     .mUpTo = 12,
     .mRows = { { .mKey = "i-1", .mValue = "{\"a\":\xff}", .mVersion = 11 },
@@ -331,9 +332,10 @@
 
 Test(adapter, news_that_find_no_room_are_a_word_alone)
 {
-  TableNews news{ .mWord = { .mLastChange = 300, .mReading = Millis(5) },
-                  .mAfter = 1,
-                  .mUpTo = 300 };
+  TableUpdate news{ .mCheckpoint = { .mLastChange = 300,
+                                     .mStoreTime = Millis(5) },
+                    .mAfter = 1,
+                    .mUpTo = 300 };
   for (uint64_t each = 2; each <= 300; ++each) {
     news.mRows.push_back({ .mKey = "i-" + std::to_string(each),
                            .mValue = std::string(100, 'v'),
@@ -343,13 +345,13 @@
   cr_expect(bytes.size() <= kMostDatagramBytes);
   const auto read = DecodeNews(bytes);
   cr_assert(read.has_value());
-  cr_expect(read->mWord == news.mWord);
+  cr_expect(read->mCheckpoint == news.mCheckpoint);
   cr_expect(read->mRows.empty());
 }
 
 Test(adapter, many_notes_make_one_datagram)
 {
-  PeerNotes notes{ .mFrom = "gate-1" };
+  PeerUpdate notes{ .mFrom = "gate-1" };
   for (int each = 0; each < 500; ++each) {
     notes.mPending.push_back({ .mUpstream = "i-" + std::to_string(each) });
     notes.mSent.push_back(
@@ -369,12 +371,12 @@
 /** One upstream's word must not make others drop all that an entry tells. */
 Test(adapter, an_upstream_that_reports_nonsense_spoils_no_message)
 {
-  const PeerNotes notes{ .mFrom = "gate-1",
-                         .mReports = { { .mUpstream = "i-1",
-                                         .mLoad = { .mRunning = UINT32_MAX } },
-                                       { .mUpstream = "i-2",
-                                         .mLoad = { .mRunning = 3 },
-                                         .mAge = Millis(-5) } } };
+  const PeerUpdate notes{ .mFrom = "gate-1",
+                          .mReports = { { .mUpstream = "i-1",
+                                          .mLoad = { .mRunning = UINT32_MAX } },
+                                        { .mUpstream = "i-2",
+                                          .mLoad = { .mRunning = 3 },
+                                          .mAge = Millis(-5) } } };
   const auto read = DecodeNotes(EncodeNotes(notes));
   cr_assert(read.has_value());
   cr_assert(read->mReports.size() == 1);
--- a/tests/platform/crashdatagramtest.cpp
+++ b/tests/platform/crashdatagramtest.cpp
@@ -10,18 +10,20 @@
 
 namespace {
 
-CrashNews
+CrashUpdate
 SomeNews()
 {
-  return { .mReports = { { .mStart = { .mUpstream = "i-1", .mBorn = 1700 },
-                           .mSuspects = { { 1, 2 }, { UINT64_MAX, 0 } },
-                           .mAge = Millis(12) },
-                         { .mStart = { .mUpstream = "i-2" } } },
-           .mCleared = { { .mRequest = { 3, 4 }, .mAge = Millis(5) } },
-           .mTrials = { { 5, 6 } },
-           .mQuarantined = { { .mRequest = { 7, 8 },
-                               .mSuspectFor = Millis(90),
-                               .mIdleFor = Millis(30) } } };
+  return {
+    .mReports = { { .mIncarnation = { .mUpstream = "i-1", .mStartTime = 1700 },
+                    .mSuspects = { { 1, 2 }, { UINT64_MAX, 0 } },
+                    .mAge = Millis(12) },
+                  { .mIncarnation = { .mUpstream = "i-2" } } },
+    .mCleared = { { .mRequest = { 3, 4 }, .mAge = Millis(5) } },
+    .mProbes = { { 5, 6 } },
+    .mQuarantined = { { .mRequest = { 7, 8 },
+                        .mSuspectFor = Millis(90),
+                        .mIdleFor = Millis(30) } }
+  };
 }
 
 } // namespace
@@ -62,9 +64,9 @@
 /** The longest message that is made finds room in what is read. */
 Test(crashdatagram, fits_a_datagram)
 {
-  CrashNews news;
-  CrashReport report{ .mStart = { .mUpstream = std::string(60, 'u'),
-                                  .mBorn = INT64_MAX },
+  CrashUpdate news;
+  CrashReport report{ .mIncarnation = { .mUpstream = std::string(60, 'u'),
+                                        .mStartTime = INT64_MAX },
                       .mAge = Millis(1000000) };
   for (uint64_t each = 0; each < 40; ++each) {
     report.mSuspects.push_back({ UINT64_MAX - each, UINT64_MAX });
--- a/tests/platform/peertabletest.cpp
+++ b/tests/platform/peertabletest.cpp
@@ -72,8 +72,8 @@
     [&](const std::string& aName) {
       return aHeard.contains(aName) ? BootNow() : Millis(0);
     },
-    { .mOnStoreRead = [](const trefoilarch::TableWord&) {},
-      .mOnNews = [](const trefoilarch::TableNews&) {} });
+    { .mOnStoreRead = [](const trefoilarch::TableCheckpoint&) {},
+      .mOnNews = [](const trefoilarch::TableUpdate&) {} });
   table.Start();
   loop.run_for(std::chrono::milliseconds(5000));
 }
--- a/tests/platform/permitdatagramtest.cpp
+++ b/tests/platform/permitdatagramtest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-PermitAsk
+PermitRequest
 SomeAsk()
 {
   return {
@@ -35,7 +35,7 @@
 {
   cr_expect(DecodePermitAsk(EncodePermitAsk(SomeAsk())) == SomeAsk());
   cr_expect(DecodePermitReply(EncodePermitReply(SomeReply())) == SomeReply());
-  PermitAsk ended = SomeAsk();
+  PermitRequest ended = SomeAsk();
   ended.mLimit.mPerSecond.reset();
   cr_expect(DecodePermitAsk(EncodePermitAsk(ended)) == ended);
 }
--- a/tests/replay/gates.cpp
+++ b/tests/replay/gates.cpp
@@ -425,7 +425,7 @@
     }
     mTime.After(mTellSpan, [this, from = &aRouter] {
       mTelling.erase(from);
-      const PeerNotes notes = from->TakePeerUpdate(mTime.Now());
+      const PeerUpdate notes = from->TakePeerUpdate(mTime.Now());
       for (DirectRouter* router : ToldBy(*from)) {
         router->OnPeerUpdate(notes, mTime.Now());
       }
--- a/tests/unit/crashdetectortest.cpp
+++ b/tests/unit/crashdetectortest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const UpstreamStart kStart{ .mUpstream = "u", .mBorn = 1 };
+const UpstreamIncarnation kStart{ .mUpstream = "u", .mStartTime = 1 };
 constexpr RequestFingerprint kOne{ 1, 1 };
 constexpr RequestFingerprint kTwo{ 2, 2 };
 
@@ -62,7 +62,7 @@
 {
   CrashDetector detector;
   detector.OnConnectionLost(kStart, kOne, Millis(1000));
-  const UpstreamStart next{ .mUpstream = "u", .mBorn = 2 };
+  const UpstreamIncarnation next{ .mUpstream = "u", .mStartTime = 2 };
   cr_expect(detector.OnEnded(next, Millis(1001)).empty());
   cr_expect(detector.IsCrashSuspected(kStart));
 }
--- a/tests/unit/freshnesstest.cpp
+++ b/tests/unit/freshnesstest.cpp
@@ -32,7 +32,8 @@
       for (const auto& [there, held, back] : aPolls) {
         const int64_t asked = now;
         const int64_t made = asked + there + held;
-        const Millis date = clock.DateOf(Millis(asked), Millis(made - kOffset));
+        const Millis date =
+          clock.RespondedAt(Millis(asked), Millis(made - kOffset));
         RC_ASSERT(date.Count() <= made);
         now = made + back;
       }
@@ -43,8 +44,8 @@
 Test(freshness, a_long_poll_is_dated_to_within_a_round_trip)
 {
   RemoteClock clock;
-  clock.DateOf(Millis(1000), Millis(51)); // asked at 1000, made at 1001
-  const Millis date = clock.DateOf(Millis(1002), Millis(2053));
+  clock.RespondedAt(Millis(1000), Millis(51)); // asked at 1000, made at 1001
+  const Millis date = clock.RespondedAt(Millis(1002), Millis(2053));
   // Made at 3003, with a round trip of 2 ms.
   cr_expect(date >= Millis(3001) && date <= Millis(3003));
 }
@@ -54,21 +55,21 @@
 Test(freshness, clocks_drift_while_an_answer_is_held_back)
 {
   RemoteClock clock;
-  clock.DateOf(Millis(1000), Millis(1000)); // made at 1000
-  cr_expect(clock.DateOf(Millis(1000), Millis(26003)) <= Millis(26000));
+  clock.RespondedAt(Millis(1000), Millis(1000)); // made at 1000
+  cr_expect(clock.RespondedAt(Millis(1000), Millis(26003)) <= Millis(26000));
 }
 
 /** Two questions at a time: the one that was asked first is answered last. */
 Test(freshness, an_answer_to_an_older_question_is_not_dated_too_late)
 {
   RemoteClock clock;
-  clock.DateOf(Millis(20000), Millis(20000)); // made at 20000
-  cr_expect(clock.DateOf(Millis(0), Millis(20003)) <= Millis(20003));
+  clock.RespondedAt(Millis(20000), Millis(20000)); // made at 20000
+  cr_expect(clock.RespondedAt(Millis(0), Millis(20003)) <= Millis(20003));
 }
 
 Test(freshness, a_reading_that_jumps_back_starts_anew)
 {
   RemoteClock clock;
-  clock.DateOf(Millis(1000), Millis(5000));
-  cr_expect(clock.DateOf(Millis(2000), Millis(10)) == Millis(2000));
+  clock.RespondedAt(Millis(1000), Millis(5000));
+  cr_expect(clock.RespondedAt(Millis(2000), Millis(10)) == Millis(2000));
 }
--- a/tests/unit/keyfreshnesstest.cpp
+++ b/tests/unit/keyfreshnesstest.cpp
@@ -70,8 +70,8 @@
 private:
   struct Answer
   {
-    Millis mAsked;
-    Millis mReading;
+    Millis mSentAt;
+    Millis mStoreTime;
     std::shared_ptr<const RoutePolicy> mPolicy;
   };
 
@@ -94,7 +94,7 @@
 
   void Ask()
   {
-    const bool atOnce = mFailed || mClock.WantsQuickAnswer(mNow);
+    const bool atOnce = mFailed || mClock.NeedsMeasurement(mNow);
     const Millis wait = atOnce ? Millis(0) : kPoll;
     const uint64_t poll = ++mPolls;
     const Millis asked = mNow;
@@ -125,8 +125,8 @@
     if (mCut || Fault(5)) {
       return;
     }
-    const Answer answer{ .mAsked = aAsked,
-                         .mReading = Reading(),
+    const Answer answer{ .mSentAt = aAsked,
+                         .mStoreTime = Reading(),
                          .mPolicy = mStored };
     // An answer may lie about for long on its way.
     const int64_t way = Fault(5) ? Draw(3000) : 1 + Draw(8);
@@ -142,8 +142,8 @@
     }
     mFailed = false;
     mRouter.SetPolicy(aAnswer.mPolicy);
-    const Millis made = mClock.DateOf(aAnswer.mAsked, aAnswer.mReading);
-    mRouter.ConfirmPolicy(std::clamp(made, aAnswer.mAsked, mNow));
+    const Millis made = mClock.RespondedAt(aAnswer.mSentAt, aAnswer.mStoreTime);
+    mRouter.ConfirmPolicy(std::clamp(made, aAnswer.mSentAt, mNow));
     Ask();
   }
 
@@ -243,10 +243,10 @@
     RemoteClock clock;
     int64_t worst = 0;
     for (int64_t now = 0; now < 3 * kDay;) {
-      const bool quick = clock.WantsQuickAnswer(Millis(now));
+      const bool quick = clock.NeedsMeasurement(Millis(now));
       const int64_t made = now + (quick ? 2 : 2402);
       const int64_t reading = made + made * drift / kMillion;
-      const Millis date = clock.DateOf(Millis(now), Millis(reading));
+      const Millis date = clock.RespondedAt(Millis(now), Millis(reading));
       cr_assert(date.Count() <= made,
                 "%d ms late",
                 static_cast<int>(date.Count() - made));
--- a/tests/unit/listlapsetest.cpp
+++ b/tests/unit/listlapsetest.cpp
@@ -178,7 +178,7 @@
 
   int64_t UntilWanted(const Entry& aEntry) const
   {
-    const auto wanted = aEntry.mDirectory.ReadingWanted();
+    const auto wanted = aEntry.mDirectory.RequiredStoreTime();
     constexpr int64_t kLong = 1000000;
     return wanted ? std::max<int64_t>(1, (*wanted - Reading()).Count()) + 20
                   : kLong;
@@ -245,7 +245,7 @@
 
   void Tell(Entry& aEntry)
   {
-    const auto run = aEntry.mDirectory.StoreRun();
+    const auto run = aEntry.mDirectory.StoreServing();
     for (Entry& other : mEntries) {
       const bool heard = run && !IsAlone(aEntry) && !Chance(20);
       if (&other != &aEntry && heard) {
@@ -255,13 +255,13 @@
     After(20 + Draw(480), [this, &aEntry] { Tell(aEntry); });
   }
 
-  void Hear(Entry& aEntry, const ServedRun& aRun)
+  void Hear(Entry& aEntry, const StoreServingInterval& aRun)
   {
     if (IsAlone(aEntry)) {
       return;
     }
-    const auto before = aEntry.mDirectory.StoreRun();
-    aEntry.mDirectory.OnStoreTold(aRun);
+    const auto before = aEntry.mDirectory.StoreServing();
+    aEntry.mDirectory.OnStoreReport(aRun);
     if (!aEntry.mLost && UntilWanted(aEntry) < 500) {
       AskIn(aEntry, UntilWanted(aEntry));
     }
--- a/tests/unit/peerringtest.cpp
+++ b/tests/unit/peerringtest.cpp
@@ -25,7 +25,7 @@
 {
   const PeerRing ring(aFrom, aNames);
   const auto& others = ring.Others();
-  const size_t told = std::min(PeerRing::kMostTold, others.size());
+  const size_t told = std::min(PeerRing::kMaxReceivers, others.size());
   const auto end = others.begin() + static_cast<std::ptrdiff_t>(told);
   return std::find(others.begin(), end, aTo) != end;
 }
@@ -38,8 +38,8 @@
   for (const size_t count : { 2, 5, 41, 42, 100 }) {
     const auto names = Names(count);
     for (const std::string& own : names) {
-      const auto tellers = PeerRing(own, names).Tellers();
-      cr_expect(tellers.size() == std::min(PeerRing::kMostTold, count - 1));
+      const auto tellers = PeerRing(own, names).Senders();
+      cr_expect(tellers.size() == std::min(PeerRing::kMaxReceivers, count - 1));
       for (const std::string& other : names) {
         const bool waited =
           std::find(tellers.begin(), tellers.end(), other) != tellers.end();
@@ -57,17 +57,17 @@
     size_t listeners = 0;
     for (const std::string& own : names) {
       const PeerRing ring(own, names);
-      listeners += ring.Listens() ? 1 : 0;
-      size_t heard = ring.Listens() ? 1 : 0;
-      for (const std::string& teller : ring.Tellers()) {
-        heard += PeerRing(teller, names).Listens() ? 1 : 0;
+      listeners += ring.PollsStore() ? 1 : 0;
+      size_t heard = ring.PollsStore() ? 1 : 0;
+      for (const std::string& teller : ring.Senders()) {
+        heard += PeerRing(teller, names).PollsStore() ? 1 : 0;
       }
       cr_expect(
         heard >= std::min<size_t>(3, count), "%zu of %zu", heard, count);
     }
     cr_expect(listeners <= 3 + count / 13, "%zu of %zu", listeners, count);
   }
-  cr_expect(PeerRing("new", Names(50)).Listens(), "nobody tells it yet");
+  cr_expect(PeerRing("new", Names(50)).PollsStore(), "nobody tells it yet");
 }
 
 Test(peerring, one_that_is_not_listed_yet_has_its_place)
@@ -77,5 +77,5 @@
     "gate-1002", "gate-1003", "gate-1000", "gate-1001"
   };
   cr_expect(ring.Others() == others);
-  cr_expect(PeerRing("gate", {}).Tellers().empty());
+  cr_expect(PeerRing("gate", {}).Senders().empty());
 }
--- a/tests/unit/peerworktest.cpp
+++ b/tests/unit/peerworktest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-PeerNotes
+PeerUpdate
 Notes(const char* aFrom, uint64_t aSequence, uint64_t aTokens)
 {
   PendingPrefill reads;
@@ -48,7 +48,7 @@
 {
   PeerWork work;
   work.Take(Notes("a", 900, 100), Millis(0));
-  PeerNotes fresh = Notes("a", 1, 40);
+  PeerUpdate fresh = Notes("a", 1, 40);
   fresh.mProcess = 2;
   cr_expect(work.Take(fresh, Millis(10)));
   cr_expect(Pending(work) == 40);
--- a/tests/unit/permittest.cpp
+++ b/tests/unit/permittest.cpp
@@ -74,7 +74,7 @@
   struct Entry
   {
     std::string mAddress;
-    std::unique_ptr<PermitAsker> mAsker;
+    std::unique_ptr<PermitRequester> mAsker;
     std::unique_ptr<PermitIssuer> mIssuer;
     uint64_t mProcess = 0;
     Millis mDownUntil;
@@ -92,7 +92,7 @@
 
   static void Start(Entry& aEntry)
   {
-    aEntry.mAsker = std::make_unique<PermitAsker>();
+    aEntry.mAsker = std::make_unique<PermitRequester>();
     aEntry.mIssuer = std::make_unique<PermitIssuer>();
     aEntry.mProcess++;
     aEntry.mWaits = false;
@@ -132,9 +132,9 @@
     Entry& entry = mEntries[aEntry];
     const auto urgency = static_cast<uint8_t>(Draw(3));
     PermitState state = entry.mAsker->StateOf("u", urgency, mNow);
-    if (state == PermitState::Unasked) {
+    if (state == PermitState::NotRequested) {
       Send(aEntry,
-           entry.mAsker->Ask(
+           entry.mAsker->MakeRequest(
              { .mUpstream = "u", .mPerSecond = mSetting.mPerSecond },
              urgency,
              mNow));
@@ -143,7 +143,7 @@
     if (state == PermitState::Granted) {
       entry.mAsker->Use("u");
       OnArrival();
-    } else if (state == PermitState::Asked) {
+    } else if (state == PermitState::Requested) {
       entry.mWaits = true;
       Await(aEntry, urgency);
     }
@@ -161,7 +161,7 @@
         return;
       }
       const PermitState state = entry.mAsker->StateOf("u", aUrgency, mNow);
-      if (state == PermitState::Asked) {
+      if (state == PermitState::Requested) {
         Await(aEntry, aUrgency);
         return;
       }
@@ -181,7 +181,7 @@
 
   int64_t Way() { return Chance(mLoss) ? Draw(3000) : 1 + Draw(3); }
 
-  void Send(size_t aFrom, const AddressedAsk& aAsk)
+  void Send(size_t aFrom, const AddressedPermitRequest& aAsk)
   {
     const auto place =
       std::find_if(mEntries.begin(), mEntries.end(), [&](const Entry& aEntry) {
@@ -189,25 +189,25 @@
       });
     Entry& to = *place;
     if (&to == &mEntries[aFrom]) {
-      Answer(aFrom, to, aAsk.mAsk, true);
+      Answer(aFrom, to, aAsk.mRequest, true);
       return;
     }
     if (Chance(mLoss)) {
       return;
     }
-    After(Way(), [this, aFrom, &to, ask = aAsk.mAsk] {
+    After(Way(), [this, aFrom, &to, ask = aAsk.mRequest] {
       Answer(aFrom, to, ask, false);
     });
   }
 
-  void Answer(size_t aFrom, Entry& aTo, const PermitAsk& aAsk, bool aSelf)
+  void Answer(size_t aFrom, Entry& aTo, const PermitRequest& aAsk, bool aSelf)
   {
     Entry& from = mEntries[aFrom];
     if (!Runs(aTo) || !Meet(from, aTo)) {
       return;
     }
     const auto reply =
-      aTo.mIssuer->OnAsk(from.mAddress, aAsk, mSetting.mPerSecond, mNow);
+      aTo.mIssuer->OnRequest(from.mAddress, aAsk, mSetting.mPerSecond, mNow);
     if (!reply) {
       return;
     }
@@ -295,7 +295,7 @@
 
 namespace {
 
-PermitAsk
+PermitRequest
 AskWith(uint8_t aUrgency, uint32_t aRank = 0)
 {
   return { .mNumber = 1,
@@ -305,9 +305,9 @@
 }
 
 bool
-Grants(PermitIssuer& aIssuer, const PermitAsk& aAsk, Millis aNow)
+Grants(PermitIssuer& aIssuer, const PermitRequest& aAsk, Millis aNow)
 {
-  return aIssuer.OnAsk("e", aAsk, 1, aNow)->mGranted > 0;
+  return aIssuer.OnRequest("e", aAsk, 1, aNow)->mGranted > 0;
 }
 
 } // namespace
@@ -319,7 +319,7 @@
   cr_expect(!Grants(issuer, AskWith(2), Millis(900)), "none there yet");
   cr_expect(Grants(issuer, AskWith(0), Millis(1000)));
   cr_expect(!Grants(issuer, AskWith(0), Millis(1900)));
-  const auto reply = issuer.OnAsk("e", AskWith(2), 1, Millis(2100));
+  const auto reply = issuer.OnRequest("e", AskWith(2), 1, Millis(2100));
   cr_expect(reply->mGranted == 0, "kept for the more urgent");
   cr_expect(reply->mFromUrgency == 2, "who may ask on");
   cr_expect(Grants(issuer, AskWith(0), Millis(2110)));
@@ -329,7 +329,7 @@
 Test(permit, one_that_is_told_when_to_ask_finds_a_permit_then)
 {
   PermitIssuer issuer;
-  const auto reply = issuer.OnAsk("e", AskWith(0), 1, Millis(0));
+  const auto reply = issuer.OnRequest("e", AskWith(0), 1, Millis(0));
   cr_expect(reply->mGranted == 0 && reply->mWait > Millis(900));
   cr_expect(Grants(issuer, AskWith(0), reply->mWait));
 }
@@ -348,63 +348,67 @@
 {
   PermitIssuer issuer;
   issuer.Join(Millis(100));
-  cr_expect(!issuer.OnAsk("e", AskWith(0), 1, Millis(4000)));
-  cr_expect(issuer.OnAsk("e", AskWith(0), 1, Millis(4100)).has_value());
+  cr_expect(!issuer.OnRequest("e", AskWith(0), 1, Millis(4000)));
+  cr_expect(issuer.OnRequest("e", AskWith(0), 1, Millis(4100)).has_value());
 }
 
 Test(permit, an_issuer_that_gives_no_answer_is_passed_over)
 {
-  PermitAsker asker;
+  PermitRequester asker;
   asker.SetEntries("a", { "b", "c" });
-  const LimitWord limit{ .mUpstream = "u", .mPerSecond = 1 };
-  const AddressedAsk first = asker.Ask(limit, 0, Millis(0));
-  cr_expect(first.mAsk.mRank == 0);
-  cr_expect(asker.StateOf("u", 0, Millis(39)) == PermitState::Asked);
+  const LimitReport limit{ .mUpstream = "u", .mPerSecond = 1 };
+  const AddressedPermitRequest first = asker.MakeRequest(limit, 0, Millis(0));
+  cr_expect(first.mRequest.mRank == 0);
+  cr_expect(asker.StateOf("u", 0, Millis(39)) == PermitState::Requested);
   cr_expect(asker.StateOf("u", 0, Millis(40)) == PermitState::Denied);
-  cr_expect(asker.StateOf("u", 0, Millis(140)) == PermitState::Unasked);
-  cr_expect(asker.Ask(limit, 0, Millis(140)).mTo == first.mTo,
+  cr_expect(asker.StateOf("u", 0, Millis(140)) == PermitState::NotRequested);
+  cr_expect(asker.MakeRequest(limit, 0, Millis(140)).mTo == first.mTo,
             "once is chance");
   cr_expect(asker.StateOf("u", 0, Millis(180)) == PermitState::Denied);
-  const AddressedAsk next = asker.Ask(limit, 0, Millis(300));
-  cr_expect(next.mTo != first.mTo && next.mAsk.mRank == 1);
-  cr_expect(asker.Ask(limit, 0, Millis(2300)).mTo == first.mTo, "tried again");
+  const AddressedPermitRequest next = asker.MakeRequest(limit, 0, Millis(300));
+  cr_expect(next.mTo != first.mTo && next.mRequest.mRank == 1);
+  cr_expect(asker.MakeRequest(limit, 0, Millis(2300)).mTo == first.mTo,
+            "tried again");
 }
 
 Test(permit, an_answer_that_comes_late_grants_nothing)
 {
-  PermitAsker asker;
+  PermitRequester asker;
   asker.SetEntries("a", { "b" });
-  const AddressedAsk ask = asker.Ask({ .mUpstream = "u" }, 0, Millis(0));
-  asker.OnReply({ .mNumber = ask.mAsk.mNumber, .mGranted = 1 }, Millis(50));
+  const AddressedPermitRequest ask =
+    asker.MakeRequest({ .mUpstream = "u" }, 0, Millis(0));
+  asker.OnReply({ .mNumber = ask.mRequest.mNumber, .mGranted = 1 }, Millis(50));
   cr_expect(asker.StateOf("u", 0, Millis(50)) != PermitState::Granted);
 }
 
 Test(permit, requests_that_went_elsewhere_meanwhile_are_asked_for_next)
 {
-  PermitAsker asker;
-  const LimitWord limit{ .mUpstream = "u", .mPerSecond = 100 };
-  cr_expect(asker.Ask(limit, 0, Millis(0)).mAsk.mCount == 1);
+  PermitRequester asker;
+  const LimitReport limit{ .mUpstream = "u", .mPerSecond = 100 };
+  cr_expect(asker.MakeRequest(limit, 0, Millis(0)).mRequest.mCount == 1);
   asker.NoteMissed("u");
   asker.NoteMissed("u");
-  const AddressedAsk next = asker.Ask(limit, 0, Millis(1));
-  cr_expect(next.mAsk.mCount == 3);
-  asker.OnReply({ .mNumber = next.mAsk.mNumber, .mGranted = 2 }, Millis(2));
+  const AddressedPermitRequest next = asker.MakeRequest(limit, 0, Millis(1));
+  cr_expect(next.mRequest.mCount == 3);
+  asker.OnReply({ .mNumber = next.mRequest.mNumber, .mGranted = 2 }, Millis(2));
   asker.Use("u");
   cr_expect(asker.StateOf("u", 0, Millis(3)) == PermitState::Granted);
   asker.Use("u");
-  cr_expect(asker.StateOf("u", 0, Millis(3)) == PermitState::Unasked);
+  cr_expect(asker.StateOf("u", 0, Millis(3)) == PermitState::NotRequested);
   cr_expect(asker.Used("u") == 2);
 }
 
 Test(permit, a_denial_holds_for_those_that_it_names)
 {
-  PermitAsker asker;
-  const AddressedAsk ask = asker.Ask({ .mUpstream = "u" }, 2, Millis(0));
-  asker.OnReply(
-    { .mNumber = ask.mAsk.mNumber, .mWait = Millis(500), .mFromUrgency = 2 },
-    Millis(1));
+  PermitRequester asker;
+  const AddressedPermitRequest ask =
+    asker.MakeRequest({ .mUpstream = "u" }, 2, Millis(0));
+  asker.OnReply({ .mNumber = ask.mRequest.mNumber,
+                  .mWait = Millis(500),
+                  .mFromUrgency = 2 },
+                Millis(1));
   cr_expect(asker.StateOf("u", 2, Millis(100)) == PermitState::Denied);
-  cr_expect(asker.StateOf("u", 0, Millis(100)) == PermitState::Unasked);
+  cr_expect(asker.StateOf("u", 0, Millis(100)) == PermitState::NotRequested);
   cr_expect(asker.WaitFor("u", 2, Millis(101)) == Millis(400));
-  cr_expect(asker.StateOf("u", 2, Millis(501)) == PermitState::Unasked);
+  cr_expect(asker.StateOf("u", 2, Millis(501)) == PermitState::NotRequested);
 }
--- a/tests/unit/quarantinefleet.cpp
+++ b/tests/unit/quarantinefleet.cpp
@@ -203,7 +203,7 @@
   for (const Running& each : running) {
     byEntry[each.mRequest.mEntry].push_back(each.mRequest);
   }
-  const UpstreamStart start = upstream.mStart;
+  const UpstreamIncarnation start = upstream.mIncarnation;
   for (const auto& [entry, requests] : byEntry) {
     At(mNow + Millis(1 + Below(kNoticeMs)),
        [this, entry = entry, requests = requests, start] {
@@ -229,16 +229,17 @@
 QuarantineFleet::Back(size_t aUpstream)
 {
   mUpstreams[aUpstream].mUp = true;
-  mUpstreams[aUpstream].mStart = { .mUpstream = "u" + std::to_string(aUpstream),
-                                   .mBorn = mBorn++ };
+  mUpstreams[aUpstream].mIncarnation = { .mUpstream =
+                                           "u" + std::to_string(aUpstream),
+                                         .mStartTime = mStartTime++ };
 }
 
 void
 QuarantineFleet::Tell(size_t aEntry, bool aAgain)
 {
-  const auto parts = mEntries[aEntry].TakeNews(aAgain, mNow);
+  const auto parts = mEntries[aEntry].TakeUpdates(aAgain, mNow);
   const size_t told = std::min(mOptions.mTold, mEntries.size() - 1);
-  for (const CrashNews& part : parts) {
+  for (const CrashUpdate& part : parts) {
     for (size_t each = 1; each <= told; ++each) {
       const size_t other = (aEntry + each) % mEntries.size();
       mResult.mMessages++;
@@ -248,7 +249,7 @@
       for (int copy = 0; copy < copies; ++copy) {
         At(mNow + Millis(1 + Below(mOptions.mMostDelayMs)),
            [this, other, part] {
-             mEntries[other].OnNews(part, mNow);
+             mEntries[other].OnUpdate(part, mNow);
              Tell(other, false);
            });
       }
--- a/tests/unit/quarantinefleet.h
+++ b/tests/unit/quarantinefleet.h
@@ -12,11 +12,11 @@
 
 namespace quarantinetest {
 
-using trefoilarch::CrashNews;
+using trefoilarch::CrashUpdate;
 using trefoilarch::Millis;
 using trefoilarch::Quarantine;
 using trefoilarch::RequestFingerprint;
-using trefoilarch::UpstreamStart;
+using trefoilarch::UpstreamIncarnation;
 
 /** What a history is drawn from. */
 struct FleetOptions
@@ -97,7 +97,7 @@
   };
   struct Upstream
   {
-    UpstreamStart mStart;
+    UpstreamIncarnation mIncarnation;
     bool mUp = true;
     std::vector<Running> mRunning;
   };
@@ -131,7 +131,7 @@
   std::vector<Millis> mThirdCrashAt;
   std::vector<Upstream> mUpstreams;
   uint64_t mNumbers = 0;
-  int64_t mBorn = 1;
+  int64_t mStartTime = 1;
   FleetResult mResult;
 };
 
--- a/tests/unit/quarantinetest.cpp
+++ b/tests/unit/quarantinetest.cpp
@@ -17,10 +17,10 @@
 constexpr RequestFingerprint kPoison{ 1, 1 };
 constexpr RequestFingerprint kOther{ 2, 2 };
 
-UpstreamStart
+UpstreamIncarnation
 StartOf(int aNumber)
 {
-  return { .mUpstream = "u" + std::to_string(aNumber), .mBorn = 1 };
+  return { .mUpstream = "u" + std::to_string(aNumber), .mStartTime = 1 };
 }
 
 /** Histories that one test draws; more by hand. */
@@ -102,10 +102,10 @@
 Test(quarantine, counts_one_crash_once_however_often_it_is_told)
 {
   Quarantine quarantine;
-  const CrashNews news{ .mReports = { { .mStart = StartOf(1),
-                                        .mSuspects = { kPoison } } } };
+  const CrashUpdate news{ .mReports = { { .mIncarnation = StartOf(1),
+                                          .mSuspects = { kPoison } } } };
   for (int each = 0; each < 5; ++each) {
-    quarantine.OnNews(news, Millis(1000 + each));
+    quarantine.OnUpdate(news, Millis(1000 + each));
   }
   quarantine.OnCrash(StartOf(1), { kPoison }, Millis(1010));
   quarantine.Tick(Millis(5000));
@@ -149,9 +149,9 @@
     quarantine.OnCrash(StartOf(each), { kOther }, Millis(1000 + each));
   }
   for (int each = 1; each <= 4; ++each) {
-    quarantine.OnNews(
-      { .mReports = { { .mStart = StartOf(each), .mSuspects = { kPoison } } } },
-      Millis(1050));
+    quarantine.OnUpdate({ .mReports = { { .mIncarnation = StartOf(each),
+                                          .mSuspects = { kPoison } } } },
+                        Millis(1050));
   }
   quarantine.Tick(Millis(5000));
   cr_expect(quarantine.IsQuarantined(kPoison));
@@ -179,21 +179,21 @@
     here.OnCrash(StartOf(each), { kPoison }, Millis(1000 + each));
   }
   here.Tick(Millis(2000));
-  for (const CrashNews& each : here.TakeNews(true, Millis(2000))) {
-    there.OnNews(each, Millis(2001));
+  for (const CrashUpdate& each : here.TakeUpdates(true, Millis(2000))) {
+    there.OnUpdate(each, Millis(2001));
   }
   there.Tick(Millis(2500));
   cr_expect(there.IsQuarantined(kPoison));
   here.Release(kPoison, Millis(3000));
   cr_expect(!here.IsQuarantined(kPoison));
   // The other has missed it, and says what it knows.
-  here.TakeNews(true, Millis(3000));
-  for (const CrashNews& each : there.TakeNews(true, Millis(9000))) {
-    here.OnNews(each, Millis(9001));
+  here.TakeUpdates(true, Millis(3000));
+  for (const CrashUpdate& each : there.TakeUpdates(true, Millis(9000))) {
+    here.OnUpdate(each, Millis(9001));
   }
   cr_expect(!here.IsQuarantined(kPoison));
-  for (const CrashNews& each : here.TakeNews(false, Millis(9002))) {
-    there.OnNews(each, Millis(9003));
+  for (const CrashUpdate& each : here.TakeUpdates(false, Millis(9002))) {
+    there.OnUpdate(each, Millis(9003));
   }
   cr_expect(!there.IsQuarantined(kPoison));
 }
@@ -205,7 +205,7 @@
     quarantine.OnCrash(StartOf(each), { kPoison }, Millis(1000 + each));
   }
   quarantine.Tick(Millis(2000));
-  const Millis idle = quarantine.IdleSpan();
+  const Millis idle = quarantine.IdleTimeout();
   quarantine.Admit(kPoison, Millis(0), Millis(3000));
   quarantine.Tick(Millis(3000) + idle);
   cr_expect(quarantine.IsQuarantined(kPoison));
@@ -217,7 +217,7 @@
 
 Test(quarantine, messages_stay_small_and_memory_bounded)
 {
-  Quarantine quarantine({ .mMostHeld = 10 });
+  Quarantine quarantine({ .mMaxHeld = 10 });
   uint64_t next = 0;
   for (int crash = 0; crash < 200; ++crash) {
     std::vector<RequestFingerprint> suspects(128);
@@ -226,7 +226,7 @@
     }
     quarantine.OnCrash(StartOf(crash), suspects, Millis(1000 + crash));
   }
-  for (const CrashNews& part : quarantine.TakeNews(true, Millis(1300))) {
+  for (const CrashUpdate& part : quarantine.TakeUpdates(true, Millis(1300))) {
     cr_expect(part.Size() <= 40, "%zu", part.Size());
   }
   for (uint64_t each = 0; each < 30; ++each) {
--- a/tests/unit/requestplantest.cpp
+++ b/tests/unit/requestplantest.cpp
@@ -497,7 +497,7 @@
 StartAgain(DirectRouter& aRouter, const std::string& aUpstream, int64_t aBorn)
 {
   ListedUpstream listed = *aRouter.Directory().Find(aUpstream);
-  listed.mBorn = aBorn;
+  listed.mStartTime = aBorn;
   aRouter.Directory().Put(listed);
   return aRouter.OnDirectoryChanged(Millis(aBorn));
 }
@@ -647,7 +647,7 @@
   const auto sent = one.Place(session, {}, Millis(0));
   cr_assert(sent.has_value());
   cr_expect(one.HasPeerUpdate());
-  const PeerNotes notes = one.TakePeerUpdate(Millis(0));
+  const PeerUpdate notes = one.TakePeerUpdate(Millis(0));
   cr_expect(!one.HasPeerUpdate());
   cr_assert(notes.mPending.size() == 1 && notes.mSent.size() == 1);
   cr_expect(notes.mSent[0].mSegments == std::vector<uint64_t>{ 1 });
@@ -753,7 +753,7 @@
   cr_expect(answer->mRefusal.mKind == ErrorKind::Quarantined);
   cr_expect(answer->mRefusal.mRan == Ran::No);
   cr_expect(answer->mRefusal.mRetryAfter ==
-            router.CrashQuarantine().IdleSpan());
+            router.CrashQuarantine().IdleTimeout());
   RequestPlan other(router, Bound(router, "/safe/x", now));
   AttemptOf(other.Begin(now + Millis(1000)));
 }
--- a/tests/unit/tablewatchtest.cpp
+++ b/tests/unit/tablewatchtest.cpp
@@ -36,7 +36,7 @@
 constexpr Millis kEnd{ 3 * 60 * 1000 };
 constexpr size_t kEntries = 4;
 
-using Kind = TableQuestion::Kind;
+using Kind = TableQuery::Kind;
 
 /** What the entries of a model tell each other. */
 enum class Telling : uint8_t
@@ -65,11 +65,11 @@
       mEntries.push_back(std::make_unique<Entry>());
       Entry& entry = *mEntries.back();
       entry.mWatch.emplace(
-        TableWatchOptions{ .mBound = kInForce / 2,
-                           .mGather = Millis(Chance(50) ? 600 : 0),
+        TableWatchOptions{ .mMaxAge = kInForce / 2,
+                           .mBatchDelay = Millis(Chance(50) ? 600 : 0),
                            .mSeed = mRandom() },
         HooksOf(entry));
-      entry.mWatch->SetListening(mTelling != Telling::Changes || each < 2);
+      entry.mWatch->SetPollsStore(mTelling != Telling::Changes || each < 2);
       entry.mWatch->Start();
       Plan(entry);
       After(Draw(500), [this, &entry] { Tell(entry); });
@@ -95,21 +95,21 @@
 
   TableWatchHooks HooksOf(Entry& aEntry)
   {
-    return { .mAsk =
-               [this, &aEntry](const TableQuestion& aQuestion) {
+    return { .mSendQuery =
+               [this, &aEntry](const TableQuery& aQuestion) {
                  Ask(aEntry, aQuestion);
                },
-             .mAbandon =
+             .mCancelQueries =
                [&aEntry] {
                  aEntry.mFeed++;
                  aEntry.mProof++;
                },
              .mOnConfirmed = [&aEntry](Millis aAt) { aEntry.mClaim = aAt; },
              .mOnLost = [](const std::string&, Millis) {},
-             .mOnBack = [] {} };
+             .mOnRecovered = [] {} };
   }
 
-  Millis Reading() const
+  Millis StoreTime() const
   {
     constexpr int64_t kMillion = 1000000;
     return Millis(77000 + mNow.Count() + mNow.Count() * mDrift / kMillion);
@@ -117,14 +117,14 @@
 
   static uint64_t& ChannelOf(Entry& aEntry, Kind aKind)
   {
-    return aKind == Kind::Proof ? aEntry.mProof : aEntry.mFeed;
+    return aKind == Kind::Verification ? aEntry.mProof : aEntry.mFeed;
   }
 
   /** In troubled times a moment of the store's silence. */
   bool Silent() const { return mNow < mSilentUntil; }
   bool Troubled() const { return mNow < mTroubledUntil; }
 
-  void Ask(Entry& aEntry, const TableQuestion& aQuestion)
+  void Ask(Entry& aEntry, const TableQuery& aQuestion)
   {
     const uint64_t number = ++ChannelOf(aEntry, aQuestion.mKind);
     const Millis asked = mNow;
@@ -134,7 +134,7 @@
         Hold(aEntry, aQuestion, number, asked, mNow + aQuestion.mWait);
       }
     });
-    At(asked + aQuestion.mSpan, [this, &aEntry, aQuestion, number, asked] {
+    At(asked + aQuestion.mTimeout, [this, &aEntry, aQuestion, number, asked] {
       if (ChannelOf(aEntry, aQuestion.mKind) == number) {
         aEntry.mWatch->OnFailed("no answer in time", asked, mNow);
         Plan(aEntry);
@@ -144,13 +144,13 @@
 
   /** The store holds the answer back until something changes. */
   void Hold(Entry& aEntry,
-            const TableQuestion& aQuestion,
+            const TableQuery& aQuestion,
             uint64_t aNumber,
             Millis aAsked,
             Millis aUntil)
   {
     const uint64_t newest = mChangedAt.size();
-    const bool waits = aQuestion.mKind != Kind::Whole &&
+    const bool waits = aQuestion.mKind != Kind::FullRead &&
                        newest <= aQuestion.mAfter && mNow < aUntil;
     if (waits) {
       After(15, [this, &aEntry, aQuestion, aNumber, aAsked, aUntil] {
@@ -161,51 +161,51 @@
     if (Silent() || (Troubled() && Fault(10))) {
       return;
     }
-    const TableAnswer answer{ .mAsked = aAsked,
-                              .mVersion = newest,
-                              .mNewestRow = newest,
-                              .mHasRows = newest > aQuestion.mAfter,
-                              .mReading = Reading() };
+    const TableResponse answer{ .mSentAt = aAsked,
+                                .mVersion = newest,
+                                .mNewestRow = newest,
+                                .mHasRows = newest > aQuestion.mAfter,
+                                .mStoreTime = StoreTime() };
     const int64_t way = Troubled() && Fault(10) ? Draw(700) : 1 + Draw(4);
     After(way, [this, &aEntry, kind = aQuestion.mKind, aNumber, answer] {
       Take(aEntry, kind, aNumber, answer);
     });
   }
 
-  void Take(Entry& aEntry, Kind aKind, uint64_t aNumber, TableAnswer aAnswer)
+  void Take(Entry& aEntry, Kind aKind, uint64_t aNumber, TableResponse aAnswer)
   {
     if (ChannelOf(aEntry, aKind) != aNumber) {
       return;
     }
     ChannelOf(aEntry, aKind)++;
-    aAnswer.mAnswered = mNow;
+    aAnswer.mReceivedAt = mNow;
     const uint64_t before = aEntry.mWatch->Version();
     aEntry.mCopy = std::max(aEntry.mCopy, size_t{ aAnswer.mVersion });
-    if (aKind == Kind::Whole) {
+    if (aKind == Kind::FullRead) {
       aEntry.mWatch->OnPage(aAnswer);
     } else if (aKind == Kind::Changes) {
       aEntry.mWatch->OnChanges(aAnswer);
     } else {
-      aEntry.mWatch->OnProof(aAnswer);
+      aEntry.mWatch->OnVerification(aAnswer);
     }
     CheckClaim(aEntry);
     Plan(aEntry);
-    if (mTelling == Telling::Changes && aKind != Kind::Whole) {
+    if (mTelling == Telling::Changes && aKind != Kind::FullRead) {
       TellNews(aEntry, before, aAnswer.mNewestRow);
     }
   }
 
   void TellNews(const Entry& aEntry, uint64_t aAfter, uint64_t aUpTo)
   {
-    const auto word = aEntry.mWatch->Word();
+    const auto word = aEntry.mWatch->Checkpoint();
     for (const auto& other : mEntries) {
       if (other.get() != &aEntry && !Chance(20)) {
         After(WayToOther(), [this, &other = *other, aAfter, aUpTo, word] {
-          if (other.mWatch->OnNews(aAfter, aUpTo)) {
+          if (other.mWatch->OnUpdate(aAfter, aUpTo)) {
             RC_ASSERT(other.mCopy >= aAfter);
             other.mCopy = std::max(other.mCopy, size_t{ aUpTo });
           }
-          other.mWatch->OnWord(*word, mNow);
+          other.mWatch->OnCheckpoint(*word, mNow);
           CheckClaim(other);
           Plan(other);
         });
@@ -232,12 +232,12 @@
 
   void Tell(Entry& aEntry)
   {
-    const auto word = aEntry.mWatch->Word();
+    const auto word = aEntry.mWatch->Checkpoint();
     for (const auto& other : mEntries) {
       const bool tells = mTelling != Telling::Nothing && word;
       if (tells && other.get() != &aEntry && !Chance(20)) {
         After(WayToOther(), [this, &other = *other, word] {
-          other.mWatch->OnWord(*word, mNow);
+          other.mWatch->OnCheckpoint(*word, mNow);
           CheckClaim(other);
           Plan(other);
         });
@@ -301,30 +301,30 @@
 {
 public:
   Written()
-    : mWatch({ .mBound = Millis(1000) },
-             { .mAsk =
-                 [this](const TableQuestion& aQuestion) {
-                   mAsked.push_back(aQuestion);
+    : mWatch({ .mMaxAge = Millis(1000) },
+             { .mSendQuery =
+                 [this](const TableQuery& aQuestion) {
+                   mSentAt.push_back(aQuestion);
                  },
-               .mAbandon = [this] { mAbandoned++; },
+               .mCancelQueries = [this] { mAbandoned++; },
                .mOnConfirmed = [this](Millis aAt) { mConfirmed = aAt; },
                .mOnLost = [this](const std::string&, Millis) { mLost++; },
-               .mOnBack = [] {} })
+               .mOnRecovered = [] {} })
   {
     mWatch.Start();
     mWatch.OnPage(AnswerAt(Millis(100), 10));
   }
 
-  static TableAnswer AnswerAt(Millis aAt, uint64_t aVersion)
+  static TableResponse AnswerAt(Millis aAt, uint64_t aVersion)
   {
-    return { .mAsked = aAt,
-             .mAnswered = aAt + Millis(4),
+    return { .mSentAt = aAt,
+             .mReceivedAt = aAt + Millis(4),
              .mVersion = aVersion,
-             .mReading = aAt + Millis(5000) };
+             .mStoreTime = aAt + Millis(5000) };
   }
 
   TableWatch mWatch;
-  std::vector<TableQuestion> mAsked;
+  std::vector<TableQuery> mSentAt;
   Millis mConfirmed;
   int mAbandoned = 0;
   int mLost = 0;
@@ -345,13 +345,13 @@
 Test(tablewatch, silence_is_doubted_within_the_bound)
 {
   Written written;
-  cr_assert(written.mAsked.back().mKind == Kind::Changes);
+  cr_assert(written.mSentAt.back().mKind == Kind::Changes);
   const Millis due = written.mWatch.NextTick();
   cr_expect(due > Millis(100) && due <= Millis(1100));
   written.mWatch.Tick(due);
-  cr_expect(written.mAsked.back().mKind == Kind::Proof);
-  cr_expect(written.mAsked.back().mWait == Millis(0));
-  written.mWatch.OnProof(Written::AnswerAt(due, 10));
+  cr_expect(written.mSentAt.back().mKind == Kind::Verification);
+  cr_expect(written.mSentAt.back().mWait == Millis(0));
+  written.mWatch.OnVerification(Written::AnswerAt(due, 10));
   cr_expect(written.mConfirmed == due);
   cr_expect(written.mAbandoned == 0, "the question that waits goes on");
 }
@@ -359,25 +359,25 @@
 Test(tablewatch, a_proof_that_brings_changes_ends_the_question_that_waits)
 {
   Written written;
-  TableAnswer news = Written::AnswerAt(Millis(900), 12);
+  TableResponse news = Written::AnswerAt(Millis(900), 12);
   news.mHasRows = true;
   news.mNewestRow = 12;
   written.mWatch.Tick(Millis(1200));
-  written.mWatch.OnProof(news);
+  written.mWatch.OnVerification(news);
   cr_expect(written.mAbandoned == 1);
-  cr_expect(written.mAsked.back().mKind == Kind::Changes);
-  cr_expect(written.mAsked.back().mAfter == 12);
+  cr_expect(written.mSentAt.back().mKind == Kind::Changes);
+  cr_expect(written.mSentAt.back().mAfter == 12);
 }
 
 Test(tablewatch, changes_between_two_pages_are_asked_for)
 {
   Written written;
   written.mWatch.OnHistoryGone();
-  TableAnswer first = Written::AnswerAt(Millis(2000), 20);
+  TableResponse first = Written::AnswerAt(Millis(2000), 20);
   first.mHasMore = true;
   written.mWatch.OnPage(first);
   written.mWatch.OnPage(Written::AnswerAt(Millis(2010), 25));
-  cr_expect(written.mAsked.back().mAfter == 20);
+  cr_expect(written.mSentAt.back().mAfter == 20);
   cr_expect(written.mConfirmed == Millis(2000));
 }
 
@@ -385,15 +385,16 @@
 {
   Written written;
   const Millis reading(5700);
-  written.mWatch.OnWord({ .mLastChange = 11, .mReading = reading },
-                        Millis(800));
+  written.mWatch.OnCheckpoint({ .mLastChange = 11, .mStoreTime = reading },
+                              Millis(800));
   cr_expect(written.mConfirmed == Millis(100));
-  written.mWatch.OnWord({ .mLastChange = 10, .mReading = reading },
-                        Millis(800));
+  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = reading },
+                              Millis(800));
   cr_expect(written.mConfirmed == Millis(700));
-  cr_expect(written.mWatch.Word()->mReading == reading, "it is passed on");
-  written.mWatch.OnWord({ .mLastChange = 10, .mReading = Millis(9000) },
-                        Millis(800));
+  cr_expect(written.mWatch.Checkpoint()->mStoreTime == reading,
+            "it is passed on");
+  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = Millis(9000) },
+                              Millis(800));
   cr_expect(written.mConfirmed == Millis(700), "no reading of that clock yet");
 }
 
@@ -406,38 +407,39 @@
   const Millis due = written.mWatch.NextTick();
   cr_expect(due >= Millis(6500) && due <= Millis(7000), "at half the bound");
   const Millis before(5000 + 950);
-  written.mWatch.OnWord({ .mLastChange = 10, .mReading = before },
-                        Millis(6100));
+  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = before },
+                              Millis(6100));
   cr_expect(written.mWatch.NextTick() == due, "read before it was lost");
   const Millis since(5000 + 6050);
-  written.mWatch.OnWord({ .mLastChange = 10, .mReading = since }, Millis(6100));
+  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = since },
+                              Millis(6100));
   cr_expect(written.mWatch.NextTick() <= Millis(6300));
   cr_expect(written.mConfirmed == Millis(100), "its clock has yet to be read");
   written.mWatch.OnFailed("turned away", Millis(6300), Millis(6300));
   const Millis next = written.mWatch.NextTick();
-  written.mWatch.OnWord({ .mLastChange = 10, .mReading = Millis(11300) },
-                        Millis(6310));
+  written.mWatch.OnCheckpoint(
+    { .mLastChange = 10, .mStoreTime = Millis(11300) }, Millis(6310));
   cr_expect(written.mWatch.NextTick() == next, "it is hurried once");
 }
 
 Test(tablewatch, news_are_taken_where_nothing_is_missing_before_them)
 {
   Written written;
-  written.mWatch.SetListening(false);
-  cr_expect(!written.mWatch.OnNews(10, 12), "its own question is under way");
-  TableAnswer none = Written::AnswerAt(Millis(200), 10);
+  written.mWatch.SetPollsStore(false);
+  cr_expect(!written.mWatch.OnUpdate(10, 12), "its own question is under way");
+  TableResponse none = Written::AnswerAt(Millis(200), 10);
   written.mWatch.OnChanges(none);
-  const size_t asked = written.mAsked.size();
-  cr_expect(!written.mWatch.OnNews(11, 12), "what came before is missing");
-  cr_expect(!written.mWatch.OnNews(5, 9), "nothing new");
-  cr_expect(written.mWatch.OnNews(8, 12));
+  const size_t asked = written.mSentAt.size();
+  cr_expect(!written.mWatch.OnUpdate(11, 12), "what came before is missing");
+  cr_expect(!written.mWatch.OnUpdate(5, 9), "nothing new");
+  cr_expect(written.mWatch.OnUpdate(8, 12));
   cr_expect(written.mWatch.Version() == 12);
-  cr_expect(written.mWatch.Word()->mLastChange == 12);
+  cr_expect(written.mWatch.Checkpoint()->mLastChange == 12);
   cr_expect(written.mConfirmed == Millis(200), "news tell no time");
-  cr_expect(written.mAsked.size() == asked);
-  written.mWatch.SetListening(true);
-  cr_expect(written.mAsked.size() == asked + 1);
-  cr_expect(written.mAsked.back().mAfter == 12);
+  cr_expect(written.mSentAt.size() == asked);
+  written.mWatch.SetPollsStore(true);
+  cr_expect(written.mSentAt.size() == asked + 1);
+  cr_expect(written.mSentAt.back().mAfter == 12);
 }
 
 Test(tablewatch, a_store_without_any_change_yet_confirms_at_its_reading)
@@ -446,13 +448,13 @@
   std::optional<TableWatch> watch;
   watch.emplace(TableWatchOptions{},
                 TableWatchHooks{
-                  .mAsk = [](const TableQuestion&) {},
-                  .mAbandon = [] {},
-                  .mOnConfirmed = [&](Millis) { reading = watch->Reading(); },
+                  .mSendQuery = [](const TableQuery&) {},
+                  .mCancelQueries = [] {},
+                  .mOnConfirmed = [&](Millis) { reading = watch->StoreTime(); },
                   .mOnLost = [](const std::string&, Millis) {},
-                  .mOnBack = [] {} });
+                  .mOnRecovered = [] {} });
   watch->Start();
   watch->OnPage(Written::AnswerAt(Millis(100), 0));
-  cr_expect(!watch->Word(), "its version names no change");
+  cr_expect(!watch->Checkpoint(), "its version names no change");
   cr_expect(reading == Millis(5100));
 }
--- a/tests/unit/upstreamdirectorytest.cpp
+++ b/tests/unit/upstreamdirectorytest.cpp
@@ -188,9 +188,9 @@
   Serve(directory, 8000, 8000);
   directory.Remove("a", Millis(8000));
   cr_expect(Count(directory) == 1);
-  const ServedRun others{ .mSince = ReadingAt(Millis(-3000)),
-                          .mUntil = ReadingAt(Millis(7900)) };
-  directory.OnStoreTold(others);
+  const StoreServingInterval others{ .mSince = ReadingAt(Millis(-3000)),
+                                     .mUntil = ReadingAt(Millis(7900)) };
+  directory.OnStoreReport(others);
   cr_expect(directory.Expire());
   cr_expect(Count(directory) == 0);
 }
@@ -202,7 +202,7 @@
   Serve(directory, -5000, 0);
   Serve(directory, 8000, 8000);
   directory.Remove("a", Millis(8000));
-  directory.OnStoreTold(
+  directory.OnStoreReport(
     { .mSince = ReadingAt(Millis(7800)), .mUntil = ReadingAt(Millis(11000)) });
   cr_expect(!directory.Expire(), "it may be listed again by now");
   Serve(directory, 11000, 11000);
@@ -216,12 +216,12 @@
   Serve(directory, -5000, 0);
   Serve(directory, 8000, 8000);
   directory.Remove("a", Millis(8000));
-  const ServedRun before{ .mSince = ReadingAt(Millis(-9000)),
-                          .mUntil = ReadingAt(Millis(200)) };
-  const ServedRun after{ .mSince = ReadingAt(Millis(7500)),
-                         .mUntil = ReadingAt(Millis(8000)) };
-  directory.OnStoreTold(before);
-  directory.OnStoreTold(after);
+  const StoreServingInterval before{ .mSince = ReadingAt(Millis(-9000)),
+                                     .mUntil = ReadingAt(Millis(200)) };
+  const StoreServingInterval after{ .mSince = ReadingAt(Millis(7500)),
+                                    .mUntil = ReadingAt(Millis(8000)) };
+  directory.OnStoreReport(before);
+  directory.OnStoreReport(after);
   Serve(directory, 8500, 9499);
   cr_expect(!directory.Expire());
   Serve(directory, 9500, 9500);
@@ -254,7 +254,7 @@
 Born(int64_t aBorn, uint64_t aSequence)
 {
   ListedUpstream upstream = Make("a");
-  upstream.mBorn = aBorn;
+  upstream.mStartTime = aBorn;
   upstream.mSequence = aSequence;
   return upstream;
 }
--- a/tests/unit/upstreamlimitstest.cpp
+++ b/tests/unit/upstreamlimitstest.cpp
@@ -19,11 +19,11 @@
   UpstreamLimits limits;
   limits.OnAnswer("u", Named(1.5), Millis(90), Millis(100));
   cr_expect(limits.Of("u") == 1.5);
-  limits.OnTold({ "u", 3, Millis(500) }, Millis(200));
+  limits.OnPeerReport({ "u", 3, Millis(500) }, Millis(200));
   cr_expect(limits.Of("u") == 1.5, "what is told is older");
-  limits.OnTold({ "u", 3, Millis(50) }, Millis(200));
+  limits.OnPeerReport({ "u", 3, Millis(50) }, Millis(200));
   cr_expect(limits.Of("u") == 3);
-  cr_expect(limits.Since("u") == Millis(100));
+  cr_expect(limits.LimitedSince("u") == Millis(100));
   cr_expect(limits.Limited() == 1);
 }
 
@@ -35,7 +35,7 @@
   cr_expect(limits.Of("u") == 1.5);
   limits.OnAnswer("u", std::nullopt, Millis(120), Millis(130));
   cr_expect(!limits.Of("u"));
-  limits.OnTold({ "u", 1.5, Millis(100) }, Millis(200));
+  limits.OnPeerReport({ "u", 1.5, Millis(100) }, Millis(200));
   cr_expect(!limits.Of("u"), "another entry's older answer brings none back");
 }
 
@@ -44,16 +44,16 @@
   UpstreamLimits teller;
   UpstreamLimits hearer;
   const auto tell = [&](Millis aNow) {
-    for (const LimitWord& each : teller.TakeWords(aNow)) {
-      hearer.OnTold(each, aNow);
+    for (const LimitReport& each : teller.TakeReports(aNow)) {
+      hearer.OnPeerReport(each, aNow);
     }
   };
   teller.OnAnswer("u", Named(0), Millis(90), Millis(100));
-  cr_expect(teller.HasNews());
+  cr_expect(teller.HasUpdate());
   tell(Millis(110));
-  cr_expect(!teller.HasNews());
+  cr_expect(!teller.HasUpdate());
   cr_expect(hearer.Of("u") == 0);
-  cr_expect(hearer.HasNews(), "it tells those that the first can't reach");
+  cr_expect(hearer.HasUpdate(), "it tells those that the first can't reach");
   teller.OnAnswer("u", std::nullopt, Millis(200), Millis(210));
   tell(Millis(220));
   cr_expect(!hearer.Of("u"));
@@ -63,10 +63,10 @@
 {
   UpstreamLimits limits;
   limits.OnAnswer("u", Named(2), Millis(90), Millis(100));
-  cr_expect(limits.TakeWords(Millis(100)).size() == 1);
-  cr_expect(limits.TakeWords(Millis(2099)).empty());
-  cr_expect(limits.TakeWords(Millis(2100)).size() == 1);
-  cr_expect(limits.TakeWords(Millis(70000)).empty(), "nobody asks there now");
+  cr_expect(limits.TakeReports(Millis(100)).size() == 1);
+  cr_expect(limits.TakeReports(Millis(2099)).empty());
+  cr_expect(limits.TakeReports(Millis(2100)).size() == 1);
+  cr_expect(limits.TakeReports(Millis(70000)).empty(), "nobody asks there now");
   cr_expect(!limits.Of("u"));
 }
 
@@ -86,14 +86,14 @@
 Test(upstreamlimits, what_finds_no_room_is_told_next)
 {
   UpstreamLimits limits;
-  constexpr size_t kAll = 2 * UpstreamLimits::kMostWords;
+  constexpr size_t kAll = 2 * UpstreamLimits::kMaxReports;
   for (size_t each = 0; each < kAll; ++each) {
     limits.OnAnswer(
       "u" + std::to_string(each), Named(2), Millis(90), Millis(100));
   }
-  const auto first = limits.TakeWords(Millis(110));
-  const auto second = limits.TakeWords(Millis(120));
+  const auto first = limits.TakeReports(Millis(110));
+  const auto second = limits.TakeReports(Millis(120));
   cr_expect(first.size() + second.size() == kAll);
   cr_expect(first.front().mUpstream != second.front().mUpstream);
-  cr_expect(limits.TakeWords(Millis(130)).empty());
+  cr_expect(limits.TakeReports(Millis(130)).empty());
 }
