--- a/src/libtrefoilarch/adaptivelimit.cpp
+++ b/src/libtrefoilarch/adaptivelimit.cpp
@@ -31,7 +31,7 @@
 
 AdaptiveLimit::AdaptiveLimit(AdaptiveLimitOptions aOptions)
   : mOptions(aOptions)
-  , mValue(aOptions.mFirst)
+  , mValue(aOptions.mInitial)
 {
 }
 
@@ -85,15 +85,15 @@
   }
   const double next =
     std::min(value, used) * std::max(kLeastFactor, 1 / aRatio);
-  mValue = std::max(static_cast<uint64_t>(next), mOptions.mLeast);
+  mValue = std::max(static_cast<uint64_t>(next), mOptions.mMin);
 }
 
 void
 AdaptiveLimit::Increase(double aRatio)
 {
   const uint64_t step =
-    aRatio < kFarInside ? mValue / kFastPart : mOptions.mFirst / kStepPart;
-  mValue = std::min(mValue + std::max<uint64_t>(step, 1), mOptions.mMost);
+    aRatio < kFarInside ? mValue / kFastPart : mOptions.mInitial / kStepPart;
+  mValue = std::min(mValue + std::max<uint64_t>(step, 1), mOptions.mMax);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/adaptivelimit.h
+++ b/src/libtrefoilarch/adaptivelimit.h
@@ -11,9 +11,9 @@
 /** Bounds of an AdaptiveLimit. */
 struct AdaptiveLimitOptions
 {
-  uint64_t mFirst = 0;
-  uint64_t mLeast = 1;
-  uint64_t mMost = 0;
+  uint64_t mInitial = 0;
+  uint64_t mMin = 1;
+  uint64_t mMax = 0;
 };
 
 /**
--- a/src/libtrefoilarch/admission.cpp
+++ b/src/libtrefoilarch/admission.cpp
@@ -21,11 +21,11 @@
 } // namespace
 
 Admission::Admission(const Schedule& aSchedule,
-                     const Room& aRoom,
+                     const UpstreamCapacity& aRoom,
                      const ServiceRate& aRate,
                      uint64_t aSeed)
   : mSchedule(aSchedule)
-  , mRoom(aRoom)
+  , mCapacity(aRoom)
   , mRate(aRate)
   , mRandom(aSeed)
 {
@@ -34,7 +34,7 @@
 std::optional<Millis>
 Admission::Refuse(const Prospect& aProspect, Millis aNow)
 {
-  if (mRoom.Running() == 0) {
+  if (mCapacity.Running() == 0) {
     return std::nullopt;
   }
   const double onTime = Wait(aProspect, false, aNow);
@@ -50,7 +50,7 @@
 std::optional<Millis>
 Admission::GiveUp(const Prospect& aProspect, Millis aNow)
 {
-  if (mRoom.Running() == 0) {
+  if (mCapacity.Running() == 0) {
     return std::nullopt;
   }
   const double wait =
@@ -83,7 +83,7 @@
   const Tier tier = aProspect.mLevel.mTier;
   const double due =
     static_cast<double>(mSchedule.TokensAhead(aProspect.mLevel, aLate)) +
-    static_cast<double>(mRoom.InFlight() + aProspect.mTokens) -
+    static_cast<double>(mCapacity.InFlight() + aProspect.mTokens) -
     static_cast<double>(Limit());
   if (due <= 0 || mRate.Capacity(Limit(), aNow) <= 0) {
     return 0;
@@ -109,10 +109,10 @@
 {
   const double mean = mRate.MeanTokens();
   if (mean <= 0) {
-    return mRoom.Limit();
+    return mCapacity.Limit();
   }
-  const double byCount = mean * static_cast<double>(mRoom.MostRunning());
-  return std::min(mRoom.Limit(), static_cast<uint64_t>(byCount));
+  const double byCount = mean * static_cast<double>(mCapacity.MaxRunning());
+  return std::min(mCapacity.Limit(), static_cast<uint64_t>(byCount));
 }
 
 Millis
--- a/src/libtrefoilarch/admission.h
+++ b/src/libtrefoilarch/admission.h
@@ -9,7 +9,7 @@
 
 namespace trefoilarch {
 
-class Room;
+class UpstreamCapacity;
 class Schedule;
 class ServiceRate;
 
@@ -37,7 +37,7 @@
 {
 public:
   Admission(const Schedule& aSchedule,
-            const Room& aRoom,
+            const UpstreamCapacity& aRoom,
             const ServiceRate& aRate,
             uint64_t aSeed);
 
@@ -56,7 +56,7 @@
   Millis Jittered(double aSpan);
 
   const Schedule& mSchedule;
-  const Room& mRoom;
+  const UpstreamCapacity& mCapacity;
   const ServiceRate& mRate;
   std::mt19937_64 mRandom;
 };
--- a/src/libtrefoilarch/answermemory.cpp
+++ b/src/libtrefoilarch/answermemory.cpp
@@ -14,7 +14,9 @@
 } // namespace
 
 void
-AnswerMemory::Note(const RequestFingerprint& aRequest, Millis aAt, Millis aNow)
+RecentAnswers::Record(const RequestFingerprint& aRequest,
+                      Millis aAt,
+                      Millis aNow)
 {
   if (mNew.size() >= kMostAnswers || aNow - mSince > kSpan) {
     mOld = std::exchange(mNew, {});
@@ -25,7 +27,7 @@
 }
 
 Millis
-AnswerMemory::At(const RequestFingerprint& aRequest) const
+RecentAnswers::At(const RequestFingerprint& aRequest) const
 {
   Millis at;
   for (const Part* each : { &mNew, &mOld }) {
--- a/src/libtrefoilarch/answermemory.h
+++ b/src/libtrefoilarch/answermemory.h
@@ -13,10 +13,10 @@
  * parts: what comes goes into the first, and when that is full or old the
  * second is forgotten and they change places.
  */
-class AnswerMemory
+class RecentAnswers
 {
 public:
-  void Note(const RequestFingerprint& aRequest, Millis aAt, Millis aNow);
+  void Record(const RequestFingerprint& aRequest, Millis aAt, Millis aNow);
   /** 0 for never or long ago. */
   Millis At(const RequestFingerprint& aRequest) const;
 
--- a/src/libtrefoilarch/callwatch.cpp
+++ b/src/libtrefoilarch/callwatch.cpp
@@ -23,7 +23,7 @@
 }
 
 void
-CallWatch::Heard(const AttemptKey& aKey, Millis aNow)
+CallWatch::Received(const AttemptKey& aKey, Millis aNow)
 {
   const auto found = mCalls.find(aKey);
   if (found == mCalls.end()) {
@@ -60,24 +60,24 @@
 CallWatch::Silent(const Call& aCall, Millis aNow) const
 {
   const Millis silence = aNow - aCall.mLast;
-  if (silence < (aCall.mBegun ? NextSpan() : FirstSpan())) {
+  if (silence < (aCall.mBegun ? NextTokenTimeout() : FirstTokenTimeout())) {
     return false;
   }
   const bool othersHeard = mLastHeard > aCall.mLast + silence / 2;
-  return othersHeard || silence >= mOptions.mStalledSpan;
+  return othersHeard || silence >= mOptions.mStalledTimeout;
 }
 
 Millis
-CallWatch::FirstSpan() const
+CallWatch::FirstTokenTimeout() const
 {
   if (mLongestFirst == Millis(0)) {
-    return mOptions.mUnknownFirst;
+    return mOptions.mInitialFirstTokenTimeout;
   }
   return SpanFor(mLongestFirst);
 }
 
 Millis
-CallWatch::NextSpan() const
+CallWatch::NextTokenTimeout() const
 {
   return SpanFor(mLongestNext);
 }
@@ -92,7 +92,7 @@
 Millis
 CallWatch::SpanFor(Millis aLongest) const
 {
-  return std::max(mOptions.mLeastSpan, aLongest * mOptions.mFactor);
+  return std::max(mOptions.mMinTimeout, aLongest * mOptions.mFactor);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/callwatch.h
+++ b/src/libtrefoilarch/callwatch.h
@@ -12,11 +12,11 @@
 struct CallWatchOptions
 {
   /** No call is given up sooner. */
-  Millis mLeastSpan{ 2000 };
+  Millis mMinTimeout{ 2000 };
   /** Nor this soon where the upstream says nothing to any call. */
-  Millis mStalledSpan{ 3000 };
+  Millis mStalledTimeout{ 3000 };
   /** Until a first token has been seen, calls may take this long for it. */
-  Millis mUnknownFirst{ 10000 };
+  Millis mInitialFirstTokenTimeout{ 10000 };
   /** Silence is this many times the longest wait of late. */
   int64_t mFactor = 6;
 };
@@ -36,16 +36,16 @@
 
   void Started(const AttemptKey& aKey, Millis aNow);
   /** A part of the answer has come. */
-  void Heard(const AttemptKey& aKey, Millis aNow);
+  void Received(const AttemptKey& aKey, Millis aNow);
   void Ended(const AttemptKey& aKey);
 
   /** Calls that are silent for good; each is told of once. */
   std::vector<AttemptKey> TakeSilent(Millis aNow);
 
   /** Silence before the first token that is still borne. */
-  Millis FirstSpan() const;
+  Millis FirstTokenTimeout() const;
   /** Silence between tokens that is still borne. */
-  Millis NextSpan() const;
+  Millis NextTokenTimeout() const;
 
 private:
   struct Call
--- a/src/libtrefoilarch/channelhealth.cpp
+++ b/src/libtrefoilarch/channelhealth.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-ChannelHealth::ChannelHealth(ChannelSpans aSpans)
+ChannelHealth::ChannelHealth(ChannelTimeouts aSpans)
   : mSpans(aSpans)
 {
 }
--- a/src/libtrefoilarch/channelhealth.h
+++ b/src/libtrefoilarch/channelhealth.h
@@ -8,7 +8,7 @@
 namespace trefoilarch {
 
 /** The spans by which a channel is judged. */
-struct ChannelSpans
+struct ChannelTimeouts
 {
   /** Silence after which a channel with something at stake is replaced. */
   Millis mSilence{ 1500 };
@@ -36,7 +36,7 @@
 class ChannelHealth
 {
 public:
-  explicit ChannelHealth(ChannelSpans aSpans);
+  explicit ChannelHealth(ChannelTimeouts aSpans);
 
   void OnUp(Millis aNow);
   void OnDown(Millis aNow);
@@ -65,7 +65,7 @@
   Millis ProbeAt() const;
   Millis Interval() const;
 
-  ChannelSpans mSpans;
+  ChannelTimeouts mSpans;
   ChannelState mState = ChannelState::Down;
   Millis mDownSince;
   Millis mLastSent;
--- a/src/libtrefoilarch/claimmessages.h
+++ b/src/libtrefoilarch/claimmessages.h
@@ -24,17 +24,17 @@
 };
 
 /** An answer that is kept for repeats of its request. */
-struct KeptAnswer
+struct CachedAnswer
 {
   int32_t mStatus = 0;
   std::string mContentType;
   std::string mBody;
 
-  bool operator==(const KeptAnswer&) const = default;
+  bool operator==(const CachedAnswer&) const = default;
 };
 
 /** What becomes of a request that wanted a claim. */
-enum class ClaimEnd
+enum class ClaimOutcome
 {
   Run,         /**< it has the claim and may run */
   InProgress,  /**< an earlier one of the key is at work */
@@ -45,12 +45,12 @@
 };
 
 /** Answers a claim, once. Only Run lets the request run. */
-struct ClaimAnswered
+struct ClaimDecided
 {
   RequestId mId;
-  ClaimEnd mEnd = ClaimEnd::Unsettled;
+  ClaimOutcome mOutcome = ClaimOutcome::Unsettled;
   /** The first answer, where Finished and where it is kept. */
-  std::shared_ptr<const KeptAnswer> mAnswer;
+  std::shared_ptr<const CachedAnswer> mAnswer;
 };
 
 /** A claim's row in the table. */
@@ -99,8 +99,8 @@
   std::vector<ClaimWrite> mWrites;
 };
 
-/** Ask the entry at an address what became of a request; OnAsked. */
-struct AskClaimant
+/** Ask the entry at an address what became of a request; OnClaimantReport. */
+struct QueryClaimant
 {
   uint64_t mTicket = 0;
   std::string mAddress;
@@ -114,11 +114,11 @@
 };
 
 using ClaimAction =
-  std::variant<CommitClaims, AskClaimant, ExpireClaims, ClaimAnswered>;
+  std::variant<CommitClaims, QueryClaimant, ExpireClaims, ClaimDecided>;
 using ClaimActions = std::vector<ClaimAction>;
 
 /** How a CommitClaims ended. */
-enum class ClaimCommitEnd
+enum class ClaimCommitOutcome
 {
   Done,
   Refused, /**< a condition did not hold; nothing was written */
@@ -128,12 +128,12 @@
 /** With Refused, what the table has for each of the writes, in order. */
 struct ClaimCommit
 {
-  ClaimCommitEnd mEnd = ClaimCommitEnd::Unknown;
+  ClaimCommitOutcome mOutcome = ClaimCommitOutcome::Unknown;
   std::vector<std::optional<FoundClaim>> mFound;
 };
 
 /** What an entry says of a request of its own. */
-enum class ClaimStanding
+enum class ClaimStatus
 {
   NotKnown, /**< it has no memory of it, or could not be reached */
   InProgress,
@@ -144,8 +144,8 @@
 
 struct ClaimReport
 {
-  ClaimStanding mStanding = ClaimStanding::NotKnown;
-  std::shared_ptr<const KeptAnswer> mAnswer;
+  ClaimStatus mStatus = ClaimStatus::NotKnown;
+  std::shared_ptr<const CachedAnswer> mAnswer;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/claims.cpp
+++ b/src/libtrefoilarch/claims.cpp
@@ -11,20 +11,20 @@
 /** Entries' clocks may differ by one epoch, and each looks one further. */
 constexpr uint64_t kEpochsKept = 2;
 
-ClaimEnd
-EndOf(ClaimStanding aStanding)
+ClaimOutcome
+EndOf(ClaimStatus aStanding)
 {
   switch (aStanding) {
-    case ClaimStanding::InProgress:
-      return ClaimEnd::InProgress;
-    case ClaimStanding::Finished:
-      return ClaimEnd::Finished;
-    case ClaimStanding::MaybeRan:
-    case ClaimStanding::NotKnown:
-    case ClaimStanding::NotRun:
+    case ClaimStatus::InProgress:
+      return ClaimOutcome::InProgress;
+    case ClaimStatus::Finished:
+      return ClaimOutcome::Finished;
+    case ClaimStatus::MaybeRan:
+    case ClaimStatus::NotKnown:
+    case ClaimStatus::NotRun:
       break;
   }
-  return ClaimEnd::MaybeRan;
+  return ClaimOutcome::MaybeRan;
 }
 
 } // namespace
@@ -39,7 +39,7 @@
 ClaimActions
 Claims::Claim(ClaimRequest aRequest, int64_t aUnixSeconds, Millis aNow)
 {
-  const std::optional<ClaimAnswered> answered = AnswerHere(aRequest);
+  const std::optional<ClaimDecided> answered = AnswerHere(aRequest);
   ClaimActions out;
   if (answered) {
     out.emplace_back(*answered);
@@ -50,7 +50,7 @@
   mRecords[id] = { .mKey = std::move(aRequest.mKey),
                    .mFingerprint = std::move(aRequest.mFingerprint),
                    .mAnswer = nullptr };
-  mUndecided[id] = { .mDeadline = aNow + mOptions.mDecisionSpan,
+  mUndecided[id] = { .mDeadline = aNow + mOptions.mDecisionTimeout,
                      .mReplaces = std::nullopt };
   mWaiting.push_back(id);
   Drive(out, aUnixSeconds, aNow);
@@ -58,7 +58,7 @@
 }
 
 /** Settles a repeat whose first request is known in this process. */
-std::optional<ClaimAnswered>
+std::optional<ClaimDecided>
 Claims::AnswerHere(const ClaimRequest& aRequest) const
 {
   const auto first = mByKey.find(aRequest.mKey);
@@ -66,66 +66,66 @@
     return std::nullopt;
   }
   const Record& record = mRecords.at(first->second);
-  if (record.mStanding == ClaimStanding::NotRun) {
+  if (record.mStatus == ClaimStatus::NotRun) {
     return std::nullopt;
   }
   if (record.mFingerprint != aRequest.mFingerprint) {
-    return ClaimAnswered{ aRequest.mId, ClaimEnd::OtherIntent, nullptr };
+    return ClaimDecided{ aRequest.mId, ClaimOutcome::OtherIntent, nullptr };
   }
-  return ClaimAnswered{ aRequest.mId, EndOf(record.mStanding), record.mAnswer };
+  return ClaimDecided{ aRequest.mId, EndOf(record.mStatus), record.mAnswer };
 }
 
 void
-Claims::Answered(RequestId aId, KeptAnswer aAnswer)
+Claims::Answered(RequestId aId, CachedAnswer aAnswer)
 {
   const auto record = mRecords.find(aId);
   if (record == mRecords.end()) {
     return;
   }
   const size_t bytes = aAnswer.mBody.size();
-  if (bytes <= mOptions.mLongestAnswer) {
+  if (bytes <= mOptions.mMaxCachedAnswerSize) {
     record->second.mAnswer =
-      std::make_shared<const KeptAnswer>(std::move(aAnswer));
+      std::make_shared<const CachedAnswer>(std::move(aAnswer));
     mAnswerBytes += bytes;
     mKept.push_back(aId);
   }
-  while (mAnswerBytes > mOptions.mMostAnswerBytes) {
+  while (mAnswerBytes > mOptions.mMaxCachedBytes) {
     const auto oldest = mRecords.find(mKept.front());
     mKept.pop_front();
     if (oldest != mRecords.end()) {
       DropAnswer(oldest->second);
     }
   }
-  End(aId, ClaimStanding::Finished);
+  End(aId, ClaimStatus::Finished);
 }
 
 void
-Claims::AnsweredUnkept(RequestId aId)
+Claims::AnsweredUncached(RequestId aId)
 {
-  End(aId, ClaimStanding::Finished);
+  End(aId, ClaimStatus::Finished);
 }
 
 void
 Claims::NotRun(RequestId aId)
 {
-  End(aId, ClaimStanding::NotRun);
+  End(aId, ClaimStatus::NotRun);
 }
 
 void
 Claims::MaybeRan(RequestId aId)
 {
-  End(aId, ClaimStanding::MaybeRan);
+  End(aId, ClaimStatus::MaybeRan);
 }
 
 void
-Claims::End(RequestId aId, ClaimStanding aStanding)
+Claims::End(RequestId aId, ClaimStatus aStanding)
 {
   const auto record = mRecords.find(aId);
   if (record == mRecords.end() ||
-      record->second.mStanding != ClaimStanding::InProgress) {
+      record->second.mStatus != ClaimStatus::InProgress) {
     return;
   }
-  record->second.mStanding = aStanding;
+  record->second.mStatus = aStanding;
   Remember(aId);
 }
 
@@ -134,7 +134,7 @@
 Claims::Remember(RequestId aId)
 {
   mEnded.push_back(aId);
-  if (mEnded.size() <= mOptions.mMostRemembered) {
+  if (mEnded.size() <= mOptions.mMaxRemembered) {
     return;
   }
   const auto oldest = mRecords.find(mEnded.front());
@@ -165,24 +165,25 @@
   ClaimActions out;
   const std::vector<RequestId> batch = std::move(mCommitting);
   mCommitting.clear();
-  mFailures = aCommit.mEnd == ClaimCommitEnd::Unknown ? mFailures + 1 : 0;
-  if (aCommit.mEnd == ClaimCommitEnd::Unknown) {
+  mFailures =
+    aCommit.mOutcome == ClaimCommitOutcome::Unknown ? mFailures + 1 : 0;
+  if (aCommit.mOutcome == ClaimCommitOutcome::Unknown) {
     mNextCommit = aNow + RetrySpan();
   }
   for (size_t place = 0; place < batch.size(); ++place) {
     const RequestId id = batch[place];
-    const bool found = aCommit.mEnd == ClaimCommitEnd::Refused &&
+    const bool found = aCommit.mOutcome == ClaimCommitOutcome::Refused &&
                        place < aCommit.mFound.size() &&
                        aCommit.mFound[place].has_value();
     if (!mUndecided.contains(id)) {
       continue; // it was too late, and will not run
     }
-    if (aCommit.mEnd == ClaimCommitEnd::Done) {
-      Decide(out, id, ClaimEnd::Run);
+    if (aCommit.mOutcome == ClaimCommitOutcome::Done) {
+      Decide(out, id, ClaimOutcome::Run);
     } else if (found) {
       Weigh(out, id, *aCommit.mFound[place]);
     } else {
-      if (aCommit.mEnd == ClaimCommitEnd::Refused) {
+      if (aCommit.mOutcome == ClaimCommitOutcome::Refused) {
         mUndecided.at(id).mReplaces.reset();
       }
       mWaiting.push_back(id);
@@ -203,17 +204,17 @@
   }
   const std::optional<ClaimRow> row = ClaimRowFromText(aFound.mText);
   if (!row) {
-    Decide(aOut, aId, ClaimEnd::MaybeRan);
+    Decide(aOut, aId, ClaimOutcome::MaybeRan);
   } else if (row->mRequest == aId) {
-    Decide(aOut, aId, ClaimEnd::Run);
+    Decide(aOut, aId, ClaimOutcome::Run);
   } else if (row->mFingerprint != mRecords.at(aId).mFingerprint) {
-    Decide(aOut, aId, ClaimEnd::OtherIntent);
+    Decide(aOut, aId, ClaimOutcome::OtherIntent);
   } else if (row->mAddress == mOptions.mAddress) {
     Follow(aOut, aId, aFound, Report(row->mRequest));
   } else {
     undecided.mAsking = true;
     mAsked[++mLastTicket] = { aId, aFound };
-    aOut.push_back(AskClaimant{ mLastTicket, row->mAddress, row->mRequest });
+    aOut.push_back(QueryClaimant{ mLastTicket, row->mAddress, row->mRequest });
   }
 }
 
@@ -223,19 +224,19 @@
                const FoundClaim& aFound,
                const ClaimReport& aReport)
 {
-  if (aReport.mStanding == ClaimStanding::NotRun) {
+  if (aReport.mStatus == ClaimStatus::NotRun) {
     mUndecided.at(aId).mReplaces = aFound;
     mWaiting.push_back(aId);
     return;
   }
-  Decide(aOut, aId, EndOf(aReport.mStanding), aReport.mAnswer);
+  Decide(aOut, aId, EndOf(aReport.mStatus), aReport.mAnswer);
 }
 
 ClaimActions
-Claims::OnAsked(uint64_t aTicket,
-                const ClaimReport& aReport,
-                int64_t aUnixSeconds,
-                Millis aNow)
+Claims::OnClaimantReport(uint64_t aTicket,
+                         const ClaimReport& aReport,
+                         int64_t aUnixSeconds,
+                         Millis aNow)
 {
   ClaimActions out;
   const auto asked = mAsked.find(aTicket);
@@ -267,7 +268,7 @@
   if (record == mRecords.end()) {
     return {};
   }
-  return { record->second.mStanding, record->second.mAnswer };
+  return { record->second.mStatus, record->second.mAnswer };
 }
 
 Millis
@@ -303,21 +304,21 @@
   }
   for (const RequestId id : late) {
     const bool taken = mUndecided.at(id).mAsking;
-    Decide(aOut, id, taken ? ClaimEnd::MaybeRan : ClaimEnd::Unsettled);
+    Decide(aOut, id, taken ? ClaimOutcome::MaybeRan : ClaimOutcome::Unsettled);
   }
 }
 
 void
 Claims::Decide(ClaimActions& aOut,
                RequestId aId,
-               ClaimEnd aEnd,
-               std::shared_ptr<const KeptAnswer> aAnswer)
+               ClaimOutcome aEnd,
+               std::shared_ptr<const CachedAnswer> aAnswer)
 {
   mUndecided.erase(aId);
-  if (aEnd != ClaimEnd::Run) {
+  if (aEnd != ClaimOutcome::Run) {
     NotRun(aId);
   }
-  aOut.push_back(ClaimAnswered{ aId, aEnd, std::move(aAnswer) });
+  aOut.push_back(ClaimDecided{ aId, aEnd, std::move(aAnswer) });
 }
 
 /** All that waits goes into one transaction: a group commit. */
@@ -328,7 +329,7 @@
     return;
   }
   CommitClaims commit;
-  while (!mWaiting.empty() && mCommitting.size() < mOptions.mMostInBatch) {
+  while (!mWaiting.empty() && mCommitting.size() < mOptions.mMaxBatchSize) {
     const RequestId id = mWaiting.front();
     mWaiting.pop_front();
     const auto undecided = mUndecided.find(id);
@@ -371,7 +372,7 @@
 {
   const int64_t factor = int64_t{ 1 } << std::min(mFailures, kMostDoublings);
   const Millis most =
-    std::min(mOptions.mFirstRetry * factor, mOptions.mMostRetry);
+    std::min(mOptions.mInitialRetryDelay * factor, mOptions.mMaxRetryDelay);
   std::uniform_int_distribution<int64_t> draw(most.Count() / 2, most.Count());
   return Millis(draw(mRandom));
 }
--- a/src/libtrefoilarch/claims.h
+++ b/src/libtrefoilarch/claims.h
@@ -18,16 +18,16 @@
   /** This entry's address for other entries' questions. */
   std::string mAddress;
   /** How long a claim may stay undecided before the request is refused. */
-  Millis mDecisionSpan{ 3000 };
-  Millis mFirstRetry{ 50 };
-  Millis mMostRetry{ 1000 };
+  Millis mDecisionTimeout{ 3000 };
+  Millis mInitialRetryDelay{ 50 };
+  Millis mMaxRetryDelay{ 1000 };
   /** Claims in one transaction; etcd takes 128 operations, a claim needs 3. */
-  size_t mMostInBatch = 32;
+  size_t mMaxBatchSize = 32;
   /** Requests that are remembered after their end. */
-  size_t mMostRemembered = 50000;
+  size_t mMaxRemembered = 50000;
   /** Bytes of answers kept for repeats, and of one of them. */
-  size_t mMostAnswerBytes = 8 * 1024 * 1024;
-  size_t mLongestAnswer = 64 * 1024;
+  size_t mMaxCachedBytes = 8 * 1024 * 1024;
+  size_t mMaxCachedAnswerSize = 64 * 1024;
   /** Length of an epoch: a key is remembered for one epoch at the least. */
   int64_t mEpochSeconds = 7200;
   uint64_t mSeed = 1;
@@ -47,13 +47,13 @@
 public:
   explicit Claims(ClaimOptions aOptions);
 
-  /** Answered by ClaimAnswered within the decision span. */
+  /** Answered by ClaimDecided within the decision span. */
   ClaimActions Claim(ClaimRequest aRequest, int64_t aUnixSeconds, Millis aNow);
 
   /** A request that was let run has ended with its whole answer. */
-  void Answered(RequestId aId, KeptAnswer aAnswer);
+  void Answered(RequestId aId, CachedAnswer aAnswer);
   /** As above, with an answer that is not kept. */
-  void AnsweredUnkept(RequestId aId);
+  void AnsweredUncached(RequestId aId);
   /** It was let run, and surely did not. */
   void NotRun(RequestId aId);
   /** It was let run, and nobody knows whether it did. */
@@ -63,10 +63,10 @@
   ClaimActions OnCommitted(ClaimCommit aCommit,
                            int64_t aUnixSeconds,
                            Millis aNow);
-  ClaimActions OnAsked(uint64_t aTicket,
-                       const ClaimReport& aReport,
-                       int64_t aUnixSeconds,
-                       Millis aNow);
+  ClaimActions OnClaimantReport(uint64_t aTicket,
+                                const ClaimReport& aReport,
+                                int64_t aUnixSeconds,
+                                Millis aNow);
   ClaimActions OnTick(int64_t aUnixSeconds, Millis aNow);
 
   /** For another entry that found the request's row. */
@@ -83,8 +83,8 @@
   {
     std::string mKey;
     std::string mFingerprint;
-    ClaimStanding mStanding = ClaimStanding::InProgress;
-    std::shared_ptr<const KeptAnswer> mAnswer;
+    ClaimStatus mStatus = ClaimStatus::InProgress;
+    std::shared_ptr<const CachedAnswer> mAnswer;
   };
 
   /** A request that waits for its claim to be decided. */
@@ -96,14 +96,14 @@
   };
 
   uint64_t EpochOf(int64_t aUnixSeconds) const;
-  std::optional<ClaimAnswered> AnswerHere(const ClaimRequest& aRequest) const;
-  void End(RequestId aId, ClaimStanding aStanding);
+  std::optional<ClaimDecided> AnswerHere(const ClaimRequest& aRequest) const;
+  void End(RequestId aId, ClaimStatus aStanding);
   void Remember(RequestId aId);
   void DropAnswer(Record& aRecord);
   void Decide(ClaimActions& aOut,
               RequestId aId,
-              ClaimEnd aEnd,
-              std::shared_ptr<const KeptAnswer> aAnswer = nullptr);
+              ClaimOutcome aEnd,
+              std::shared_ptr<const CachedAnswer> aAnswer = nullptr);
   void Weigh(ClaimActions& aOut, RequestId aId, const FoundClaim& aFound);
   void Follow(ClaimActions& aOut,
               RequestId aId,
--- a/src/libtrefoilarch/entrychannels.cpp
+++ b/src/libtrefoilarch/entrychannels.cpp
@@ -55,9 +55,9 @@
     link.mListed = false;
   }
   for (UpstreamView& view : aUpstreams) {
-    const ChannelSpans spans{ .mSilence = mOptions.mSilenceSpan,
-                              .mHeartbeat = mOptions.mHeartbeat,
-                              .mIdleHeartbeat = mOptions.mIdleHeartbeat };
+    const ChannelTimeouts spans{ .mSilence = mOptions.mSilenceTimeout,
+                                 .mHeartbeat = mOptions.mHeartbeat,
+                                 .mIdleHeartbeat = mOptions.mIdleHeartbeat };
     const auto [place, isNew] = mLinks.try_emplace(view.mName, spans);
     UpstreamLink& link = place->second;
     if (isNew) {
@@ -71,7 +71,7 @@
     }
   }
   for (auto& [name, link] : mLinks) {
-    if (!link.TakesWork()) {
+    if (!link.AcceptsWork()) {
       MoveOffersAway(link, aNow);
     }
   }
@@ -141,7 +141,7 @@
                     Millis aNow)
 {
   aLink.SetLoad(aMessage.mLoad);
-  if (!aLink.TakesWork()) {
+  if (!aLink.AcceptsWork()) {
     MoveOffersAway(aLink, aNow);
   }
 }
--- a/src/libtrefoilarch/entrycore.h
+++ b/src/libtrefoilarch/entrycore.h
@@ -21,15 +21,15 @@
   /** Offers made at a time for one request; one more in the upper tiers. */
   size_t mOfferWidth = 3;
   /** Silence on a channel with open requests after which it is replaced. */
-  Millis mSilenceSpan{ 1500 };
+  Millis mSilenceTimeout{ 1500 };
   Millis mHeartbeat{ 500 };
   /** Heartbeats on a channel with nothing open. */
   Millis mIdleHeartbeat{ 5000 };
-  size_t mMostOpen = 10000;
+  size_t mMaxOpen = 10000;
   /** Retries allowed for each hundred first attempts of a class. */
   double mRetryPercent = 10;
-  Millis mFirstBackoff{ 20 };
-  Millis mMostBackoff{ 2000 };
+  Millis mInitialBackoff{ 20 };
+  Millis mMaxBackoff{ 2000 };
   uint64_t mSeed = 1;
 };
 
@@ -43,7 +43,7 @@
   /** Of what the caller and the model know in common; 0: nothing. */
   uint64_t mPrefixHash = 0;
   /** The most the caller allows (max_tokens); 0: no limit known. */
-  uint32_t mMostOutputTokens = 0;
+  uint32_t mMaxOutputTokens = 0;
 };
 
 /** Sends a message to a sidecar over its current channel. */
--- a/src/libtrefoilarch/entryimpl.cpp
+++ b/src/libtrefoilarch/entryimpl.cpp
@@ -30,7 +30,7 @@
     return;
   }
   const Tier tier = aRequest.mClassified.mLevel.mTier;
-  if (mRequests.size() >= mOptions.mMostOpen && !MakePlaceFor(tier, aNow)) {
+  if (mRequests.size() >= mOptions.mMaxOpen && !MakePlaceFor(tier, aNow)) {
     Refuse(id,
            { ErrorKind::TooManyOpen,
              Ran::No,
--- a/src/libtrefoilarch/entryplacing.cpp
+++ b/src/libtrefoilarch/entryplacing.cpp
@@ -117,7 +117,7 @@
                              const UpstreamLink& aLink) const
 {
   const UpstreamId& name = aLink.mView.mName;
-  return aLink.Ready() && aLink.TakesWork() &&
+  return aLink.Ready() && aLink.AcceptsWork() &&
          !Contains(aRequest.mDeclinedBy, name) &&
          std::none_of(aRequest.mOffers.begin(),
                       aRequest.mOffers.end(),
@@ -148,7 +148,7 @@
       outlook.mMoreLater |= link.mListed && MayComeBack(link, aNow);
       continue;
     }
-    if (!link.TakesWork() || !MayGo(aRequest, link)) {
+    if (!link.AcceptsWork() || !MayGo(aRequest, link)) {
       continue;
     }
     outlook.mAnyEligible = true;
@@ -216,7 +216,7 @@
   const uint32_t output =
     hasTokens ? mOutputs.Estimate(level.mClass,
                                   level.mWorkspace,
-                                  aRequest.mRequest.mMostOutputTokens)
+                                  aRequest.mRequest.mMaxOutputTokens)
               : 0;
   return { .mKey = aKey,
            .mLevel = level,
@@ -405,8 +405,9 @@
 Millis
 EntryCore::Impl::Backoff(uint32_t aRetries)
 {
-  const Millis most = std::min(
-    mOptions.mFirstBackoff * (int64_t{ 1 } << aRetries), mOptions.mMostBackoff);
+  const Millis most =
+    std::min(mOptions.mInitialBackoff * (int64_t{ 1 } << aRetries),
+             mOptions.mMaxBackoff);
   std::uniform_int_distribution<int64_t> spread(most.Count() / 2, most.Count());
   return Millis(spread(mRandom));
 }
--- a/src/libtrefoilarch/lease.cpp
+++ b/src/libtrefoilarch/lease.cpp
@@ -19,9 +19,9 @@
 {
   return nlohmann::json{
     { "holder", aRow.mHolder },
-    { "fence", aRow.mFence },
+    { "fence", aRow.mFencingNumber },
     { "renewal", aRow.mRenewal },
-    { "span_ms", aRow.mSpan.Count() }
+    { "span_ms", aRow.mDuration.Count() }
   }.dump();
 }
 
@@ -47,7 +47,7 @@
 }
 
 LeaseActions
-Lease::Want(bool aWanted, Millis aNow)
+Lease::SetWanted(bool aWanted, Millis aNow)
 {
   LeaseActions out;
   mWanted = aWanted;
@@ -69,7 +69,7 @@
 {
   LeaseActions out;
   mBusy = false;
-  mNext = aNow + Jittered(mOptions.mRetry);
+  mNext = aNow + Jittered(mOptions.mRetryInterval);
   if (aFound.mReached) {
     Judge(out, aFound, aNow);
   }
@@ -78,16 +78,16 @@
 }
 
 LeaseActions
-Lease::OnWritten(LeaseWriteEnd aEnd, int64_t aRevision, Millis aNow)
+Lease::OnWritten(LeaseWriteOutcome aEnd, int64_t aRevision, Millis aNow)
 {
   LeaseActions out;
   mBusy = false;
   mNext = aNow;
-  if (aEnd == LeaseWriteEnd::Unknown) {
-    mNext = aNow + Jittered(mOptions.mRetry);
+  if (aEnd == LeaseWriteOutcome::Unknown) {
+    mNext = aNow + Jittered(mOptions.mRetryInterval);
   }
   mRevision = 0; // unless Done, the row must be read before the next write
-  if (aEnd == LeaseWriteEnd::Done) {
+  if (aEnd == LeaseWriteOutcome::Done) {
     mRevision = aRevision;
     Take(out, aNow);
   }
@@ -96,7 +96,7 @@
 }
 
 bool
-Lease::Held(Millis aNow, Millis aSpan) const
+Lease::IsHeld(Millis aNow, Millis aSpan) const
 {
   return mHolding && mWanted && aNow + aSpan < mGoodUntil;
 }
@@ -161,7 +161,7 @@
 {
   const LeaseRow row = LeaseRowFromText(aFound.mText).value_or(LeaseRow());
   const bool ours = aFound.mRevision != 0 && row.mHolder == mOptions.mHolder &&
-                    row.mFence == mSent.mFence;
+                    row.mFencingNumber == mSent.mFencingNumber;
   if (ours) {
     mRevision = aFound.mRevision;
     mNext = aNow;
@@ -181,12 +181,14 @@
     mWatched = aFound.mRevision;
     mWatchedSince = aNow;
   }
-  const Millis wait = row.mSpan + mOptions.mMargin;
+  const Millis wait = row.mDuration + mOptions.mMargin;
   if (!free && aNow - mWatchedSince < wait) {
     mNext = aNow + Jittered(wait / kWatchesInSpan);
     return;
   }
-  const LeaseRow next{ mOptions.mHolder, row.mFence + 1, 0, mOptions.mSpan };
+  const LeaseRow next{
+    mOptions.mHolder, row.mFencingNumber + 1, 0, mOptions.mDuration
+  };
   mTakingOver = !free;
   Write(aOut, next, aFound.mRevision, aNow);
 }
@@ -199,15 +201,15 @@
     mRevision = 0; // it was given back
     return;
   }
-  mGoodUntil = mSentAt + mOptions.mSpan - mOptions.mMargin;
+  mGoodUntil = mSentAt + mOptions.mDuration - mOptions.mMargin;
   if (aNow >= mGoodUntil) {
     return; // too late to be of use; it is renewed at once
   }
   mNext = mWanted ? mSentAt + Jittered(mOptions.mRenewAfter) : aNow;
-  if (!mHolding || mFence != mSent.mFence) {
+  if (!mHolding || mFencingNumber != mSent.mFencingNumber) {
     mHolding = true;
-    mFence = mSent.mFence;
-    aOut.emplace_back(LeaseGained{ mFence, mTakingOver });
+    mFencingNumber = mSent.mFencingNumber;
+    aOut.emplace_back(LeaseGained{ mFencingNumber, mTakingOver });
   }
 }
 
--- a/src/libtrefoilarch/lease.h
+++ b/src/libtrefoilarch/lease.h
@@ -17,12 +17,12 @@
   /** Unique to this process and this start of it. */
   std::string mHolder;
   /** How long a lease is good after the write that renewed it was sent. */
-  Millis mSpan{ 10000 };
+  Millis mDuration{ 10000 };
   /** What the holder gives up early and a successor waits longer, so that
    * clocks may run at rates that differ by this share of the span. */
   Millis mMargin{ 500 };
   Millis mRenewAfter{ 3000 };
-  Millis mRetry{ 300 };
+  Millis mRetryInterval{ 300 };
   uint64_t mSeed = 1;
 };
 
@@ -31,11 +31,11 @@
 {
   std::string mHolder; /**< empty where it was given back */
   /** Rises with each new holder; goes with each of its orders. */
-  uint64_t mFence = 0;
+  uint64_t mFencingNumber = 0;
   /** Rises with each write of one holder, sent again or not: the holder
    * counts from the one that took effect. */
   uint64_t mRenewal = 0;
-  Millis mSpan;
+  Millis mDuration;
 
   bool operator==(const LeaseRow&) const = default;
 };
@@ -60,7 +60,7 @@
 /** The lease is this process's, under this fencing number. */
 struct LeaseGained
 {
-  uint64_t mFence = 0;
+  uint64_t mFencingNumber = 0;
   /** The holder before did not give it back: it may be at work still. */
   bool mTakenOver = false;
 };
@@ -81,7 +81,7 @@
   std::string mText;
 };
 
-enum class LeaseWriteEnd
+enum class LeaseWriteOutcome
 {
   Done,
   Refused,
@@ -94,7 +94,7 @@
  * was sent, and a successor takes over only after it has watched the row
  * unchanged for the whole span and the margin. So the table may be slow or
  * down, writes may come late, and processes may sleep: there are never two
- * for whom Held() is true at one time. Single-threaded.
+ * for whom IsHeld() is true at one time. Single-threaded.
  */
 class Lease
 {
@@ -102,18 +102,20 @@
   explicit Lease(LeaseOptions aOptions);
 
   /** Whether this process should try to hold the lease. */
-  LeaseActions Want(bool aWanted, Millis aNow);
+  LeaseActions SetWanted(bool aWanted, Millis aNow);
   LeaseActions OnTick(Millis aNow);
   LeaseActions OnRead(const LeaseFound& aFound, Millis aNow);
   /** aRevision: the row's, where Done. */
-  LeaseActions OnWritten(LeaseWriteEnd aEnd, int64_t aRevision, Millis aNow);
+  LeaseActions OnWritten(LeaseWriteOutcome aEnd,
+                         int64_t aRevision,
+                         Millis aNow);
 
   /**
    * Whether the lease is held and will be for aSpan. Ask right before acting,
    * with the time read right then: a process that slept finds out here.
    */
-  bool Held(Millis aNow, Millis aSpan = Millis()) const;
-  uint64_t Fence() const { return mFence; }
+  bool IsHeld(Millis aNow, Millis aSpan = Millis()) const;
+  uint64_t FencingNumber() const { return mFencingNumber; }
   bool Wanted() const { return mWanted; }
   /** A read or write is under way. */
   bool Busy() const { return mBusy; }
@@ -136,7 +138,7 @@
   Millis mNext;
   bool mHolding = false;
   Millis mGoodUntil;
-  uint64_t mFence = 0;
+  uint64_t mFencingNumber = 0;
   int64_t mRevision = 0; /**< of the row while it is known to be ours */
   bool mTakingOver = false;
   uint64_t mWrites = 0;
--- a/src/libtrefoilarch/ledger.cpp
+++ b/src/libtrefoilarch/ledger.cpp
@@ -10,7 +10,7 @@
 }
 
 void
-Ledger::Close(const AttemptKey& aKey, const FinalWord& aWord, Millis aNow)
+Ledger::Close(const AttemptKey& aKey, const FinalMessage& aWord, Millis aNow)
 {
   const bool voided = std::holds_alternative<std::monostate>(aWord);
   if (!mWords.emplace(aKey, aWord).second) {
@@ -22,7 +22,7 @@
   Expire(aNow);
 }
 
-const FinalWord*
+const FinalMessage*
 Ledger::Find(const AttemptKey& aKey) const
 {
   const auto found = mWords.find(aKey);
@@ -32,7 +32,7 @@
 void
 Ledger::Expire(Millis aNow)
 {
-  const Millis oldest = aNow - mOptions.mSpan;
+  const Millis oldest = aNow - mOptions.mRetention;
   while (!mVoided.empty() && mVoided.front().mAt < oldest) {
     ForgetVoided();
   }
--- a/src/libtrefoilarch/ledger.h
+++ b/src/libtrefoilarch/ledger.h
@@ -14,12 +14,12 @@
 namespace trefoilarch {
 
 /** How an attempt ended; a voided one has no final message. */
-using FinalWord = std::variant<std::monostate, Finished, Failed>;
+using FinalMessage = std::variant<std::monostate, Finished, Failed>;
 
 /** Bounds of a Ledger. */
 struct LedgerOptions
 {
-  Millis mSpan{ 300000 };
+  Millis mRetention{ 300000 };
   size_t mLimit = 100000;
 };
 
@@ -38,10 +38,10 @@
   explicit Ledger(LedgerOptions aOptions);
 
   /** Keeps the end of an attempt; the first word on a key stands. */
-  void Close(const AttemptKey& aKey, const FinalWord& aWord, Millis aNow);
+  void Close(const AttemptKey& aKey, const FinalMessage& aWord, Millis aNow);
 
   /** How the attempt ended, or nothing if that is not known. */
-  const FinalWord* Find(const AttemptKey& aKey) const;
+  const FinalMessage* Find(const AttemptKey& aKey) const;
 
   /** Whether an attempt that had started may have been forgotten. */
   bool HasForgottenStarts() const { return mForgottenStarts > 0; }
@@ -64,7 +64,7 @@
   void Trim();
 
   LedgerOptions mOptions;
-  std::unordered_map<AttemptKey, FinalWord> mWords;
+  std::unordered_map<AttemptKey, FinalMessage> mWords;
   std::deque<Dated> mVoided;
   std::deque<Dated> mStarted;
   uint64_t mForgottenStarts = 0;
--- a/src/libtrefoilarch/loaddump.cpp
+++ b/src/libtrefoilarch/loaddump.cpp
@@ -10,7 +10,7 @@
   return { { "running", aLoad.mRunning },
            { "waiting", aLoad.mWaiting },
            { "tokens_in_flight", aLoad.mTokensInFlight },
-           { "token_room", aLoad.mTokenRoom },
+           { "token_room", aLoad.mTokenCapacity },
            { "tokens_waiting", aLoad.mTokensWaiting },
            { "draining", aLoad.mDraining } };
 }
--- a/src/libtrefoilarch/membershipview.cpp
+++ b/src/libtrefoilarch/membershipview.cpp
@@ -36,12 +36,14 @@
     }
   }
   const size_t gone = missing.size();
-  const bool doubt = gone >= mOptions.mDoubtFrom && 2 * gone > aOld.size();
+  const bool doubt =
+    gone >= mOptions.mSuspicionMinHosts && 2 * gone > aOld.size();
   std::vector<T> merged = aNew;
   for (const T& member : missing) {
     const Millis since =
       mMissingSince.try_emplace(member.mAddress, aNow).first->second;
-    const Millis span = doubt ? mOptions.mDoubtSpan : mOptions.mMissingSpan;
+    const Millis span =
+      doubt ? mOptions.mSuspicionTimeout : mOptions.mMissingTimeout;
     if (aNow - since < span) {
       merged.push_back(member);
     } else {
--- a/src/libtrefoilarch/membershipview.h
+++ b/src/libtrefoilarch/membershipview.h
@@ -13,11 +13,11 @@
 struct MembershipViewOptions
 {
   /** A host must be missing for this long, in two reads at the least. */
-  Millis mMissingSpan{ 500 };
+  Millis mMissingTimeout{ 500 };
   /** The same where more than half of the hosts vanish at once. */
-  Millis mDoubtSpan{ 30000 };
+  Millis mSuspicionTimeout{ 30000 };
   /** Fewer hosts than this may vanish together without doubt. */
-  size_t mDoubtFrom = 4;
+  size_t mSuspicionMinHosts = 4;
 };
 
 /**
--- a/src/libtrefoilarch/messages.h
+++ b/src/libtrefoilarch/messages.h
@@ -123,7 +123,7 @@
   uint32_t mRunning = 0;
   uint32_t mWaiting = 0;
   uint64_t mTokensInFlight = 0;
-  uint64_t mTokenRoom = 0; /**< limit on tokens in flight at present */
+  uint64_t mTokenCapacity = 0; /**< limit on tokens in flight at present */
   uint64_t mTokensWaiting = 0;
   bool mDraining = false;
 
--- a/src/libtrefoilarch/orders.cpp
+++ b/src/libtrefoilarch/orders.cpp
@@ -35,13 +35,13 @@
 LeaseOptions
 Orders::OptionsFor(bool aSlot)
 {
-  const bool covers = aSlot || !mOptions.mEngineChecksFence;
+  const bool covers = aSlot || !mOptions.mEngineChecksFencing;
   LeaseOptions options;
   options.mHolder = mOptions.mHolder + "/" + std::to_string(++mLeases);
-  options.mSpan =
-    mOptions.mLeaseSpare + (covers ? mOptions.mLongestOrder : Millis());
-  options.mMargin = options.mSpan / 20;
-  options.mRenewAfter = options.mSpan / 10;
+  options.mDuration =
+    mOptions.mLeaseMargin + (covers ? mOptions.mMaxOrderDuration : Millis());
+  options.mMargin = options.mDuration / 20;
+  options.mRenewAfter = options.mDuration / 10;
   options.mSeed = mOptions.mSeed + (aSlot ? 1 : 0);
   return options;
 }
@@ -50,11 +50,12 @@
 Orders::Submit(EngineOrder aOrder, Millis aNow)
 {
   OrderActions out;
-  if (mOrders.size() >= mOptions.mMostWaiting) {
-    out.emplace_back(OrderEnded{ aOrder.mId, OrderEnd::NotSent });
+  if (mOrders.size() >= mOptions.mMaxWaiting) {
+    out.emplace_back(OrderEnded{ aOrder.mId, OrderOutcome::NotSent });
     return out;
   }
-  mOrders.push_back({ std::move(aOrder), aNow + mOptions.mOrderSpan, false });
+  mOrders.push_back(
+    { std::move(aOrder), aNow + mOptions.mOrderTimeout, false });
   Drive(out, aNow);
   return out;
 }
@@ -74,7 +75,7 @@
 
 OrderActions
 Orders::OnLeaseWritten(const std::string& aKey,
-                       LeaseWriteEnd aEnd,
+                       LeaseWriteOutcome aEnd,
                        int64_t aRevision,
                        Millis aNow)
 {
@@ -94,19 +95,19 @@
   Entry& entry = mOrders.front();
   switch (aReply) {
     case OrderReply::Done:
-      Finish(out, OrderEnd::Done);
+      Finish(out, OrderOutcome::Done);
       break;
     case OrderReply::Refused:
-      Finish(out, OrderEnd::Failed);
+      Finish(out, OrderOutcome::Failed);
       break;
     case OrderReply::Unknown:
       entry.mMaybeSent = true;
-      mQuietFrom = aNow + mOptions.mLongestOrder;
+      mQuietFrom = aNow + mOptions.mMaxOrderDuration;
       mNextTry = mQuietFrom;
       break;
-    case OrderReply::OldFence:
+    case OrderReply::StaleFencingNumber:
     case OrderReply::NotSent:
-      mNextTry = aNow + mOptions.mRetry;
+      mNextTry = aNow + mOptions.mRetryInterval;
       break;
   }
   Drive(out, aNow);
@@ -129,8 +130,8 @@
 Orders::MaySend(Millis aNow) const
 {
   return !mOrders.empty() && aNow >= mActFrom &&
-         mLease.Held(aNow, SafeSpan()) &&
-         (!NeedsSlot() || Slot().Held(aNow, mOptions.mLongestOrder));
+         mLease.IsHeld(aNow, SafeSpan()) &&
+         (!NeedsSlot() || Slot().IsHeld(aNow, mOptions.mMaxOrderDuration));
 }
 
 Millis
@@ -146,8 +147,8 @@
   if (!mSending) {
     wake = std::min(wake, std::max(mNextTry, mActFrom));
   }
-  if (NeedsSlot() && mSlots.size() > 1 && !Slot().Held(mSlotSince)) {
-    wake = std::min(wake, mSlotSince + mOptions.mSlotPatience);
+  if (NeedsSlot() && mSlots.size() > 1 && !Slot().IsHeld(mSlotSince)) {
+    wake = std::min(wake, mSlotSince + mOptions.mSlotTimeout);
   }
   return std::min(wake, mOrders.front().mDeadline);
 }
@@ -158,12 +159,13 @@
   DropLate(aOut, aNow);
   const bool wanted = !mOrders.empty() || aNow < mQuietFrom;
   if (wanted != mLease.Wanted()) {
-    Take(aOut, mLeaseKey, mLease.Want(wanted, aNow), aNow);
+    Take(aOut, mLeaseKey, mLease.SetWanted(wanted, aNow), aNow);
   }
   DriveSlot(aOut, aNow);
   if (!mSending && aNow >= mNextTry && MaySend(aNow)) {
     mSending = true;
-    aOut.emplace_back(SendOrder{ mOrders.front().mOrder, mLease.Fence() });
+    aOut.emplace_back(
+      SendOrder{ mOrders.front().mOrder, mLease.FencingNumber() });
   }
 }
 
@@ -173,7 +175,7 @@
 {
   while (!mOrders.empty() && !mSending && mOrders.front().mDeadline <= aNow) {
     const bool sent = mOrders.front().mMaybeSent;
-    Finish(aOut, sent ? OrderEnd::Unknown : OrderEnd::NotSent);
+    Finish(aOut, sent ? OrderOutcome::Unknown : OrderOutcome::NotSent);
   }
 }
 
@@ -183,25 +185,25 @@
 {
   const bool lingers = Slot().Wanted() && aNow < mQuietFrom;
   const bool wanted =
-    lingers || (NeedsSlot() && (mSending || mLease.Held(aNow, SafeSpan())));
+    lingers || (NeedsSlot() && (mSending || mLease.IsHeld(aNow, SafeSpan())));
   if (wanted != Slot().Wanted()) {
     mSlotSince = aNow;
-    Take(aOut, SlotKey(mSlot), Slot().Want(wanted, aNow), aNow);
+    Take(aOut, SlotKey(mSlot), Slot().SetWanted(wanted, aNow), aNow);
     return;
   }
   const bool impatient = wanted && !lingers && !mSending &&
-                         !Slot().Held(aNow) &&
-                         aNow >= mSlotSince + mOptions.mSlotPatience;
+                         !Slot().IsHeld(aNow) &&
+                         aNow >= mSlotSince + mOptions.mSlotTimeout;
   if (impatient && mSlots.size() > 1) {
-    Take(aOut, SlotKey(mSlot), Slot().Want(false, aNow), aNow);
+    Take(aOut, SlotKey(mSlot), Slot().SetWanted(false, aNow), aNow);
     mSlot = (mSlot + 1) % mSlots.size();
     mSlotSince = aNow;
-    Take(aOut, SlotKey(mSlot), Slot().Want(true, aNow), aNow);
+    Take(aOut, SlotKey(mSlot), Slot().SetWanted(true, aNow), aNow);
   }
 }
 
 void
-Orders::Finish(OrderActions& aOut, OrderEnd aEnd)
+Orders::Finish(OrderActions& aOut, OrderOutcome aEnd)
 {
   aOut.emplace_back(OrderEnded{ std::move(mOrders.front().mOrder.mId), aEnd });
   mOrders.pop_front();
@@ -215,9 +217,9 @@
 {
   for (LeaseAction& action : aActions) {
     if (const auto* gained = std::get_if<LeaseGained>(&action)) {
-      const bool waits =
-        aKey == mLeaseKey && gained->mTakenOver && !mOptions.mEngineChecksFence;
-      mActFrom = waits ? aNow + mOptions.mLongestOrder : mActFrom;
+      const bool waits = aKey == mLeaseKey && gained->mTakenOver &&
+                         !mOptions.mEngineChecksFencing;
+      mActFrom = waits ? aNow + mOptions.mMaxOrderDuration : mActFrom;
     } else if (std::holds_alternative<ReadLease>(action)) {
       aOut.emplace_back(LeaseRowAction{ aKey, ReadLease{} });
     } else if (auto* write = std::get_if<WriteLease>(&action)) {
@@ -240,7 +242,7 @@
 Millis
 Orders::SafeSpan() const
 {
-  return mOptions.mEngineChecksFence ? Millis() : mOptions.mLongestOrder;
+  return mOptions.mEngineChecksFencing ? Millis() : mOptions.mMaxOrderDuration;
 }
 
 Lease*
--- a/src/libtrefoilarch/orders.h
+++ b/src/libtrefoilarch/orders.h
@@ -32,7 +32,7 @@
 };
 
 /** How an order ended. */
-enum class OrderEnd
+enum class OrderOutcome
 {
   Done,
   Failed,  /**< the engine said no */
@@ -48,19 +48,19 @@
   /** Unique to this process and this start of it. */
   std::string mHolder;
   /** The engine refuses an order that carries an old fencing number. */
-  bool mEngineChecksFence = true;
+  bool mEngineChecksFencing = true;
   /** No order takes longer, from its sending to its effect. */
-  Millis mLongestOrder{ 60000 };
+  Millis mMaxOrderDuration{ 60000 };
   /** What a lease lasts beyond what it has to cover. */
-  Millis mLeaseSpare{ 10000 };
+  Millis mLeaseMargin{ 10000 };
   /** An order that is not done by then is given up. */
-  Millis mOrderSpan{ 600000 };
+  Millis mOrderTimeout{ 600000 };
   /** Loads that the weight store bears at a time, over the whole fleet. */
   size_t mLoadSlots = 4;
   /** After this long at a slot that is taken, the next one is tried. */
-  Millis mSlotPatience{ 3000 };
-  Millis mRetry{ 1000 };
-  size_t mMostWaiting = 32;
+  Millis mSlotTimeout{ 3000 };
+  Millis mRetryInterval{ 1000 };
+  size_t mMaxWaiting = 32;
   uint64_t mSeed = 1;
 };
 
@@ -78,14 +78,14 @@
 struct SendOrder
 {
   EngineOrder mOrder;
-  uint64_t mFence = 0;
+  uint64_t mFencingNumber = 0;
 };
 
 /** Tells an order's end, once. */
 struct OrderEnded
 {
   std::string mId;
-  OrderEnd mEnd = OrderEnd::NotSent;
+  OrderOutcome mOutcome = OrderOutcome::NotSent;
 };
 
 using OrderAction = std::variant<LeaseRowAction, SendOrder, OrderEnded>;
@@ -96,7 +96,7 @@
 {
   Done,
   Refused,
-  OldFence, /**< the engine has seen a higher fencing number */
+  StaleFencingNumber, /**< the engine has seen a higher fencing number */
   NotSent,
   Unknown,
 };
@@ -122,7 +122,7 @@
                            const LeaseFound& aFound,
                            Millis aNow);
   OrderActions OnLeaseWritten(const std::string& aKey,
-                              LeaseWriteEnd aEnd,
+                              LeaseWriteOutcome aEnd,
                               int64_t aRevision,
                               Millis aNow);
   OrderActions OnReply(OrderReply aReply, Millis aNow);
@@ -131,7 +131,7 @@
   /** To be asked with the time read right before sending. */
   bool MaySend(Millis aNow) const;
   size_t Waiting() const { return mOrders.size(); }
-  uint64_t Fence() const { return mLease.Fence(); }
+  uint64_t FencingNumber() const { return mLease.FencingNumber(); }
   Millis NextWake() const;
 
 private:
@@ -145,7 +145,7 @@
   void Drive(OrderActions& aOut, Millis aNow);
   void DropLate(OrderActions& aOut, Millis aNow);
   void DriveSlot(OrderActions& aOut, Millis aNow);
-  void Finish(OrderActions& aOut, OrderEnd aEnd);
+  void Finish(OrderActions& aOut, OrderOutcome aEnd);
   void Take(OrderActions& aOut,
             const std::string& aKey,
             LeaseActions aActions,
--- a/src/libtrefoilarch/placement.cpp
+++ b/src/libtrefoilarch/placement.cpp
@@ -131,8 +131,8 @@
 double
 Placement::MeanScore(RankedSet& aSet, Millis aNow) const
 {
-  if (aNow < aSet.mNextLook || aSet.Members().empty()) {
-    return aSet.mMeanScore;
+  if (aNow < aSet.mNextUpdateAt || aSet.Members().empty()) {
+    return aSet.mMeanLoadScore;
   }
   double sum = 0;
   size_t ready = 0;
@@ -142,21 +142,22 @@
       ready++;
     }
   }
-  aSet.mMeanScore = ready == 0 ? 0 : sum / static_cast<double>(ready);
-  aSet.mNextLook = aNow + kMeanSpan;
-  return aSet.mMeanScore;
+  aSet.mMeanLoadScore = ready == 0 ? 0 : sum / static_cast<double>(ready);
+  aSet.mNextUpdateAt = aNow + kMeanSpan;
+  return aSet.mMeanLoadScore;
 }
 
 double
 Placement::Score(const UpstreamLink& aLink) const
 {
   const Load& load = aLink.mLoad;
-  const auto room = static_cast<double>(std::max<uint64_t>(load.mTokenRoom, 1));
+  const auto room =
+    static_cast<double>(std::max<uint64_t>(load.mTokenCapacity, 1));
   const double tokens =
     static_cast<double>(load.mTokensInFlight + load.mTokensWaiting) +
-    static_cast<double>(aLink.mTokensSince);
-  const double calls =
-    static_cast<double>(load.mRunning) + load.mWaiting + aLink.mCallsSince;
+    static_cast<double>(aLink.mTokensSinceReport);
+  const double calls = static_cast<double>(load.mRunning) + load.mWaiting +
+                       aLink.mCallsSinceReport;
   const bool far = aLink.mView.mDataCentre != mOptions.mDataCentre;
   const auto distance = static_cast<double>(aLink.mRoundTrip.Count());
   return std::max(tokens / room, 0.0) + std::max(calls / kCallsInRoom, 0.0) +
--- a/src/libtrefoilarch/quarantine.cpp
+++ b/src/libtrefoilarch/quarantine.cpp
@@ -102,7 +102,7 @@
   if (aRequest == RequestFingerprint{}) {
     return;
   }
-  mAnswers.Note(aRequest, aNow, aNow);
+  mAnswers.Record(aRequest, aNow, aNow);
   const bool suspected = IsWorthTelling(aRequest) || mHeld.contains(aRequest);
   Clear(aRequest, aNow, "answered");
   if (suspected) {
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -197,7 +197,7 @@
    * back counts no more. */
   std::unordered_map<RequestFingerprint, Millis> mCleared;
   /** Here, and at entries that told of it. */
-  AnswerMemory mAnswers;
+  RecentAnswers mAnswers;
   std::unordered_map<RequestFingerprint, Millis> mClearedToldAt;
   std::vector<QuarantineChange> mChanges;
   Millis mHeldToldAt;
--- a/src/libtrefoilarch/quarantinenews.cpp
+++ b/src/libtrefoilarch/quarantinenews.cpp
@@ -108,7 +108,7 @@
   }
   const bool relays =
     mRelays && (held != mHeld.end() || IsWorthTelling(aCleared.mRequest));
-  mAnswers.Note(aCleared.mRequest, at, aNow);
+  mAnswers.Record(aCleared.mRequest, at, aNow);
   Clear(aCleared.mRequest, at, "let go by another entry");
   if (relays) {
     mNews.mCleared.push_back(aCleared);
--- a/src/libtrefoilarch/rankedset.h
+++ b/src/libtrefoilarch/rankedset.h
@@ -26,8 +26,8 @@
   std::array<UpstreamLink*, kPreferred> PreferredFor(uint64_t aPrefixHash);
 
   /** The members' mean busyness, as last worked out. */
-  double mMeanScore = 0;
-  Millis mNextLook;
+  double mMeanLoadScore = 0;
+  Millis mNextUpdateAt;
 
 private:
   using Ranking = std::array<uint16_t, kPreferred>;
--- a/src/libtrefoilarch/room.cpp
+++ b/src/libtrefoilarch/room.cpp
@@ -30,19 +30,19 @@
 
 } // namespace
 
-Room::Room(RoomOptions aOptions)
+UpstreamCapacity::UpstreamCapacity(UpstreamCapacityOptions aOptions)
   : mOptions(aOptions)
-  , mTokenLimit({ .mFirst = aOptions.mFirstLimit,
-                  .mLeast = std::max<uint64_t>(aOptions.mLeastLimit, 1),
-                  .mMost = aOptions.mMostLimit })
-  , mPrefillLimit({ .mFirst = kFirstPrefill,
-                    .mLeast = kLeastPrefill,
-                    .mMost = kMostPrefill })
+  , mTokenLimit({ .mInitial = aOptions.mInitialLimit,
+                  .mMin = std::max<uint64_t>(aOptions.mMinLimit, 1),
+                  .mMax = aOptions.mMaxLimit })
+  , mPrefillLimit({ .mInitial = kFirstPrefill,
+                    .mMin = kLeastPrefill,
+                    .mMax = kMostPrefill })
 {
 }
 
-Room::Use&
-Room::Use::operator+=(const Use& aOther)
+UpstreamCapacity::Use&
+UpstreamCapacity::Use::operator+=(const Use& aOther)
 {
   mTokens += aOther.mTokens;
   mPrefill += aOther.mPrefill;
@@ -50,8 +50,8 @@
   return *this;
 }
 
-Room::Use
-Room::UseFor(Tier aTier) const
+UpstreamCapacity::Use
+UpstreamCapacity::UseFor(Tier aTier) const
 {
   Use use;
   const size_t own = std::min<size_t>(aTier, kTierCount - 1);
@@ -64,15 +64,15 @@
   return use;
 }
 
-Room::Use&
-Room::UseOf(const RoomShare& aShare)
+UpstreamCapacity::Use&
+UpstreamCapacity::UseOf(const CapacityShare& aShare)
 {
   const size_t tier = std::min<size_t>(aShare.mTier, kTierCount - 1);
   return aShare.mBeside ? mBeside[tier] : mWithin[tier];
 }
 
-Room::Use
-Room::LeftBy(Tier aTier) const
+UpstreamCapacity::Use
+UpstreamCapacity::LeftBy(Tier aTier) const
 {
   Use higher;
   bool present = false;
@@ -94,14 +94,14 @@
 }
 
 void
-Room::OnSeen(Tier aTier, Millis aNow)
+UpstreamCapacity::OnSeen(Tier aTier, Millis aNow)
 {
   mNow = std::max(mNow, aNow);
   mSeen[std::min<size_t>(aTier, kTierCount - 1)] = aNow;
 }
 
 bool
-Room::Fits(const RoomShare& aShare) const
+UpstreamCapacity::Fits(const CapacityShare& aShare) const
 {
   const Use use = UseFor(aShare.mTier);
   if (use.mCalls == 0) {
@@ -110,28 +110,28 @@
   if (mUnreached > 0 || LacksTokens(aShare) || LacksPrefill(aShare)) {
     return false;
   }
-  return use.mCalls + LeftBy(aShare.mTier).mCalls < mOptions.mMostRunning;
+  return use.mCalls + LeftBy(aShare.mTier).mCalls < mOptions.mMaxRunning;
 }
 
 bool
-Room::LacksTokens(const RoomShare& aShare) const
+UpstreamCapacity::LacksTokens(const CapacityShare& aShare) const
 {
   const size_t tier = std::min<size_t>(aShare.mTier, kTierCount - 1);
   const uint64_t limit =
-    std::min(Limit() * kTokenPercent[tier] / kWhole, mOptions.mMostLimit);
+    std::min(Limit() * kTokenPercent[tier] / kWhole, mOptions.mMaxLimit);
   const uint64_t left = LeftBy(aShare.mTier).mTokens;
   return UseFor(aShare.mTier).mTokens + left + aShare.mTokens > limit;
 }
 
 bool
-Room::LacksPrefill(const RoomShare& aShare) const
+UpstreamCapacity::LacksPrefill(const CapacityShare& aShare) const
 {
   const uint64_t used = UseFor(aShare.mTier).mPrefill;
   return used > 0 && used + aShare.mPrefill > PrefillLimit();
 }
 
 void
-Room::Take(const RoomShare& aShare)
+UpstreamCapacity::Take(const CapacityShare& aShare)
 {
   Use& use = UseOf(aShare);
   use.mTokens += aShare.mTokens;
@@ -140,7 +140,7 @@
 }
 
 void
-Room::Release(const RoomShare& aShare)
+UpstreamCapacity::Release(const CapacityShare& aShare)
 {
   Use& use = UseOf(aShare);
   use.mTokens -= aShare.mTokens;
@@ -149,13 +149,13 @@
 }
 
 void
-Room::OnBetweenTokens(double aRatio, double aWeight)
+UpstreamCapacity::OnBetweenTokens(double aRatio, double aWeight)
 {
   mTokenLimit.OnMeasured(0, aRatio, aWeight);
 }
 
 void
-Room::OnFirstToken(double aRatio, bool aByPrefill)
+UpstreamCapacity::OnFirstToken(double aRatio, bool aByPrefill)
 {
   if (aRatio <= 1 || aByPrefill) {
     mPrefillLimit.OnMeasured(0, aRatio, 1);
@@ -166,7 +166,7 @@
 }
 
 void
-Room::OnWanted(const RoomShare& aShare)
+UpstreamCapacity::OnWanted(const CapacityShare& aShare)
 {
   if (LacksPrefill(aShare)) {
     mPrefillLimit.OnWanted();
@@ -176,7 +176,7 @@
 }
 
 void
-Room::Adapt(Millis aNow)
+UpstreamCapacity::Adapt(Millis aNow)
 {
   mNow = std::max(mNow, aNow);
   const Use use = UseFor(kTierCount - 1);
@@ -185,7 +185,7 @@
 }
 
 void
-Room::OnUnreachable(Millis aNow)
+UpstreamCapacity::OnUnreachable(Millis aNow)
 {
   const uint32_t doublings = std::min(mUnreached, kMostDoublings);
   mPauseEnd = aNow + kFirstPause * (int64_t{ 1 } << doublings);
--- a/src/libtrefoilarch/room.h
+++ b/src/libtrefoilarch/room.h
@@ -10,19 +10,19 @@
 
 namespace trefoilarch {
 
-/** Bounds of a Room. */
-struct RoomOptions
+/** Bounds of an UpstreamCapacity. */
+struct UpstreamCapacityOptions
 {
-  uint64_t mFirstLimit = 16384;
+  uint64_t mInitialLimit = 16384;
   /** The limit never falls below this. */
-  uint64_t mLeastLimit = 512;
+  uint64_t mMinLimit = 512;
   /** What the upstream itself can hold at a time, in tokens and in calls. */
-  uint64_t mMostLimit = 1048576;
-  size_t mMostRunning = 256;
+  uint64_t mMaxLimit = 1048576;
+  size_t mMaxRunning = 256;
 };
 
-/** What one attempt takes of a Room, or would take. */
-struct RoomShare
+/** What one attempt takes of an UpstreamCapacity, or would take. */
+struct CapacityShare
 {
   uint64_t mTokens = 0;
   /** Prompt tokens whose prefill has not been seen to end. */
@@ -50,18 +50,18 @@
  * size fits where nothing runs. What runs beside the room counts for its own
  * tier and those below, never for a tier above.
  */
-class Room
+class UpstreamCapacity
 {
 public:
-  explicit Room(RoomOptions aOptions);
+  explicit UpstreamCapacity(UpstreamCapacityOptions aOptions);
 
-  bool Fits(const RoomShare& aShare) const;
+  bool Fits(const CapacityShare& aShare) const;
 
   /** A request of the tier is here, running or waiting. */
   void OnSeen(Tier aTier, Millis aNow);
 
-  void Take(const RoomShare& aShare);
-  void Release(const RoomShare& aShare);
+  void Take(const CapacityShare& aShare);
+  void Release(const CapacityShare& aShare);
 
   /** Measured times as multiples of what they may be at the most. */
   void OnBetweenTokens(double aRatio, double aWeight);
@@ -69,7 +69,7 @@
    * upstream must have kept the request in a queue of its own. */
   void OnFirstToken(double aRatio, bool aByPrefill);
   /** Somebody with that share was kept out. */
-  void OnWanted(const RoomShare& aShare);
+  void OnWanted(const CapacityShare& aShare);
   void Adapt(Millis aNow);
 
   /** The upstream could not be reached: pauses, longer each time. */
@@ -81,7 +81,7 @@
 
   uint64_t Limit() const { return mTokenLimit.Value(); }
   uint64_t PrefillLimit() const { return mPrefillLimit.Value(); }
-  size_t MostRunning() const { return mOptions.mMostRunning; }
+  size_t MaxRunning() const { return mOptions.mMaxRunning; }
   /** Tokens in flight, those beside the room with them. */
   uint64_t InFlight() const { return UseFor(kTierCount - 1).mTokens; }
   uint64_t InPrefill() const { return UseFor(kTierCount - 1).mPrefill; }
@@ -99,13 +99,13 @@
 
   /** What counts for a request of that tier. */
   Use UseFor(Tier aTier) const;
-  Use& UseOf(const RoomShare& aShare);
+  Use& UseOf(const CapacityShare& aShare);
   /** What the tier leaves for bursts of higher tiers. */
   Use LeftBy(Tier aTier) const;
-  bool LacksTokens(const RoomShare& aShare) const;
-  bool LacksPrefill(const RoomShare& aShare) const;
+  bool LacksTokens(const CapacityShare& aShare) const;
+  bool LacksPrefill(const CapacityShare& aShare) const;
 
-  RoomOptions mOptions;
+  UpstreamCapacityOptions mOptions;
   AdaptiveLimit mTokenLimit;
   AdaptiveLimit mPrefillLimit;
   std::array<Use, kTierCount> mWithin{};
--- a/src/libtrefoilarch/schedule.cpp
+++ b/src/libtrefoilarch/schedule.cpp
@@ -84,20 +84,20 @@
   return found == mRequests.end() ? nullptr : &found->second;
 }
 
-std::optional<Turn>
+std::optional<Dispatch>
 Schedule::NextFloor(uint64_t aRoom, Millis aNow) const
 {
   for (const ClassMap& tier : mTiers) {
     for (const auto& [name, owner] : tier) {
       if (IsOwed(owner, aNow) && HasFloorRoom(owner, aRoom)) {
-        return Turn{ .mKey = owner.Next()->mKey, .mFloor = true };
+        return Dispatch{ .mKey = owner.Next()->mKey, .mFloor = true };
       }
     }
   }
   return std::nullopt;
 }
 
-std::optional<Turn>
+std::optional<Dispatch>
 Schedule::NextRegular() const
 {
   for (const ClassMap& tier : mTiers) {
@@ -110,7 +110,7 @@
         }
       }
       if (best) {
-        return Turn{ .mKey = best->mKey, .mFloor = false };
+        return Dispatch{ .mKey = best->mKey, .mFloor = false };
       }
     }
   }
@@ -118,7 +118,7 @@
 }
 
 void
-Schedule::Take(const Turn& aTurn, Millis aNow)
+Schedule::Take(const Dispatch& aTurn, Millis aNow)
 {
   const WaitingRequest& request = mRequests.at(aTurn.mKey);
   const ServiceLevel level = request.mLevel;
@@ -227,7 +227,7 @@
   for (const ClassMap& tier : mTiers) {
     for (const auto& [name, owner] : tier) {
       if (owner.Waiting() > 0 && owner.mRunning == 0) {
-        next = std::min(next, owner.mSince + mOptions.mFloorSpan);
+        next = std::min(next, owner.mSince + mOptions.mFloorStartDelay);
       }
     }
   }
@@ -275,7 +275,8 @@
   if (mRegularStarts >= aClass.mFloorStart) {
     return true;
   }
-  return aClass.mRunning == 0 && aNow >= aClass.mSince + mOptions.mFloorSpan;
+  return aClass.mRunning == 0 &&
+         aNow >= aClass.mSince + mOptions.mFloorStartDelay;
 }
 
 bool
--- a/src/libtrefoilarch/schedule.h
+++ b/src/libtrefoilarch/schedule.h
@@ -22,7 +22,7 @@
 struct ScheduleOptions
 {
   /** A waiting class of which nothing runs gets a floor start after this. */
-  Millis mFloorSpan{ 2000 };
+  Millis mFloorStartDelay{ 2000 };
   /** The least floor of a class, as a share of regular starts. */
   double mLeastFloor = 0.01;
   /** Waiting requests of each class that the queue limit does not touch. */
@@ -30,13 +30,13 @@
 };
 
 /** Whose turn it is. */
-struct Turn
+struct Dispatch
 {
   AttemptKey mKey;
   /** A floor start is made beside the room, so it takes nobody's place. */
   bool mFloor = false;
 
-  bool operator==(const Turn&) const = default;
+  bool operator==(const Dispatch&) const = default;
 };
 
 /**
@@ -49,14 +49,14 @@
  * the most urgent.
  *
  * Floor turns: a class that waits is owed one after 1/floor regular starts of
- * others, and after mFloorSpan if nothing of it runs, unless its floor starts
- * in flight fill its floor's part of the room already. It is made beside the
- * room: the regular turns of higher tiers are the same as if it had not been
- * made, so it never sheds or preempts a request of a higher tier or takes its
- * place; it can only slow the engine that they share. Bound: a class that
+ * others, and after mFloorStartDelay if nothing of it runs, unless its floor
+ * starts in flight fill its floor's part of the room already. It is made beside
+ * the room: the regular turns of higher tiers are the same as if it had not
+ * been made, so it never sheds or preempts a request of a higher tier or takes
+ * its place; it can only slow the engine that they share. Bound: a class that
  * waits and has no floor start in flight starts something within ceil(1/floor)
- * regular starts, and within mFloorSpan if nothing of it runs, whichever is
- * first.
+ * regular starts, and within mFloorStartDelay if nothing of it runs, whichever
+ * is first.
  *
  * Shedding: the lowest tier first, and of it whoever arrived last; the last
  * mKeptPlaces requests of a class are not shed, or a class crowded out of the
@@ -80,11 +80,11 @@
   const WaitingRequest* Find(const AttemptKey& aKey) const;
 
   /** The floor turn that is due, if any, in a room of that many tokens. */
-  std::optional<Turn> NextFloor(uint64_t aRoom, Millis aNow) const;
+  std::optional<Dispatch> NextFloor(uint64_t aRoom, Millis aNow) const;
   /** The regular turn; nothing if nobody waits. */
-  std::optional<Turn> NextRegular() const;
+  std::optional<Dispatch> NextRegular() const;
   /** Takes the request of that turn out, and counts it as a start. */
-  void Take(const Turn& aTurn, Millis aNow);
+  void Take(const Dispatch& aTurn, Millis aNow);
 
   /** A request that had its turn has ended; aFloorTokens: if it was a floor
    * turn, the tokens that it was counted with then. */
--- a/src/libtrefoilarch/sidecarattempt.h
+++ b/src/libtrefoilarch/sidecarattempt.h
@@ -25,7 +25,7 @@
   /** Output tokens so far. */
   uint64_t mOutput = 0;
   /** Room taken; it grows when the answer outruns its estimate. */
-  RoomShare mShare{};
+  CapacityShare mShare{};
   /** Of a floor start: what the Schedule counted it with. */
   uint64_t mFloorTokens = 0;
   /** Prompt tokens in prefill when it started, its own with them. */
@@ -39,7 +39,7 @@
   Headers mHeaders{};
   AnswerBuffer mAnswer{};
   /** Once the attempt has ended. */
-  FinalWord mFinalWord{};
+  FinalMessage mFinalMessage{};
 
   bool HasEnded() const
   {
--- a/src/libtrefoilarch/sidecarcalls.cpp
+++ b/src/libtrefoilarch/sidecarcalls.cpp
@@ -26,7 +26,7 @@
 
 /** Such an attempt is remembered as voided: it did not run and will not. */
 bool
-NeverRan(const FinalWord& aWord)
+NeverRan(const FinalMessage& aWord)
 {
   const auto* failed = std::get_if<Failed>(&aWord);
   return failed && failed->mRan == Ran::No;
@@ -63,7 +63,7 @@
   if (bytes > mOptions.mAnswerLimit) {
     return Cancel(*attempt, ErrorKind::AnswerCut);
   }
-  mRoom.OnReached();
+  mCapacity.OnReached();
   mPreemption.Remove(aData.mKey);
   Measure(*attempt, aData.mTokens);
   AppendChunk(*attempt, std::move(aData.mData), aData.mTokens);
@@ -77,7 +77,7 @@
   }
   if (aAttempt.mLastTokenAt == Millis()) {
     MeasureFirstToken(aAttempt, mNow - aAttempt.mStartedAt);
-    RoomShare prefilled = aAttempt.mShare;
+    CapacityShare prefilled = aAttempt.mShare;
     prefilled.mPrefill = 0;
     ChangeShare(aAttempt, prefilled);
   } else if (mOptions.mTokenStream) {
@@ -86,7 +86,7 @@
   aAttempt.mLastTokenAt = mNow;
   aAttempt.mOutput += aTokens;
   GrowIfOutrun(aAttempt);
-  mRoom.Adapt(mNow);
+  mCapacity.Adapt(mNow);
 }
 
 void
@@ -106,8 +106,8 @@
     static_cast<double>(std::max({ part, own, Millis(1) }).Count());
   const Millis prefill = mRate.BestPrefillTime(aAttempt.mPrefillAhead);
   const Millis step(std::llround(mRate.BetweenTokens(mNow)));
-  mRoom.OnFirstToken(static_cast<double>(aSpan.Count()) / allowed,
-                     aSpan <= prefill * kOwnFactor + step);
+  mCapacity.OnFirstToken(static_cast<double>(aSpan.Count()) / allowed,
+                         aSpan <= prefill * kOwnFactor + step);
 }
 
 void
@@ -118,9 +118,9 @@
   const Millis target = mStrictBetween.Value() * kBetweenPart / kWholeParts;
   const Millis allowed = std::max(target, Millis(1)) * aTokens;
   mRate.OnTokens(aTokens, span, mNow);
-  mRoom.OnBetweenTokens(static_cast<double>(span.Count()) /
-                          static_cast<double>(allowed.Count()),
-                        aTokens);
+  mCapacity.OnBetweenTokens(static_cast<double>(span.Count()) /
+                              static_cast<double>(allowed.Count()),
+                            aTokens);
 }
 
 void
@@ -131,7 +131,7 @@
     return;
   }
   const uint64_t more = std::max(aAttempt.mOutput / kOutrunPart, kLeastGrowth);
-  RoomShare grown = aAttempt.mShare;
+  CapacityShare grown = aAttempt.mShare;
   grown.mTokens = used + more;
   mSchedule.Adjust(
     aAttempt.mOffer.mLevel,
@@ -141,11 +141,11 @@
 
 void
 SidecarCore::Impl::ChangeShare(SidecarAttempt& aAttempt,
-                               const RoomShare& aShare)
+                               const CapacityShare& aShare)
 {
-  mRoom.Release(aAttempt.mShare);
+  mCapacity.Release(aAttempt.mShare);
   aAttempt.mShare = aShare;
-  mRoom.Take(aShare);
+  mCapacity.Take(aShare);
 }
 
 void
@@ -195,7 +195,7 @@
     return;
   }
   if (aFailed.mKind == ErrorKind::UpstreamUnreachable) {
-    mRoom.OnUnreachable(mNow);
+    mCapacity.OnUnreachable(mNow);
   }
   FailRunning(*attempt, aFailed.mKind, aFailed.mRan);
 }
@@ -222,7 +222,8 @@
 }
 
 void
-SidecarCore::Impl::EndRunning(SidecarAttempt& aAttempt, const FinalWord& aWord)
+SidecarCore::Impl::EndRunning(SidecarAttempt& aAttempt,
+                              const FinalMessage& aWord)
 {
   const uint64_t used = mOptions.mTokenStream
                           ? aAttempt.mOffer.mPromptTokens + aAttempt.mOutput
@@ -231,11 +232,11 @@
     mRate.OnEnded(used, aAttempt.mOutput, mNow - aAttempt.mStartedAt);
   }
   ReleaseRoom(aAttempt, used);
-  aAttempt.mFinalWord = aWord;
+  aAttempt.mFinalMessage = aWord;
   const AttemptKey key = aAttempt.mOffer.mKey;
-  mLedger.Close(key, NeverRan(aWord) ? FinalWord() : aWord, mNow);
+  mLedger.Close(key, NeverRan(aWord) ? FinalMessage() : aWord, mNow);
   if (aAttempt.mFlowing) {
-    SendFinalWord(aAttempt.mEntry, aAttempt.mFinalWord);
+    SendFinalWord(aAttempt.mEntry, aAttempt.mFinalMessage);
   }
   if (aAttempt.mState == AttemptState::Failed) {
     return Erase(key);
@@ -244,7 +245,8 @@
 }
 
 void
-SidecarCore::Impl::SendFinalWord(const EntryId& aEntry, const FinalWord& aWord)
+SidecarCore::Impl::SendFinalWord(const EntryId& aEntry,
+                                 const FinalMessage& aWord)
 {
   if (const auto* finished = std::get_if<Finished>(&aWord)) {
     Send(aEntry, *finished);
--- a/src/libtrefoilarch/sidecarcore.h
+++ b/src/libtrefoilarch/sidecarcore.h
@@ -23,27 +23,27 @@
   /** Requests that may wait here; the lowest tier is shed beyond it. */
   size_t mQueueLimit = 2000;
   /** A waiting class of which nothing runs gets a floor start after this. */
-  Millis mFloorSpan{ 2000 };
+  Millis mFloorStartDelay{ 2000 };
   /** A grant that no Start answers within this span is voided. */
-  Millis mGrantSpan{ 1000 };
+  Millis mGrantTimeout{ 1000 };
   /** A running attempt whose entry is gone is cancelled after this span. */
-  Millis mOrphanSpan{ 5000 };
+  Millis mOrphanTimeout{ 5000 };
   /** How long a finished or voided attempt is remembered. */
-  Millis mLedgerSpan{ 300000 };
+  Millis mLedgerRetention{ 300000 };
   size_t mLedgerLimit = 100000;
   /** Bytes of unacknowledged answer kept for one attempt. */
   size_t mAnswerLimit = 4194304;
   Millis mHeartbeat{ 500 };
   /** An entry with open attempts that is silent for this long is taken for
    * gone, and heard again after a new Hello; several of its heartbeats. */
-  Millis mEntrySilence{ 2000 };
+  Millis mEntrySilenceTimeout{ 2000 };
   /** A plain service has no tokens: its room is a number of calls. */
   bool mTokenStream = true;
-  uint64_t mFirstTokenRoom = 16384; /**< tokens in flight to begin with */
+  uint64_t mInitialTokenCapacity = 16384; /**< tokens in flight to begin with */
   /** What the upstream can hold at a time (an engine's key-value memory). */
-  uint64_t mMostTokenRoom = 1048576;
+  uint64_t mMaxTokenCapacity = 1048576;
   /** Calls that the upstream runs at a time (an engine's batch). */
-  size_t mMostRunning = 256;
+  size_t mMaxRunning = 256;
   uint64_t mSeed = 1;
 };
 
--- a/src/libtrefoilarch/sidecardump.cpp
+++ b/src/libtrefoilarch/sidecardump.cpp
@@ -77,10 +77,10 @@
 Load
 SidecarCore::Impl::CurrentLoad() const
 {
-  return { .mRunning = static_cast<uint32_t>(mRoom.Running()),
+  return { .mRunning = static_cast<uint32_t>(mCapacity.Running()),
            .mWaiting = static_cast<uint32_t>(mSchedule.Size()),
-           .mTokensInFlight = mRoom.InFlight(),
-           .mTokenRoom = mRoom.Limit(),
+           .mTokensInFlight = mCapacity.InFlight(),
+           .mTokenCapacity = mCapacity.Limit(),
            .mTokensWaiting = mSchedule.Tokens(),
            .mDraining = mDraining };
 }
@@ -102,7 +102,8 @@
     { "entries", mEntries.size() },
     { "load", Dump(CurrentLoad()) },
     { "prefill",
-      { { "tokens", mRoom.InPrefill() }, { "limit", mRoom.PrefillLimit() } } },
+      { { "tokens", mCapacity.InPrefill() },
+        { "limit", mCapacity.PrefillLimit() } } },
     { "counters", Dump(mCounters) },
     { "ledger",
       { { "size", mLedger.Size() },
--- a/src/libtrefoilarch/sidecarimpl.cpp
+++ b/src/libtrefoilarch/sidecarimpl.cpp
@@ -12,26 +12,28 @@
 constexpr uint64_t kLeastTokenPart = 32;
 constexpr size_t kLeastCallPart = 4;
 
-RoomOptions
+UpstreamCapacityOptions
 RoomOptionsFrom(const SidecarOptions& aOptions)
 {
-  const size_t calls = aOptions.mMostRunning;
+  const size_t calls = aOptions.mMaxRunning;
   const bool tokens = aOptions.mTokenStream;
-  return { .mFirstLimit = tokens ? aOptions.mFirstTokenRoom : calls,
-           .mLeastLimit = tokens ? aOptions.mFirstTokenRoom / kLeastTokenPart
-                                 : calls / kLeastCallPart,
-           .mMostLimit = tokens ? aOptions.mMostTokenRoom : calls,
-           .mMostRunning = calls };
+  return { .mInitialLimit = tokens ? aOptions.mInitialTokenCapacity : calls,
+           .mMinLimit = tokens
+                          ? aOptions.mInitialTokenCapacity / kLeastTokenPart
+                          : calls / kLeastCallPart,
+           .mMaxLimit = tokens ? aOptions.mMaxTokenCapacity : calls,
+           .mMaxRunning = calls };
 }
 
 } // namespace
 
 SidecarCore::Impl::Impl(SidecarOptions aOptions)
   : mOptions(std::move(aOptions))
-  , mLedger({ .mSpan = mOptions.mLedgerSpan, .mLimit = mOptions.mLedgerLimit })
-  , mSchedule({ .mFloorSpan = mOptions.mFloorSpan })
-  , mRoom(RoomOptionsFrom(mOptions))
-  , mAdmission(mSchedule, mRoom, mRate, mOptions.mSeed)
+  , mLedger({ .mRetention = mOptions.mLedgerRetention,
+              .mLimit = mOptions.mLedgerLimit })
+  , mSchedule({ .mFloorStartDelay = mOptions.mFloorStartDelay })
+  , mCapacity(RoomOptionsFrom(mOptions))
+  , mAdmission(mSchedule, mCapacity, mRate, mOptions.mSeed)
 {
 }
 
@@ -223,7 +225,7 @@
   if (attempt->mState == AttemptState::Running) {
     return ArmRunning(*attempt);
   }
-  SendFinalWord(aEntry, attempt->mFinalWord);
+  SendFinalWord(aEntry, attempt->mFinalMessage);
   ArmEnded(*attempt);
 }
 
@@ -231,7 +233,7 @@
 SidecarCore::Impl::ResumeFromLedger(const EntryId& aEntry,
                                     const Resume& aResume)
 {
-  const FinalWord* word = mLedger.Find(aResume.mKey);
+  const FinalMessage* word = mLedger.Find(aResume.mKey);
   const auto* finished = word ? std::get_if<Finished>(word) : nullptr;
   const auto* failed = word ? std::get_if<Failed>(word) : nullptr;
   if (failed) {
@@ -259,7 +261,7 @@
 SidecarCore::Impl::AnswerFromLedger(const EntryId& aEntry,
                                     const AttemptKey& aKey)
 {
-  const FinalWord* word = mLedger.Find(aKey);
+  const FinalMessage* word = mLedger.Find(aKey);
   const bool unknown = !word && mLedger.HasForgottenStarts();
   if (!word && !unknown) {
     mLedger.Close(aKey, {}, mNow);
@@ -299,7 +301,7 @@
 {
   const ServiceLevel& level = aAttempt.mOffer.mLevel;
   const auto used = static_cast<int64_t>(aUsed);
-  mRoom.Release(aAttempt.mShare);
+  mCapacity.Release(aAttempt.mShare);
   mSchedule.Adjust(level, used - static_cast<int64_t>(aAttempt.mShare.mTokens));
   mSchedule.OnEnded(level, aAttempt.mFloorTokens, mNow);
   mPreemption.Remove(aAttempt.mOffer.mKey);
--- a/src/libtrefoilarch/sidecarimpl.h
+++ b/src/libtrefoilarch/sidecarimpl.h
@@ -104,7 +104,7 @@
                       ErrorKind aKind,
                       Millis aRetryAfter);
   Prospect ProspectOf(const Offer& aOffer) const;
-  RoomShare ShareOf(const Offer& aOffer) const;
+  CapacityShare ShareOf(const Offer& aOffer) const;
   void Enqueue(const EntryId& aEntry, const Offer& aOffer);
   /** Finds the offer a place in the queue; false if it has been declined. */
   bool MakePlace(const EntryId& aEntry, const Offer& aOffer);
@@ -115,19 +115,19 @@
   void GrantWhatFits();
   void GrantRegularTurns();
   void GrantFloorTurns();
-  void GrantNow(const Turn& aTurn);
+  void GrantNow(const Dispatch& aTurn);
   /** Holds back a turn whose targets this upstream is too slow for, so that
    * another sidecar that it is offered to grants it; not for long, since the
    * others may be as slow. */
-  bool HoldsBack(const Turn& aTurn);
+  bool HoldsBack(const Dispatch& aTurn);
   /** Stops lower tiers' work if that saves the turn's first-token target. */
-  bool PreemptFor(const Turn& aTurn);
+  bool PreemptFor(const Dispatch& aTurn);
   void SendGrant(const SidecarAttempt& aAttempt);
 
   /** Rules out that the attempt starts; it must not have started. */
   void Void(SidecarAttempt& aAttempt);
   void Cancel(SidecarAttempt& aAttempt, ErrorKind aKind);
-  void EndRunning(SidecarAttempt& aAttempt, const FinalWord& aWord);
+  void EndRunning(SidecarAttempt& aAttempt, const FinalMessage& aWord);
   void FailRunning(SidecarAttempt& aAttempt, ErrorKind aKind, Ran aRan);
   /** aUsed: the tokens that it really took. */
   void ReleaseRoom(SidecarAttempt& aAttempt, uint64_t aUsed);
@@ -136,7 +136,7 @@
   void MeasureBetween(const SidecarAttempt& aAttempt, uint32_t aTokens);
   void GrowIfOutrun(SidecarAttempt& aAttempt);
   /** Takes another share of the room in place of the present one. */
-  void ChangeShare(SidecarAttempt& aAttempt, const RoomShare& aShare);
+  void ChangeShare(SidecarAttempt& aAttempt, const CapacityShare& aShare);
   void Erase(const AttemptKey& aKey);
   void ForgetIfGone(const EntryId& aEntry);
 
@@ -146,7 +146,7 @@
   void AppendChunk(SidecarAttempt& aAttempt,
                    std::string aData,
                    uint32_t aTokens);
-  void SendFinalWord(const EntryId& aEntry, const FinalWord& aWord);
+  void SendFinalWord(const EntryId& aEntry, const FinalMessage& aWord);
   void Send(const EntryId& aEntry, SidecarMessage aMessage);
 
   void OnTimer(SidecarAttempt& aAttempt);
@@ -167,7 +167,7 @@
   std::unordered_map<EntryId, Entry> mEntries;
   Ledger mLedger;
   Schedule mSchedule;
-  Room mRoom;
+  UpstreamCapacity mCapacity;
   ServiceRate mRate;
   Admission mAdmission;
   PreemptionOrder mPreemption;
--- a/src/libtrefoilarch/sidecarqueue.cpp
+++ b/src/libtrefoilarch/sidecarqueue.cpp
@@ -33,7 +33,7 @@
   if (mDraining) {
     return DeclineOffer(aEntry, aOffer.mKey, ErrorKind::ShuttingDown, Millis());
   }
-  mRoom.OnSeen(aOffer.mLevel.mTier, mNow);
+  mCapacity.OnSeen(aOffer.mLevel.mTier, mNow);
   mStrictFirst.See(aOffer.mLevel.mFirstTokenTarget, mNow);
   mStrictBetween.See(aOffer.mLevel.mBetweenTokenTarget, mNow);
   if (const auto retryAfter = mAdmission.Refuse(ProspectOf(aOffer), mNow)) {
@@ -58,7 +58,7 @@
            .mDeadline = aOffer.mDeadline };
 }
 
-RoomShare
+CapacityShare
 SidecarCore::Impl::ShareOf(const Offer& aOffer) const
 {
   if (!mOptions.mTokenStream) {
@@ -191,7 +191,7 @@
 SidecarCore::Impl::GrantWhatFits()
 {
   mTurnDue = Millis::Never();
-  if (mDraining || mRoom.IsPaused(mNow)) {
+  if (mDraining || mCapacity.IsPaused(mNow)) {
     return;
   }
   GrantRegularTurns();
@@ -206,8 +206,8 @@
       return;
     }
     const SidecarAttempt& attempt = mAttempts.at(turn->mKey);
-    if (!mRoom.Fits(attempt.mShare)) {
-      mRoom.OnWanted(attempt.mShare);
+    if (!mCapacity.Fits(attempt.mShare)) {
+      mCapacity.OnWanted(attempt.mShare);
       mRate.OnBlocked(mNow);
       if (!PreemptFor(*turn)) {
         return;
@@ -220,13 +220,13 @@
 void
 SidecarCore::Impl::GrantFloorTurns()
 {
-  while (const auto turn = mSchedule.NextFloor(mRoom.Limit(), mNow)) {
+  while (const auto turn = mSchedule.NextFloor(mCapacity.Limit(), mNow)) {
     GrantNow(*turn);
   }
 }
 
 void
-SidecarCore::Impl::GrantNow(const Turn& aTurn)
+SidecarCore::Impl::GrantNow(const Dispatch& aTurn)
 {
   SidecarAttempt& attempt = mAttempts.at(aTurn.mKey);
   const WaitingRequest& request = *mSchedule.Find(aTurn.mKey);
@@ -238,14 +238,14 @@
   attempt.mShare.mBeside = aTurn.mFloor;
   attempt.mFloorTokens = aTurn.mFloor ? request.mTokens : 0;
   mSchedule.Take(aTurn, mNow);
-  mRoom.Take(attempt.mShare);
-  attempt.mPrefillAhead = mRoom.InPrefill();
-  mTimers.Arm(aTurn.mKey, mNow + mOptions.mGrantSpan);
+  mCapacity.Take(attempt.mShare);
+  attempt.mPrefillAhead = mCapacity.InPrefill();
+  mTimers.Arm(aTurn.mKey, mNow + mOptions.mGrantTimeout);
   SendGrant(attempt);
 }
 
 bool
-SidecarCore::Impl::HoldsBack(const Turn& aTurn)
+SidecarCore::Impl::HoldsBack(const Dispatch& aTurn)
 {
   const WaitingRequest& request = *mSchedule.Find(aTurn.mKey);
   const auto target =
@@ -259,7 +259,7 @@
 }
 
 bool
-SidecarCore::Impl::PreemptFor(const Turn& aTurn)
+SidecarCore::Impl::PreemptFor(const Dispatch& aTurn)
 {
   const WaitingRequest& request = *mSchedule.Find(aTurn.mKey);
   const Millis due =
@@ -271,7 +271,7 @@
     mTurnDue = due;
     return false;
   }
-  Room trial = mRoom;
+  UpstreamCapacity trial = mCapacity;
   const auto victims =
     mPreemption.Choose(request.mLevel.mTier, [&](const AttemptKey& aKey) {
       trial.Release(mAttempts.at(aKey).mShare);
@@ -287,7 +287,7 @@
 void
 SidecarCore::Impl::SendGrant(const SidecarAttempt& aAttempt)
 {
-  const Millis left = aAttempt.mGrantedAt + mOptions.mGrantSpan - mNow;
+  const Millis left = aAttempt.mGrantedAt + mOptions.mGrantTimeout - mNow;
   Send(aAttempt.mEntry,
        Grant{ .mKey = aAttempt.mOffer.mKey, .mValidFor = left });
 }
@@ -306,7 +306,7 @@
   if (attempt->mState != AttemptState::Granted) {
     return;
   }
-  if (mNow >= attempt->mGrantedAt + mOptions.mGrantSpan) {
+  if (mNow >= attempt->mGrantedAt + mOptions.mGrantTimeout) {
     return Void(*attempt);
   }
   ++mCounters.mStarted;
--- a/src/libtrefoilarch/sidecartimers.cpp
+++ b/src/libtrefoilarch/sidecartimers.cpp
@@ -19,14 +19,14 @@
 SidecarCore::Impl::ArmRunning(const SidecarAttempt& aAttempt)
 {
   const Millis orphaned =
-    aAttempt.mFlowing ? Millis::Never() : mNow + mOptions.mOrphanSpan;
+    aAttempt.mFlowing ? Millis::Never() : mNow + mOptions.mOrphanTimeout;
   mTimers.Arm(aAttempt.mOffer.mKey, std::min(aAttempt.mDeadlineAt, orphaned));
 }
 
 void
 SidecarCore::Impl::ArmEnded(const SidecarAttempt& aAttempt)
 {
-  const Millis span = aAttempt.mFlowing ? kAckSpan : mOptions.mOrphanSpan;
+  const Millis span = aAttempt.mFlowing ? kAckSpan : mOptions.mOrphanTimeout;
   mTimers.Arm(aAttempt.mOffer.mKey, mNow + span);
 }
 
@@ -38,7 +38,7 @@
   }
   SendHeartbeats();
   mLedger.Expire(mNow);
-  mRoom.Adapt(mNow);
+  mCapacity.Adapt(mNow);
 }
 
 void
@@ -65,7 +65,7 @@
   while (const auto entry = mHeartbeats.TakeDue(mNow)) {
     Entry& channel = mEntries[*entry];
     const bool open = !channel.mAttempts.empty();
-    if (open && mNow >= channel.mHeard + mOptions.mEntrySilence) {
+    if (open && mNow >= channel.mHeard + mOptions.mEntrySilenceTimeout) {
       ++mCounters.mSilences;
       channel.mSilenced = true;
       OnEntryDown(*entry);
@@ -130,8 +130,8 @@
     return next;
   }
   next = std::min({ next, mSchedule.NextWake(), mTurnDue });
-  if (mRoom.IsPaused(mNow)) {
-    next = std::min(next, mRoom.PauseEnd());
+  if (mCapacity.IsPaused(mNow)) {
+    next = std::min(next, mCapacity.PauseEnd());
   }
   return next;
 }
--- a/src/libtrefoilarch/upstreamlink.h
+++ b/src/libtrefoilarch/upstreamlink.h
@@ -23,7 +23,7 @@
 /** What an entry knows of one upstream, and what it has there. */
 struct UpstreamLink
 {
-  explicit UpstreamLink(ChannelSpans aSpans)
+  explicit UpstreamLink(ChannelTimeouts aSpans)
     : mHealth(aSpans)
   {
   }
@@ -37,8 +37,8 @@
   uint64_t mIncarnation = 0;
   /** As last reported, and what this entry has added or ended since. */
   Load mLoad;
-  int64_t mTokensSince = 0;
-  int32_t mCallsSince = 0;
+  int64_t mTokensSinceReport = 0;
+  int32_t mCallsSinceReport = 0;
   /** Smoothed time of a probe and its answer. */
   Millis mRoundTrip;
 
@@ -56,18 +56,18 @@
 
   bool Ready() const { return mHealth.State() == ChannelState::Ready; }
   /** Whether new work may go there at all. */
-  bool TakesWork() const { return mListed && !mLeaving && !mLoad.mDraining; }
+  bool AcceptsWork() const { return mListed && !mLeaving && !mLoad.mDraining; }
   void SetLoad(const Load& aLoad)
   {
     mLoad = aLoad;
-    mTokensSince = 0;
-    mCallsSince = 0;
+    mTokensSinceReport = 0;
+    mCallsSinceReport = 0;
   }
   /** Counts an attempt in, or out with -1. */
   void Count(int32_t aCalls, uint32_t aTokens)
   {
-    mCallsSince += aCalls;
-    mTokensSince += int64_t{ aCalls } * aTokens;
+    mCallsSinceReport += aCalls;
+    mTokensSinceReport += int64_t{ aCalls } * aTokens;
   }
   /** Whether the sidecar owes this entry a word. */
   bool AtStake() const { return !mOpen.empty() || !mWithdrawn.empty(); }
--- a/src/trefoilarchd/callerrequest.cpp
+++ b/src/trefoilarchd/callerrequest.cpp
@@ -227,7 +227,7 @@
     body["stream"] = true;
     body["stream_options"] = { { "include_usage", true } };
   }
-  request.mMostOutputTokens = MostOutputTokens(body);
+  request.mMaxOutputTokens = MostOutputTokens(body);
   const std::string prefix = PrefixOf(body);
   request.mPrefixHash = XXH3_64bits(prefix.data(), prefix.size());
   request.mPromptTokens =
--- a/src/trefoilarchd/callerrequest.h
+++ b/src/trefoilarchd/callerrequest.h
@@ -17,7 +17,7 @@
   std::string mIdempotencyKey;
   uint32_t mPromptTokens = 0; /**< estimate */
   uint64_t mPrefixHash = 0;
-  uint32_t mMostOutputTokens = 0; /**< the caller's own limit; 0: none */
+  uint32_t mMaxOutputTokens = 0; /**< the caller's own limit; 0: none */
   /** The caller wants the engine's event stream as it comes. */
   bool mStreamed = false;
 };
--- a/src/trefoilarchd/callerservice.cpp
+++ b/src/trefoilarchd/callerservice.cpp
@@ -212,7 +212,7 @@
 {
   const Millis arrived = trefoilio::MonotonicNow();
   auto open = std::make_shared<OpenCount>(mOpen);
-  if (open->Before() >= mOptions.mMostOpen) {
+  if (open->Before() >= mOptions.mMaxOpen) {
     return Fail(
       Refusal{ .mKind = ErrorKind::TooManyOpen, .mRetryAfter = kComeBackSoon });
   }
@@ -261,7 +261,7 @@
                         .mCall = std::move(aRequest.mCall),
                         .mPromptTokens = aRequest.mPromptTokens,
                         .mPrefixHash = aRequest.mPrefixHash,
-                        .mMostOutputTokens = aRequest.mMostOutputTokens };
+                        .mMaxOutputTokens = aRequest.mMaxOutputTokens };
   if (!mRouter->Submit(std::move(request), mailbox, aClaim)) {
     const Refusal refusal{ .mKind = ErrorKind::TooManyOpen,
                            .mRetryAfter = kComeBackSoon };
--- a/src/trefoilarchd/callerservice.h
+++ b/src/trefoilarchd/callerservice.h
@@ -25,7 +25,7 @@
 {
   trefoilio::HttpServerOptions mHttp;
   std::string mDataCentre;
-  size_t mMostOpen = 1000;
+  size_t mMaxOpen = 1000;
   /** Bytes of an answer that may wait for a caller that reads slowly. */
   size_t mMostUnread = 8 * 1024 * 1024;
   /** The policy in force; null where there is none yet. */
--- a/src/trefoilarchd/claimgate.cpp
+++ b/src/trefoilarchd/claimgate.cpp
@@ -17,30 +17,30 @@
 constexpr int kFirstError = 400;
 
 Refusal
-RefusalFor(ClaimEnd aEnd)
+RefusalFor(ClaimOutcome aEnd)
 {
   switch (aEnd) {
-    case ClaimEnd::InProgress:
+    case ClaimOutcome::InProgress:
       return Refusal{ .mKind = ErrorKind::DuplicateInProgress,
                       .mRan = Ran::Maybe,
                       .mRetryAfter = kComeBackSoon,
                       .mMessage = "the first request of this key is at work" };
-    case ClaimEnd::Finished:
+    case ClaimOutcome::Finished:
       return Refusal{ .mKind = ErrorKind::DuplicateFinished,
                       .mRan = Ran::Maybe,
                       .mMessage = "the first request of this key has been "
                                   "answered; its answer is not kept" };
-    case ClaimEnd::MaybeRan:
+    case ClaimOutcome::MaybeRan:
       return Refusal{ .mKind = ErrorKind::OutcomeUnknown,
                       .mRan = Ran::Maybe,
                       .mMessage = "an earlier request of this key may have "
                                   "run" };
-    case ClaimEnd::OtherIntent:
+    case ClaimOutcome::OtherIntent:
       return Refusal{ .mKind = ErrorKind::InvalidRequest,
                       .mMessage = "Idempotency-Key: belongs to another "
                                   "request" };
-    case ClaimEnd::Run:
-    case ClaimEnd::Unsettled:
+    case ClaimOutcome::Run:
+    case ClaimOutcome::Unsettled:
       break;
   }
   return Refusal{ .mKind = ErrorKind::ClaimUnsettled,
@@ -50,7 +50,7 @@
 
 /** The first answer, in the form that this caller asked for. */
 HttpReply
-Replayed(const KeptAnswer& aAnswer,
+Replayed(const CachedAnswer& aAnswer,
          const CallerRequest& aRequest,
          const RequestId& aId)
 {
@@ -85,19 +85,19 @@
     return ClaimPass{};
   }
   const Call& call = aRequest.mCall;
-  const ClaimAnswered claim =
+  const ClaimDecided claim =
     mClaims.Claim(aId,
                   aRequest.mClaims.mWorkspace,
                   aRequest.mIdempotencyKey,
                   call.mMethod + " " + aRequest.mClaims.mService + call.mPath +
                     "\n" + call.mBody);
-  if (claim.mEnd == ClaimEnd::Run) {
+  if (claim.mOutcome == ClaimOutcome::Run) {
     return ClaimPass{ .mHold = std::make_shared<ClaimHold>(mClaims, aId) };
   }
-  if (claim.mEnd == ClaimEnd::Finished && claim.mAnswer) {
+  if (claim.mOutcome == ClaimOutcome::Finished && claim.mAnswer) {
     return ClaimPass{ .mRepeat = Replayed(*claim.mAnswer, aRequest, aId) };
   }
-  return Fail(RefusalFor(claim.mEnd));
+  return Fail(RefusalFor(claim.mOutcome));
 }
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/claimhold.cpp
+++ b/src/trefoilarchd/claimhold.cpp
@@ -43,7 +43,7 @@
 {
   mEnded = true;
   if (mTooLong) {
-    mService.AnsweredUnkept(mId);
+    mService.AnsweredUncached(mId);
   } else {
     mService.Answered(mId, std::move(mAnswer));
   }
--- a/src/trefoilarchd/claimhold.h
+++ b/src/trefoilarchd/claimhold.h
@@ -32,7 +32,7 @@
 private:
   ClaimService& mService;
   RequestId mId;
-  KeptAnswer mAnswer;
+  CachedAnswer mAnswer;
   bool mTooLong = false;
   bool mEnded = false;
 };
--- a/src/trefoilarchd/claimpeer.cpp
+++ b/src/trefoilarchd/claimpeer.cpp
@@ -9,11 +9,11 @@
 /** Beyond this many addresses, most of which are long gone, all are dropped. */
 constexpr size_t kMostStubs = 64;
 
-ClaimStanding
+ClaimStatus
 StandingFrom(uint32_t aNumber)
 {
-  const bool known = aNumber <= static_cast<uint32_t>(ClaimStanding::NotRun);
-  return known ? static_cast<ClaimStanding>(aNumber) : ClaimStanding::NotKnown;
+  const bool known = aNumber <= static_cast<uint32_t>(ClaimStatus::NotRun);
+  return known ? static_cast<ClaimStatus>(aNumber) : ClaimStatus::NotKnown;
 }
 
 } // namespace
@@ -30,7 +30,7 @@
 {
   const ClaimReport report =
     mSource({ aQuestion->request_high(), aQuestion->request_low() });
-  aReport->set_standing(static_cast<uint32_t>(report.mStanding));
+  aReport->set_standing(static_cast<uint32_t>(report.mStatus));
   if (report.mAnswer) {
     aReport->set_has_answer(true);
     aReport->set_status(report.mAnswer->mStatus);
@@ -66,8 +66,8 @@
   }
   ClaimReport report{ StandingFrom(reply.standing()), nullptr };
   if (reply.has_answer()) {
-    report.mAnswer = std::make_shared<const KeptAnswer>(
-      KeptAnswer{ reply.status(), reply.content_type(), reply.body() });
+    report.mAnswer = std::make_shared<const CachedAnswer>(
+      CachedAnswer{ reply.status(), reply.content_type(), reply.body() });
   }
   return report;
 }
--- a/src/trefoilarchd/claimservice.cpp
+++ b/src/trefoilarchd/claimservice.cpp
@@ -45,7 +45,8 @@
   }
   ClaimActions operator()(Asked& aOne) const
   {
-    return mService.mCore->OnAsked(aOne.mTicket, aOne.mReport, mSeconds, mNow);
+    return mService.mCore->OnClaimantReport(
+      aOne.mTicket, aOne.mReport, mSeconds, mNow);
   }
 };
 
@@ -53,7 +54,7 @@
 {
   ClaimService& mService;
 
-  void operator()(ClaimAnswered& aOne) const
+  void operator()(ClaimDecided& aOne) const
   {
     const auto place = mService.mWaiting.find(aOne.mId);
     if (place == mService.mWaiting.end()) {
@@ -63,7 +64,7 @@
     mService.mWaiting.erase(place);
     if (!waiter->mClosed.exchange(true)) {
       waiter->mPromise.set_value(std::move(aOne));
-    } else if (aOne.mEnd == ClaimEnd::Run) {
+    } else if (aOne.mOutcome == ClaimOutcome::Run) {
       mService.NotRun(aOne.mId);
     }
   }
@@ -79,7 +80,7 @@
       [&service = mService, aOne] { service.mStore->Expire(aOne); });
   }
   /** A question too many stays without an answer until its deadline. */
-  void operator()(const AskClaimant& aOne) const
+  void operator()(const QueryClaimant& aOne) const
   {
     mService.mQuestions.TryPush([&service = mService, aOne] {
       service.mEvents.Push(
@@ -144,28 +145,28 @@
     .dump();
 }
 
-ClaimAnswered
+ClaimDecided
 ClaimService::Claim(const RequestId& aId,
                     const std::string& aWorkspace,
                     const std::string& aIdempotencyKey,
                     const std::string& aIntent)
 {
   const auto waiter = std::make_shared<Waiter>();
-  std::future<ClaimAnswered> future = waiter->mPromise.get_future();
+  std::future<ClaimDecided> future = waiter->mPromise.get_future();
   NewClaim claim{
     { aId, Sha256Hex(aWorkspace + "\n" + aIdempotencyKey), Sha256Hex(aIntent) },
     waiter
   };
-  ClaimAnswered answered{ aId, ClaimEnd::Unsettled, nullptr };
+  ClaimDecided answered{ aId, ClaimOutcome::Unsettled, nullptr };
   if (mEvents.TryPush(std::move(claim))) {
-    const Millis span = mOptions.mClaims.mDecisionSpan + kAnswerSlack;
+    const Millis span = mOptions.mClaims.mDecisionTimeout + kAnswerSlack;
     future.wait_for(std::chrono::milliseconds(span.Count()));
     if (waiter->mClosed.exchange(true)) {
       answered = future.get();
     }
   }
   if (mOptions.mMetrics != nullptr) {
-    const char* name = kEndNames.at(static_cast<size_t>(answered.mEnd));
+    const char* name = kEndNames.at(static_cast<size_t>(answered.mOutcome));
     mOptions.mMetrics->Count("claims_total",
                              std::string("end=\"") + name + "\"");
   }
@@ -173,17 +174,17 @@
 }
 
 void
-ClaimService::Answered(RequestId aId, KeptAnswer aAnswer)
+ClaimService::Answered(RequestId aId, CachedAnswer aAnswer)
 {
   std::lock_guard lock(mMutex);
   mCore->Answered(aId, std::move(aAnswer));
 }
 
 void
-ClaimService::AnsweredUnkept(RequestId aId)
+ClaimService::AnsweredUncached(RequestId aId)
 {
   std::lock_guard lock(mMutex);
-  mCore->AnsweredUnkept(aId);
+  mCore->AnsweredUncached(aId);
 }
 
 void
--- a/src/trefoilarchd/claimservice.h
+++ b/src/trefoilarchd/claimservice.h
@@ -54,16 +54,16 @@
    * request may run only where the end is Run, and its end must then be told
    * by one of the calls below (see ClaimHold).
    */
-  ClaimAnswered Claim(const RequestId& aId,
-                      const std::string& aWorkspace,
-                      const std::string& aIdempotencyKey,
-                      const std::string& aIntent);
+  ClaimDecided Claim(const RequestId& aId,
+                     const std::string& aWorkspace,
+                     const std::string& aIdempotencyKey,
+                     const std::string& aIntent);
 
-  void Answered(RequestId aId, KeptAnswer aAnswer);
-  void AnsweredUnkept(RequestId aId);
+  void Answered(RequestId aId, CachedAnswer aAnswer);
+  void AnsweredUncached(RequestId aId);
   void NotRun(RequestId aId);
   void MaybeRan(RequestId aId);
-  size_t LongestAnswer() const { return mOptions.mClaims.mLongestAnswer; }
+  size_t LongestAnswer() const { return mOptions.mClaims.mMaxCachedAnswerSize; }
 
   /** For ClaimPeerServer. */
   ClaimReport Report(RequestId aId) const;
@@ -72,7 +72,7 @@
   /** The caller's thread that waits; whoever closes it first decides. */
   struct Waiter
   {
-    std::promise<ClaimAnswered> mPromise;
+    std::promise<ClaimDecided> mPromise;
     std::atomic<bool> mClosed{ false };
   };
   struct NewClaim
--- a/src/trefoilarchd/claimstore.cpp
+++ b/src/trefoilarchd/claimstore.cpp
@@ -75,11 +75,11 @@
   }
   const CommitResult result = mPlatform->Commit(transaction);
   ClaimCommit commit;
-  if (result.mEnd == WriteEnd::Done) {
-    commit.mEnd = ClaimCommitEnd::Done;
+  if (result.mOutcome == WriteOutcome::Done) {
+    commit.mOutcome = ClaimCommitOutcome::Done;
   }
-  if (result.mEnd == WriteEnd::Refused) {
-    commit.mEnd = ClaimCommitEnd::Refused;
+  if (result.mOutcome == WriteOutcome::Refused) {
+    commit.mOutcome = ClaimCommitOutcome::Refused;
     size_t place = 0;
     for (const ClaimWrite& write : aAction.mWrites) {
       commit.mFound.push_back(FoundFor(write, result, place++));
--- a/src/trefoilarchd/entryprocess.cpp
+++ b/src/trefoilarchd/entryprocess.cpp
@@ -38,9 +38,9 @@
   core.mEntry = aSettings.Text("name") + "-" + std::to_string(core.mSeed);
   core.mDataCentre = aSettings.Text("data-centre");
   core.mOfferWidth = aSettings.Integer("offer-width");
-  core.mSilenceSpan = Millis(aSettings.Integer("silence-ms"));
+  core.mSilenceTimeout = Millis(aSettings.Integer("silence-ms"));
   core.mRetryPercent = static_cast<double>(aSettings.Integer("retry-percent"));
-  core.mMostOpen = aSettings.Integer("most-open");
+  core.mMaxOpen = aSettings.Integer("most-open");
   return options;
 }
 
@@ -54,8 +54,8 @@
   options.mHttp.mMostBody = aSettings.Integer("most-body-bytes");
   options.mHttp.mMostHeaderBytes = aSettings.Integer("most-header-bytes");
   options.mHttp.mReceiveSeconds = aSettings.Integer("receive-seconds");
-  options.mMostOpen = aSettings.Integer("most-open");
-  options.mHttp.mMostConnections = 2 * options.mMostOpen;
+  options.mMaxOpen = aSettings.Integer("most-open");
+  options.mHttp.mMostConnections = 2 * options.mMaxOpen;
   options.mDataCentre = aSettings.Text("data-centre");
   return options;
 }
--- a/src/trefoilarchd/leasestore.cpp
+++ b/src/trefoilarchd/leasestore.cpp
@@ -34,13 +34,13 @@
   };
   transaction.mPuts = { { aKey, aWrite.mText } };
   const CommitResult result = mPlatform->Commit(transaction);
-  switch (result.mEnd) {
-    case WriteEnd::Done:
-      return { LeaseWriteEnd::Done, result.mRevision };
-    case WriteEnd::Refused:
-    case WriteEnd::NotDone:
-      return { LeaseWriteEnd::Refused, 0 };
-    case WriteEnd::Unknown:
+  switch (result.mOutcome) {
+    case WriteOutcome::Done:
+      return { LeaseWriteOutcome::Done, result.mRevision };
+    case WriteOutcome::Refused:
+    case WriteOutcome::NotDone:
+      return { LeaseWriteOutcome::Refused, 0 };
+    case WriteOutcome::Unknown:
       break;
   }
   return {};
--- a/src/trefoilarchd/leasestore.h
+++ b/src/trefoilarchd/leasestore.h
@@ -12,7 +12,7 @@
 /** How writing a lease's row ended. */
 struct LeaseWritten
 {
-  LeaseWriteEnd mEnd = LeaseWriteEnd::Unknown;
+  LeaseWriteOutcome mOutcome = LeaseWriteOutcome::Unknown;
   int64_t mRevision = 0; /**< the row's, where done */
 };
 
--- a/src/trefoilarchd/orderservice.cpp
+++ b/src/trefoilarchd/orderservice.cpp
@@ -49,7 +49,7 @@
 }
 
 const char*
-NameOf(OrderEnd aEnd)
+NameOf(OrderOutcome aEnd)
 {
   constexpr std::array names = { "done", "failed", "not_sent", "unknown" };
   return names.at(static_cast<size_t>(aEnd));
@@ -112,7 +112,7 @@
   OrderActions operator()(const LeaseStored& aOne) const
   {
     return mService.mOrders.OnLeaseWritten(
-      aOne.mKey, aOne.mWritten.mEnd, aOne.mWritten.mRevision, mNow);
+      aOne.mKey, aOne.mWritten.mOutcome, aOne.mWritten.mRevision, mNow);
   }
   OrderActions operator()(const OrderReply& aOne) const
   {
@@ -136,10 +136,11 @@
   }
   void operator()(const OrderEnded& aOne) const
   {
-    mService.Note(aOne.mId, NameOf(aOne.mEnd));
-    trefoilio::LogState(trefoilio::LogLevel::Info,
-                        "order_ended",
-                        { { "id", aOne.mId }, { "end", NameOf(aOne.mEnd) } });
+    mService.Note(aOne.mId, NameOf(aOne.mOutcome));
+    trefoilio::LogState(
+      trefoilio::LogLevel::Info,
+      "order_ended",
+      { { "id", aOne.mId }, { "end", NameOf(aOne.mOutcome) } });
   }
 };
 
@@ -186,7 +187,7 @@
   std::lock_guard lock(mMutex);
   return Json{
     { "waiting", mOrders.Waiting() },
-    { "fencing_number", mOrders.Fence() },
+    { "fencing_number", mOrders.FencingNumber() },
     { "standings", mStandings }
   }.dump();
 }
@@ -203,7 +204,7 @@
   }
   Note(id, "waiting");
   if (!mEvents.TryPush(std::move(aOrder))) {
-    Note(id, NameOf(OrderEnd::NotSent));
+    Note(id, NameOf(OrderOutcome::NotSent));
     return false;
   }
   return true;
@@ -330,19 +331,20 @@
   request.mMethod = "POST";
   request.mTarget = mOptions.mEngineUrl + form.mPath;
   request.mHeaders = { { "Content-Type", "application/json" },
-                       { "X-Fencing-Number", std::to_string(aAction.mFence) } };
+                       { "X-Fencing-Number",
+                         std::to_string(aAction.mFencingNumber) } };
   if (!mOptions.mEngineKey.empty()) {
     request.mHeaders.emplace_back("Authorization",
                                   "Bearer " + mOptions.mEngineKey);
   }
   request.mBody = body.dump();
   const auto reply =
-    trefoilio::SendHttp(request, mOptions.mOrders.mLongestOrder);
+    trefoilio::SendHttp(request, mOptions.mOrders.mMaxOrderDuration);
   if (!reply || reply->mStatus >= 500) {
     return OrderReply::Unknown;
   }
   if (reply->mStatus == kConflict) {
-    return OrderReply::OldFence;
+    return OrderReply::StaleFencingNumber;
   }
   return reply->mStatus < 300 ? OrderReply::Done : OrderReply::Refused;
 }
--- a/src/trefoilarchd/platformclient.cpp
+++ b/src/trefoilarchd/platformclient.cpp
@@ -116,14 +116,14 @@
  * Only an answer that blames the request says that nothing was written: a
  * server that fails with 5xx may fail after it wrote.
  */
-WriteEnd
+WriteOutcome
 EndOf(const std::optional<trefoilio::HttpReply>& aReply)
 {
   if (Good(aReply)) {
-    return WriteEnd::Done;
+    return WriteOutcome::Done;
   }
   const bool blamed = aReply && aReply->mStatus >= 400 && aReply->mStatus < 500;
-  return blamed ? WriteEnd::NotDone : WriteEnd::Unknown;
+  return blamed ? WriteOutcome::NotDone : WriteOutcome::Unknown;
 }
 
 /** The texts of all elements of that name, in order; keys are plain ASCII. */
@@ -234,16 +234,16 @@
 PlatformClient::Commit(const TableTransaction& aTransaction) const
 {
   const auto reply = Send("POST", "/v3/kv/txn", ToJson(aTransaction).dump());
-  const WriteEnd end = EndOf(reply);
-  if (end != WriteEnd::Done) {
+  const WriteOutcome end = EndOf(reply);
+  if (end != WriteOutcome::Done) {
     return { end, {}, 0 };
   }
   try {
     const Json body = Json::parse(reply->mBody);
     if (body.value("succeeded", false)) {
-      return { WriteEnd::Done, {}, Int64Of(body.at("header"), "revision") };
+      return { WriteOutcome::Done, {}, Int64Of(body.at("header"), "revision") };
     }
-    return { WriteEnd::Refused,
+    return { WriteOutcome::Refused,
              FirstRows(body, aTransaction.mReadsIfRefused.size()),
              0 };
   } catch (const std::exception&) {
@@ -251,7 +251,7 @@
   }
 }
 
-WriteEnd
+WriteOutcome
 PlatformClient::DeleteRange(const std::string& aFrom,
                             const std::string& aEnd) const
 {
@@ -281,13 +281,13 @@
   return { reply && reply->mStatus == kNotFound, std::nullopt };
 }
 
-WriteEnd
+WriteOutcome
 PlatformClient::WriteObject(const std::string& aKey, std::string aBody) const
 {
   return EndOf(Send("PUT", "/objects/" + aKey, std::move(aBody)));
 }
 
-WriteEnd
+WriteOutcome
 PlatformClient::DeleteObject(const std::string& aKey) const
 {
   return EndOf(Send("DELETE", "/objects/" + aKey, ""));
--- a/src/trefoilarchd/platformclient.h
+++ b/src/trefoilarchd/platformclient.h
@@ -52,7 +52,7 @@
 };
 
 /** How a write to the platform ended. */
-enum class WriteEnd
+enum class WriteOutcome
 {
   Done,
   Refused, /**< a condition did not hold; nothing was written */
@@ -63,7 +63,7 @@
 /** How a transaction ended. */
 struct CommitResult
 {
-  WriteEnd mEnd = WriteEnd::Unknown;
+  WriteOutcome mOutcome = WriteOutcome::Unknown;
   /** Where refused: a place for each of mReadsIfRefused. */
   std::vector<std::optional<TableRow>> mFound;
   /** Where done: the change revision of the rows that were put. */
@@ -107,14 +107,15 @@
                                                  const std::string& aEnd,
                                                  size_t aLimit) const;
   CommitResult Commit(const TableTransaction& aTransaction) const;
-  WriteEnd DeleteRange(const std::string& aFrom, const std::string& aEnd) const;
+  WriteOutcome DeleteRange(const std::string& aFrom,
+                           const std::string& aEnd) const;
 
   /** Keys that begin with the prefix, in order; none where not answered. */
   std::optional<std::vector<std::string>> ListObjects(
     const std::string& aPrefix) const;
   ObjectFound ReadObject(const std::string& aKey) const;
-  WriteEnd WriteObject(const std::string& aKey, std::string aBody) const;
-  WriteEnd DeleteObject(const std::string& aKey) const;
+  WriteOutcome WriteObject(const std::string& aKey, std::string aBody) const;
+  WriteOutcome DeleteObject(const std::string& aKey) const;
 
   /**
    * The host list; none where not answered or not understood. A list that is
--- a/src/trefoilarchd/policystore.cpp
+++ b/src/trefoilarchd/policystore.cpp
@@ -67,14 +67,14 @@
   if (first) {
     transaction.mPuts.emplace_back(RowKey(0), "{}");
   }
-  switch (mPlatform->Commit(transaction).mEnd) {
-    case WriteEnd::Done:
+  switch (mPlatform->Commit(transaction).mOutcome) {
+    case WriteOutcome::Done:
       return InsertEnd::Inserted;
-    case WriteEnd::Refused:
+    case WriteOutcome::Refused:
       return InsertEnd::Refused;
-    case WriteEnd::NotDone:
+    case WriteOutcome::NotDone:
       return InsertEnd::NotSent;
-    case WriteEnd::Unknown:
+    case WriteOutcome::Unknown:
       break;
   }
   return InsertEnd::Unknown;
@@ -99,7 +99,7 @@
 PolicyStore::Write(const WriteSnapshot& aAction) const
 {
   const std::string key = kSnapshotPrefix + PaddedNumber(aAction.mVersion);
-  return mPlatform->WriteObject(key, aAction.mText) == WriteEnd::Done;
+  return mPlatform->WriteObject(key, aAction.mText) == WriteOutcome::Done;
 }
 
 void
--- a/src/trefoilarchd/sidecarprocess.cpp
+++ b/src/trefoilarchd/sidecarprocess.cpp
@@ -43,11 +43,11 @@
   core.mSeed = core.mIncarnation;
   core.mTokenStream = aSettings.Text("upstream-kind") == "engine";
   core.mQueueLimit = aSettings.Integer("queue-limit");
-  core.mMostRunning = aSettings.Integer("most-running");
-  core.mFirstTokenRoom = aSettings.Integer("first-token-room");
-  core.mMostTokenRoom = aSettings.Integer("most-token-room");
-  core.mOrphanSpan = Millis(aSettings.Integer("orphan-ms"));
-  options.mCalls.mMostConnections = core.mMostRunning;
+  core.mMaxRunning = aSettings.Integer("most-running");
+  core.mInitialTokenCapacity = aSettings.Integer("first-token-room");
+  core.mMaxTokenCapacity = aSettings.Integer("most-token-room");
+  core.mOrphanTimeout = Millis(aSettings.Integer("orphan-ms"));
+  options.mCalls.mMostConnections = core.mMaxRunning;
   return options;
 }
 
@@ -71,9 +71,10 @@
   options.mOrders.mUpstream = UpstreamName(aSettings);
   options.mOrders.mHolder =
     aSettings.Text("name") + "-" + std::to_string(incarnation);
-  options.mOrders.mEngineChecksFence =
+  options.mOrders.mEngineChecksFencing =
     aSettings.Text("engine-fencing") == "refuse";
-  options.mOrders.mLongestOrder = Millis(aSettings.Integer("longest-order-ms"));
+  options.mOrders.mMaxOrderDuration =
+    Millis(aSettings.Integer("longest-order-ms"));
   options.mOrders.mLoadSlots = aSettings.Integer("load-slots");
   options.mOrders.mSeed = incarnation;
   return options;
--- a/src/trefoilarchd/upstreamservice.cpp
+++ b/src/trefoilarchd/upstreamservice.cpp
@@ -157,7 +157,7 @@
     return;
   }
   Running& running = found->second;
-  mWatch.Heard(aEvent.mKey, trefoilio::MonotonicNow());
+  mWatch.Received(aEvent.mKey, trefoilio::MonotonicNow());
   CallData data{ .mKey = aEvent.mKey };
   if (running.mTokenStream && TurnedAway(running.mStatus)) {
     return;
--- a/src/trefoilarchd/wirecodec.cpp
+++ b/src/trefoilarchd/wirecodec.cpp
@@ -60,7 +60,7 @@
   aWire->set_running(aLoad.mRunning);
   aWire->set_waiting(aLoad.mWaiting);
   aWire->set_tokens_in_flight(aLoad.mTokensInFlight);
-  aWire->set_token_room(aLoad.mTokenRoom);
+  aWire->set_token_room(aLoad.mTokenCapacity);
   aWire->set_tokens_waiting(aLoad.mTokensWaiting);
   aWire->set_draining(aLoad.mDraining);
 }
@@ -71,7 +71,7 @@
   return Load{ .mRunning = aWire.running(),
                .mWaiting = aWire.waiting(),
                .mTokensInFlight = aWire.tokens_in_flight(),
-               .mTokenRoom = aWire.token_room(),
+               .mTokenCapacity = aWire.token_room(),
                .mTokensWaiting = aWire.tokens_waiting(),
                .mDraining = aWire.draining() };
 }
--- a/src/trefoilbench/entrybench.cpp
+++ b/src/trefoilbench/entrybench.cpp
@@ -27,7 +27,7 @@
     , mWorkspaces(aWorkspaces)
     , mCore({ .mEntry = "entry-1",
               .mDataCentre = "riga-1",
-              .mMostOpen = 1000000,
+              .mMaxOpen = 1000000,
               .mRetryPercent = 10 })
   {
     auto policy = std::make_shared<Policy>();
@@ -54,7 +54,7 @@
                                .mDataCentre = "riga-1",
                                .mLabels = { { "model", "base" } },
                                .mPolicyVersion = 1,
-                               .mLoad = { .mTokenRoom = 16384 } },
+                               .mLoad = { .mTokenCapacity = 16384 } },
                       mNow);
     }
     const int64_t idle = trefoilbench::LiveBytes();
--- a/src/trefoilbench/sidecarbench.cpp
+++ b/src/trefoilbench/sidecarbench.cpp
@@ -27,9 +27,9 @@
     : mWorkspaces(aWorkspaces)
     , mCore({ .mIncarnation = 1,
               .mQueueLimit = 1000000,
-              .mLedgerSpan = Millis(5000),
-              .mEntrySilence = kFar,
-              .mMostRunning = 64 })
+              .mLedgerRetention = Millis(5000),
+              .mEntrySilenceTimeout = kFar,
+              .mMaxRunning = 64 })
   {
     mCore.OnMessage(kEntry, Hello{ .mEntry = kEntry, .mDataCentre = "" }, mNow);
     for (int i = 0; i < aWaiting; ++i) {
--- a/tests/daemon/wirecodectest.cpp
+++ b/tests/daemon/wirecodectest.cpp
@@ -39,7 +39,7 @@
   return Load{ .mRunning = *rc::gen::arbitrary<uint32_t>(),
                .mWaiting = *rc::gen::arbitrary<uint32_t>(),
                .mTokensInFlight = *rc::gen::arbitrary<uint64_t>(),
-               .mTokenRoom = *rc::gen::arbitrary<uint64_t>(),
+               .mTokenCapacity = *rc::gen::arbitrary<uint64_t>(),
                .mTokensWaiting = *rc::gen::arbitrary<uint64_t>(),
                .mDraining = *rc::gen::arbitrary<bool>() };
 }
--- a/tests/integration/claimservicetest.cpp
+++ b/tests/integration/claimservicetest.cpp
@@ -38,9 +38,9 @@
   }
   ~ClaimingEntry() { mKernel.StopAll(); }
 
-  ClaimAnswered Claim(uint64_t aNumber,
-                      const std::string& aKey,
-                      const std::string& aIntent = "book")
+  ClaimDecided Claim(uint64_t aNumber,
+                     const std::string& aKey,
+                     const std::string& aIntent = "book")
   {
     return mService->Claim({ 1, aNumber }, "agents", aKey, aIntent);
   }
@@ -83,7 +83,7 @@
     callers.emplace_back([&, each] {
       auto& entry = each % 2 == 0 ? *aBench.mFirst : *aBench.mSecond;
       const std::string key = "key-" + std::to_string(each / kTries);
-      if (entry.Claim(100 + each, key).mEnd == ClaimEnd::Run) {
+      if (entry.Claim(100 + each, key).mOutcome == ClaimOutcome::Run) {
         ++runs[each / kTries];
       }
     });
@@ -102,11 +102,11 @@
 Test(claimservice, a_repeat_gets_the_first_answer_at_either_entry)
 {
   Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mEnd == ClaimEnd::Run);
-  cr_assert(bench.mFirst->Claim(2, "k").mEnd == ClaimEnd::InProgress);
-  cr_assert(bench.mSecond->Claim(3, "k").mEnd == ClaimEnd::InProgress);
-  cr_assert(bench.mSecond->Claim(4, "k", "other").mEnd ==
-            ClaimEnd::OtherIntent);
+  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
+  cr_assert(bench.mFirst->Claim(2, "k").mOutcome == ClaimOutcome::InProgress);
+  cr_assert(bench.mSecond->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
+  cr_assert(bench.mSecond->Claim(4, "k", "other").mOutcome ==
+            ClaimOutcome::OtherIntent);
   {
     ClaimHold hold(bench.mFirst->Service(), { 1, 1 });
     hold.OnHead(201, { { "content-type", "text/x" } });
@@ -115,39 +115,39 @@
     hold.OnEnd();
   }
   for (ClaimingEntry* entry : { bench.mFirst.get(), bench.mSecond.get() }) {
-    const ClaimAnswered repeat = entry->Claim(5, "k");
-    cr_assert(repeat.mEnd == ClaimEnd::Finished);
-    cr_assert(*repeat.mAnswer == (KeptAnswer{ 201, "text/x", "booked" }));
+    const ClaimDecided repeat = entry->Claim(5, "k");
+    cr_assert(repeat.mOutcome == ClaimOutcome::Finished);
+    cr_assert(*repeat.mAnswer == (CachedAnswer{ 201, "text/x", "booked" }));
   }
 }
 
 Test(claimservice, what_did_not_run_may_run_elsewhere)
 {
   Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mEnd == ClaimEnd::Run);
+  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
   ClaimHold(bench.mFirst->Service(), { 1, 1 })
     .OnError({ ErrorKind::Shed, Ran::No, Millis(100), "" });
-  cr_assert(bench.mSecond->Claim(2, "k").mEnd == ClaimEnd::Run);
-  cr_assert(bench.mFirst->Claim(3, "k").mEnd == ClaimEnd::InProgress);
+  cr_assert(bench.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::Run);
+  cr_assert(bench.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
 }
 
 Test(claimservice, a_claim_whose_entry_is_gone_stays_taken)
 {
   Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mEnd == ClaimEnd::Run);
+  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
   bench.mFirst.reset();
-  cr_assert(bench.mSecond->Claim(2, "k").mEnd == ClaimEnd::MaybeRan);
+  cr_assert(bench.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::MaybeRan);
 }
 
 Test(claimservice, a_hold_without_an_end_may_have_run)
 {
   Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mEnd == ClaimEnd::Run);
+  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
   {
     ClaimHold hold(bench.mFirst->Service(), { 1, 1 });
   }
-  cr_assert(bench.mFirst->Claim(2, "k").mEnd == ClaimEnd::MaybeRan);
-  cr_assert(bench.mSecond->Claim(3, "k").mEnd == ClaimEnd::MaybeRan);
+  cr_assert(bench.mFirst->Claim(2, "k").mOutcome == ClaimOutcome::MaybeRan);
+  cr_assert(bench.mSecond->Claim(3, "k").mOutcome == ClaimOutcome::MaybeRan);
 }
 
 Test(claimservice, at_the_same_moment_one_runs)
@@ -174,8 +174,8 @@
 {
   Bench bench;
   bench.SetTable("down");
-  cr_assert(bench.mFirst->Claim(1, "k").mEnd == ClaimEnd::Unsettled);
+  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Unsettled);
   bench.SetTable("up");
-  cr_assert(bench.mSecond->Claim(2, "k").mEnd == ClaimEnd::Run);
-  cr_assert(bench.mFirst->Claim(3, "k").mEnd == ClaimEnd::InProgress);
+  cr_assert(bench.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::Run);
+  cr_assert(bench.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
 }
--- a/tests/integration/orderservicetest.cpp
+++ b/tests/integration/orderservicetest.cpp
@@ -35,11 +35,11 @@
                            .mEngineUrl = aEngineUrl,
                            .mOrders = { .mUpstream = "engine-1",
                                         .mHolder = aHolder,
-                                        .mEngineChecksFence = aEngineChecks,
-                                        .mLongestOrder = kLongest,
-                                        .mLeaseSpare = Millis(2000),
-                                        .mOrderSpan = aOrderSpan,
-                                        .mRetry = Millis(200) } });
+                                        .mEngineChecksFencing = aEngineChecks,
+                                        .mMaxOrderDuration = kLongest,
+                                        .mLeaseMargin = Millis(2000),
+                                        .mOrderTimeout = aOrderSpan,
+                                        .mRetryInterval = Millis(200) } });
     mService = service.get();
     mKernel.Register(OrderService::kName, std::move(service));
     mKernel.StartAll();
--- a/tests/replay/design.cpp
+++ b/tests/replay/design.cpp
@@ -155,8 +155,8 @@
       SidecarOptions{ .mUpstream = aName,
                       .mLabels = { { "model", kModel } },
                       .mIncarnation = 1,
-                      .mMostTokenRoom = mTrace.mBatch.mMemoryTokens,
-                      .mMostRunning = mTrace.mBatch.mMostRunning,
+                      .mMaxTokenCapacity = mTrace.mBatch.mMemoryTokens,
+                      .mMaxRunning = mTrace.mBatch.mMaxRunning,
                       .mSeed = mTrace.mSeed });
     sidecar->mEngine = std::make_unique<VirtualEngine>(
       mTime,
--- a/tests/replay/gates.cpp
+++ b/tests/replay/gates.cpp
@@ -63,7 +63,7 @@
     .mName = kService,
     .mMostConnections = 10000,
     .mEngine =
-      EngineTraits{ .mSlots = static_cast<uint32_t>(aTrace.mBatch.mMostRunning),
+      EngineTraits{ .mSlots = static_cast<uint32_t>(aTrace.mBatch.mMaxRunning),
                     .mMemoryTokens = aTrace.mBatch.mMemoryTokens }
   };
   return std::make_shared<const RoutePolicy>(std::move(policy));
@@ -241,7 +241,7 @@
           .mService = kService,
           .mAddress = std::to_string(engine),
           .mDataCentre = "here",
-          .mSlots = static_cast<uint32_t>(mTrace.mBatch.mMostRunning) });
+          .mSlots = static_cast<uint32_t>(mTrace.mBatch.mMaxRunning) });
     }
     router.OnDirectoryChanged(mTime.Now());
   }
@@ -333,7 +333,7 @@
     const ReportedLoad load{
       .mRunning = static_cast<uint32_t>(engine.Running()),
       .mWaiting = static_cast<uint32_t>(engine.Waiting()),
-      .mSlots = static_cast<uint32_t>(mTrace.mBatch.mMostRunning)
+      .mSlots = static_cast<uint32_t>(mTrace.mBatch.mMaxRunning)
     };
     mTime.After(kNetwork,
                 [this, aId, aLast, load] { Arrive(aId, aLast, load); });
--- a/tests/replay/gatestest.cpp
+++ b/tests/replay/gatestest.cpp
@@ -57,7 +57,7 @@
   Trace trace{ .mName = "long_histories", .mSeed = 7, .mEntries = 4 };
   trace.mEngines = 12;
   trace.mBatch = ReplayBatch();
-  trace.mBatch.mMostRunning = 32;
+  trace.mBatch.mMaxRunning = 32;
   trace.mBatch.mMemoryTokens = 200000;
   trace.mBatch.mCacheBlocks = 10000;
   trace.mClasses = { ClassOf("question", 0, 400), ClassOf("draft", 1, 1500) };
--- a/tests/replay/largefleettest.cpp
+++ b/tests/replay/largefleettest.cpp
@@ -59,7 +59,7 @@
 FewSlots()
 {
   standin::BatchOptions batch = ReplayBatch();
-  batch.mMostRunning = 16;
+  batch.mMaxRunning = 16;
   batch.mMemoryTokens = 330000;
   batch.mCacheBlocks = 15000;
   batch.mStepMillis = 4.4;
--- a/tests/replay/randomload.cpp
+++ b/tests/replay/randomload.cpp
@@ -37,12 +37,12 @@
   , mBehaviour(aBehaviour)
   , mCore({ .mIncarnation = 1,
             .mQueueLimit = kQueueLimit,
-            .mFloorSpan = kFloorSpan,
-            .mGrantSpan = Millis(100),
-            .mMostRunning = 16,
+            .mFloorStartDelay = kFloorSpan,
+            .mGrantTimeout = Millis(100),
+            .mMaxRunning = 16,
             .mSeed = aSeed })
   , mEngine(mTime,
-            { .mMostRunning = 16, .mStepMillis = 18 },
+            { .mMaxRunning = 16, .mStepMillis = 18 },
             [this](uint64_t aId, bool aLast) { OnToken(aId, aLast); })
 {
   Do(mCore.OnMessage(
--- a/tests/replay/replayrun.cpp
+++ b/tests/replay/replayrun.cpp
@@ -274,7 +274,7 @@
     const standin::BatchOptions& batch = mTrace.mBatch;
     const double step =
       batch.mStepMillis +
-      batch.mSequenceMillis * static_cast<double>(batch.mMostRunning);
+      batch.mSequenceMillis * static_cast<double>(batch.mMaxRunning);
     const double pace =
       std::min(step * 1.5,
                static_cast<double>(requestClass.mBetweenTokenTarget.Count()));
--- a/tests/replay/tracegenerator.cpp
+++ b/tests/replay/tracegenerator.cpp
@@ -325,7 +325,7 @@
 standin::BatchOptions
 ReplayBatch()
 {
-  return { .mMostRunning = 64,
+  return { .mMaxRunning = 64,
            .mMemoryTokens = 65536,
            .mCacheBlocks = 4096,
            .mPrefillBudget = 2048,
@@ -340,7 +340,7 @@
   const standin::BatchOptions batch = ReplayBatch();
   const double share =
     batch.mSequenceMillis +
-    batch.mStepMillis / static_cast<double>(batch.mMostRunning);
+    batch.mStepMillis / static_cast<double>(batch.mMaxRunning);
   return batch.mPrefillMillis * aPromptTokens + share * aOutputTokens;
 }
 
--- a/tests/standins/engine/batchmodel.cpp
+++ b/tests/standins/engine/batchmodel.cpp
@@ -53,7 +53,7 @@
 void
 BatchModel::Admit()
 {
-  while (!mWaiting.empty() && mRunning.size() < mOptions.mMostRunning) {
+  while (!mWaiting.empty() && mRunning.size() < mOptions.mMaxRunning) {
     const size_t needed = mWaiting.front().Tokens() + 1;
     const bool fits = TokensInUse() + needed <= mOptions.mMemoryTokens;
     if (!fits && !mRunning.empty()) {
--- a/tests/standins/engine/batchmodel.h
+++ b/tests/standins/engine/batchmodel.h
@@ -12,7 +12,7 @@
 /** The size and speed of the engine that a BatchModel stands for. */
 struct BatchOptions
 {
-  size_t mMostRunning = 32;
+  size_t mMaxRunning = 32;
   size_t mMemoryTokens = 32768; /**< key-value memory of all that runs */
   size_t mCacheBlocks = 4096;   /**< prefix cache, in blocks */
   size_t mPrefillBudget = 2048; /**< prompt tokens in one step at the most */
--- a/tests/standins/engine/main.cpp
+++ b/tests/standins/engine/main.cpp
@@ -38,7 +38,7 @@
                                 "max-running",
                                 "requests in the batch",
                                 false,
-                                standard.mMostRunning,
+                                standard.mMaxRunning,
                                 "N",
                                 aLine);
   TCLAP::ValueArg<size_t> memory("",
@@ -64,7 +64,7 @@
                          .mReportLag = lag.getValue(),
                          .mOrderMillis = orders.getValue(),
                          .mBatch = standard };
-  options.mBatch.mMostRunning = batch.getValue();
+  options.mBatch.mMaxRunning = batch.getValue();
   options.mBatch.mMemoryTokens = memory.getValue();
   options.mBatch.mStepMillis = step.getValue();
   return options;
--- a/tests/standins/worker/worker.cpp
+++ b/tests/standins/worker/worker.cpp
@@ -144,7 +144,7 @@
 constexpr size_t kEventTokens = 4;
 
 /** A small engine: four at a time, memory for a few prompts. */
-constexpr BatchOptions kEngine{ .mMostRunning = 4,
+constexpr BatchOptions kEngine{ .mMaxRunning = 4,
                                 .mMemoryTokens = 12000,
                                 .mCacheBlocks = 2000 };
 
--- a/tests/unit/callwatchtest.cpp
+++ b/tests/unit/callwatchtest.cpp
@@ -21,9 +21,9 @@
   watch.Started(Key(1), Millis(0));
   watch.Started(Key(2), Millis(0));
   for (int64_t now = 50; now < 4000; now += 50) {
-    watch.Heard(Key(2), Millis(now));
+    watch.Received(Key(2), Millis(now));
     if (now <= 1000) {
-      watch.Heard(Key(1), Millis(now));
+      watch.Received(Key(1), Millis(now));
     }
     const auto silent = watch.TakeSilent(Millis(now));
     cr_assert(silent.empty() == (now != 3000), "at %ld", now);
@@ -36,7 +36,7 @@
   CallWatch watch({});
   for (uint64_t i = 1; i <= 3; ++i) {
     watch.Started(Key(i), Millis(0));
-    watch.Heard(Key(i), Millis(100));
+    watch.Received(Key(i), Millis(100));
   }
   cr_assert(watch.TakeSilent(Millis(3099)).empty());
   cr_assert(watch.TakeSilent(Millis(3100)).size() == 3);
@@ -60,14 +60,15 @@
     watch.Started(Key(1), Millis(now));
     for (int i = 0; i < 20; ++i) {
       now += gap;
-      watch.Heard(Key(1), Millis(now));
+      watch.Received(Key(1), Millis(now));
     }
     for (int i = 0; i < 20; ++i) {
       now += std::min<int64_t>(gap * 10, 1999);
       RC_ASSERT(watch.TakeSilent(Millis(now)).empty());
-      watch.Heard(Key(1), Millis(now));
+      watch.Received(Key(1), Millis(now));
     }
-    RC_ASSERT(watch.NextSpan() >= Millis(std::min<int64_t>(gap * 60, 1999)));
+    RC_ASSERT(watch.NextTokenTimeout() >=
+              Millis(std::min<int64_t>(gap * 60, 1999)));
   });
   cr_assert(holds);
 }
@@ -79,7 +80,7 @@
   watch.Started(Key(1), Millis(now));
   for (int i = 0; i < 100; ++i) {
     now += i < 5 ? 1500 : 30;
-    watch.Heard(Key(1), Millis(now));
+    watch.Received(Key(1), Millis(now));
   }
-  cr_assert(watch.NextSpan() == Millis(2000));
+  cr_assert(watch.NextTokenTimeout() == Millis(2000));
 }
--- a/tests/unit/claimstest.cpp
+++ b/tests/unit/claimstest.cpp
@@ -24,9 +24,9 @@
   std::string mKey;
   size_t mEntry = 0;
   int mBoot = 0;
-  std::optional<ClaimEnd> mEnd;
+  std::optional<ClaimOutcome> mOutcome;
   bool mStarted = false;
-  std::optional<KeptAnswer> mAnswer;
+  std::optional<CachedAnswer> mAnswer;
 };
 
 struct Pending
@@ -105,10 +105,10 @@
     std::map<std::string, int> runs;
     for (const auto& [id, life] : mLives) {
       if (mEntries[life.mEntry].mBoot == life.mBoot) {
-        RC_ASSERT(life.mEnd.has_value());
+        RC_ASSERT(life.mOutcome.has_value());
       }
       runs[life.mKey] += life.mStarted ? 1 : 0;
-      RC_ASSERT(!life.mStarted || life.mEnd == ClaimEnd::Run);
+      RC_ASSERT(!life.mStarted || life.mOutcome == ClaimOutcome::Run);
     }
     for (const auto& [key, count] : runs) {
       RC_ASSERT(count <= 1);
@@ -123,7 +123,8 @@
       bool free = true;
       for (const auto& [id, life] : mLives) {
         const bool alive = mEntries[life.mEntry].mBoot == life.mBoot;
-        free &= life.mKey != key || (alive && life.mEnd != ClaimEnd::Run) ||
+        free &= life.mKey != key ||
+                (alive && life.mOutcome != ClaimOutcome::Run) ||
                 (alive && mGaveUp.contains(id));
       }
       if (!free) {
@@ -132,11 +133,11 @@
       const RequestId id = Send(Draw(kEntries), key);
       for (int round = 0; round < 20; ++round) {
         Heal();
-        if (mLives.at(id).mEnd) {
+        if (mLives.at(id).mOutcome) {
           break;
         }
       }
-      RC_ASSERT(mLives.at(id).mEnd == ClaimEnd::Run);
+      RC_ASSERT(mLives.at(id).mOutcome == ClaimOutcome::Run);
       ++mFreed;
     }
   }
@@ -165,7 +166,7 @@
     ++entry.mBoot;
     entry.mClaims = std::make_unique<Claims>(
       ClaimOptions{ .mAddress = "entry-" + std::to_string(aEntry),
-                    .mMostInBatch = 3,
+                    .mMaxBatchSize = 3,
                     .mEpochSeconds = kEpochSeconds,
                     .mSeed = mRandom() });
   }
@@ -221,7 +222,7 @@
       entry.mClaims->MaybeRan(id);
       return;
     }
-    life.mAnswer = KeptAnswer{ 200, "text/plain", id.Text() };
+    life.mAnswer = CachedAnswer{ 200, "text/plain", id.Text() };
     entry.mClaims->Answered(id, *life.mAnswer);
   }
 
@@ -239,7 +240,7 @@
   void Carry(size_t aEntry, ClaimActions aActions)
   {
     for (ClaimAction& action : aActions) {
-      if (const auto* answer = std::get_if<ClaimAnswered>(&action)) {
+      if (const auto* answer = std::get_if<ClaimDecided>(&action)) {
         NoteAnswer(*answer);
         continue;
       }
@@ -251,15 +252,15 @@
     }
   }
 
-  void NoteAnswer(const ClaimAnswered& aAnswer)
+  void NoteAnswer(const ClaimDecided& aAnswer)
   {
     Life& life = mLives.at(aAnswer.mId);
-    RC_ASSERT(!life.mEnd.has_value());
-    life.mEnd = aAnswer.mEnd;
-    if (aAnswer.mEnd == ClaimEnd::Run) {
+    RC_ASSERT(!life.mOutcome.has_value());
+    life.mOutcome = aAnswer.mOutcome;
+    if (aAnswer.mOutcome == ClaimOutcome::Run) {
       mRunning.insert(aAnswer.mId);
     }
-    if (aAnswer.mEnd == ClaimEnd::Finished) {
+    if (aAnswer.mOutcome == ClaimOutcome::Finished) {
       ++mRepeats;
       const RequestId first = FirstOf(life.mKey);
       RC_ASSERT(aAnswer.mAnswer && mLives.contains(first));
@@ -301,7 +302,7 @@
     aOne.mExecuted = true;
     if (const auto* commit = std::get_if<CommitClaims>(&aOne.mAction)) {
       aOne.mCommit = TableCommit(*commit);
-    } else if (const auto* ask = std::get_if<AskClaimant>(&aOne.mAction)) {
+    } else if (const auto* ask = std::get_if<QueryClaimant>(&aOne.mAction)) {
       const size_t entry = ask->mAddress.back() - '0';
       if (!mEntries[entry].mPaused) {
         aOne.mReport = mEntries[entry].mClaims->Report(ask->mRequest);
@@ -327,7 +328,8 @@
                  ? found && found->mRevision == write.mReplaces->mRevision
                  : !found;
     }
-    result.mEnd = holds ? ClaimCommitEnd::Done : ClaimCommitEnd::Refused;
+    result.mOutcome =
+      holds ? ClaimCommitOutcome::Done : ClaimCommitOutcome::Refused;
     for (const ClaimWrite& write : aCommit.mWrites) {
       if (holds) {
         for (uint64_t back = 0; back < 3; ++back) {
@@ -369,10 +371,10 @@
       Carry(one.mEntry,
             entry.mClaims->OnCommitted(
               aLost ? ClaimCommit() : one.mCommit, seconds, mNow));
-    } else if (const auto* ask = std::get_if<AskClaimant>(&one.mAction)) {
+    } else if (const auto* ask = std::get_if<QueryClaimant>(&one.mAction)) {
       Carry(
         one.mEntry,
-        entry.mClaims->OnAsked(
+        entry.mClaims->OnClaimantReport(
           ask->mTicket, aLost ? ClaimReport() : one.mReport, seconds, mNow));
     }
   }
@@ -441,7 +443,7 @@
     note(claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0)));
   }
   cr_assert(commits == 1 && writes == 1);
-  note(claims.OnCommitted({ ClaimCommitEnd::Done, {} }, 0, Millis(5)));
+  note(claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(5)));
   cr_assert(commits == 2 && writes == 30);
 }
 
@@ -449,13 +451,13 @@
 {
   Claims claims({ .mAddress = "here" });
   claims.Claim({ Id(1), "key", "f" }, 0, Millis(0));
-  claims.OnCommitted({ ClaimCommitEnd::Unknown, {} }, 0, Millis(10));
+  claims.OnCommitted({ ClaimCommitOutcome::Unknown, {} }, 0, Millis(10));
   const ClaimActions again = claims.OnTick(0, Millis(200));
   const auto& commit = std::get<CommitClaims>(again.at(0));
   const FoundClaim ours{ 1, 5, commit.mWrites.at(0).mText };
-  const ClaimActions out =
-    claims.OnCommitted({ ClaimCommitEnd::Refused, { ours } }, 0, Millis(210));
-  cr_assert(std::get<ClaimAnswered>(out.at(0)).mEnd == ClaimEnd::Run);
+  const ClaimActions out = claims.OnCommitted(
+    { ClaimCommitOutcome::Refused, { ours } }, 0, Millis(210));
+  cr_assert(std::get<ClaimDecided>(out.at(0)).mOutcome == ClaimOutcome::Run);
 }
 
 Test(claims, the_same_key_for_another_request_is_refused)
@@ -463,24 +465,25 @@
   Claims claims({ .mAddress = "here" });
   claims.Claim({ Id(1), "key", "one" }, 0, Millis(0));
   const ClaimActions out = claims.Claim({ Id(2), "key", "two" }, 0, Millis(0));
-  cr_assert(std::get<ClaimAnswered>(out.at(0)).mEnd == ClaimEnd::OtherIntent);
+  cr_assert(std::get<ClaimDecided>(out.at(0)).mOutcome ==
+            ClaimOutcome::OtherIntent);
 }
 
 Test(claims, memory_is_bounded)
 {
   Claims claims({ .mAddress = "here",
-                  .mMostRemembered = 10,
-                  .mMostAnswerBytes = 1000,
-                  .mLongestAnswer = 300 });
+                  .mMaxRemembered = 10,
+                  .mMaxCachedBytes = 1000,
+                  .mMaxCachedAnswerSize = 300 });
   for (uint64_t each = 0; each < 100; ++each) {
     claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0));
-    claims.OnCommitted({ ClaimCommitEnd::Done, {} }, 0, Millis(0));
+    claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(0));
     claims.Answered(Id(each), { 200, "text/plain", std::string(250, 'x') });
     cr_assert(claims.AnswerBytes() <= 1000);
   }
   cr_assert(claims.Remembered() == 10);
-  cr_assert(claims.Report(Id(5)).mStanding == ClaimStanding::NotKnown);
-  cr_assert(claims.Report(Id(99)).mStanding == ClaimStanding::Finished);
+  cr_assert(claims.Report(Id(5)).mStatus == ClaimStatus::NotKnown);
+  cr_assert(claims.Report(Id(99)).mStatus == ClaimStatus::Finished);
   cr_assert(claims.Report(Id(99)).mAnswer != nullptr);
   cr_assert(claims.Report(Id(93)).mAnswer == nullptr);
 }
--- a/tests/unit/entrycoretest.cpp
+++ b/tests/unit/entrycoretest.cpp
@@ -19,7 +19,7 @@
     : mCore({ .mEntry = "entry-1",
               .mDataCentre = "riga-1",
               .mOfferWidth = aWidth,
-              .mMostOpen = aMostOpen })
+              .mMaxOpen = aMostOpen })
   {
     SetDrained("");
     SetUpstreams({ "a", "b", "c" }, {});
--- a/tests/unit/entryfaultstest.cpp
+++ b/tests/unit/entryfaultstest.cpp
@@ -29,7 +29,7 @@
     , mShortestDeadline(aFaults == 0 ? kEnough : kScant)
   {
     for (size_t i = 0; i < kRequests; i++) {
-      mFleet.At(Draw(kFaultsEnd), [this] { Ask(); });
+      mFleet.At(Draw(kFaultsEnd), [this] { SendRequest(); });
     }
     for (size_t i = 0; i < aFaults; i++) {
       mFleet.At(Draw(kFaultsEnd), [this] { Fault(); });
@@ -56,10 +56,10 @@
       std::uniform_int_distribution<int64_t>(0, aMost.Count())(mRandom));
   }
 
-  void Ask()
+  void SendRequest()
   {
-    const RequestId id = mFleet.Ask(mRandom() % 2 == 0,
-                                    mShortestDeadline + Draw(kLongestDeadline));
+    const RequestId id = mFleet.SendRequest(
+      mRandom() % 2 == 0, mShortestDeadline + Draw(kLongestDeadline));
     if (mRandom() % 8 == 0) {
       mFleet.At(mFleet.Now() + Draw(Millis(800)),
                 [this, id] { mFleet.Leave(id); });
@@ -70,7 +70,7 @@
   {
     mFleet.SetEngines({});
     for (size_t i = 0; i < kRequests; i++) {
-      mInCalm.push_back(mFleet.Ask(i % 2 == 0, kEnough * 2));
+      mInCalm.push_back(mFleet.SendRequest(i % 2 == 0, kEnough * 2));
     }
   }
 
@@ -196,7 +196,8 @@
       for (int i = 0; i < 20; i++) {
         std::uniform_int_distribution<int64_t> span(1, 10000);
         const Millis when(span(random));
-        fleet.At(when, [&] { fleet.Ask(random() % 2 == 0, Millis(20000)); });
+        fleet.At(when,
+                 [&] { fleet.SendRequest(random() % 2 == 0, Millis(20000)); });
         fleet.At(when + Millis(span(random) / 25), [&] {
           fleet.Silence(random() % 2 == 0 ? "engine-0" : "engine-1",
                         random() % 3 != 0,
@@ -217,7 +218,7 @@
   VirtualFleet fleet(3, 1, { .mMaxPause = Millis(1000) }, AnyUpstream());
   fleet.Run(Millis(2000));
   for (int i = 0; i < 40; i++) {
-    fleet.Ask(i % 2 == 0, Millis(60000));
+    fleet.SendRequest(i % 2 == 0, Millis(60000));
   }
   fleet.Run(Millis(2500));
   fleet.Restart("engine-0");
@@ -243,7 +244,8 @@
 {
   VirtualFleet fleet(1, 1, { .mMaxPause = Millis(6000) }, AnyUpstream());
   for (int i = 1; i <= 20; i++) {
-    fleet.At(Millis(20000) * i, [&fleet] { fleet.Ask(true, Millis(120000)); });
+    fleet.At(Millis(20000) * i,
+             [&fleet] { fleet.SendRequest(true, Millis(120000)); });
   }
   fleet.Run(Millis(600000));
   cr_assert(fleet.Reopened().empty());
@@ -259,7 +261,7 @@
       VirtualFleet fleet(1, 1, {}, AnyUpstream());
       fleet.Run(Millis(7000) + Millis(pause));
       fleet.Silence("engine-0", up, !up);
-      const RequestId id = fleet.Ask(true, Millis(20000));
+      const RequestId id = fleet.SendRequest(true, Millis(20000));
       const Millis asked = fleet.Now();
       fleet.Run(asked + Millis(10000));
       cr_assert_eq(fleet.Reopened().size(), 1);
--- a/tests/unit/leasetest.cpp
+++ b/tests/unit/leasetest.cpp
@@ -25,7 +25,7 @@
   bool mExecuted = false;
   bool mForgotten = false;
   LeaseFound mFound;
-  LeaseWriteEnd mEnd = LeaseWriteEnd::Unknown;
+  LeaseWriteOutcome mEnd = LeaseWriteOutcome::Unknown;
   int64_t mRevision = 0;
 };
 
@@ -59,7 +59,7 @@
         break;
       case 3:
         if (Chance(8)) {
-          Want(Draw(kProcesses), Chance(60));
+          SetWanted(Draw(kProcesses), Chance(60));
         }
         break;
       case 4:
@@ -79,7 +79,7 @@
     mHealed = true;
     for (size_t each = 0; each < kProcesses; ++each) {
       mProcesses[each].mPaused = false;
-      Want(each, true);
+      SetWanted(each, true);
     }
     for (int round = 0; round < 3000; ++round) {
       for (int moves = 0; moves < 10; ++moves) {
@@ -124,14 +124,14 @@
     process.mLease = std::make_unique<Lease>(LeaseOptions{
       .mHolder = std::to_string(aProcess) + "-" + std::to_string(process.mLife),
       .mSeed = mRandom() });
-    Want(aProcess, true);
+    SetWanted(aProcess, true);
   }
 
-  void Want(size_t aProcess, bool aWanted)
+  void SetWanted(size_t aProcess, bool aWanted)
   {
     Process& process = mProcesses[aProcess];
     if (!process.mPaused) {
-      Carry(aProcess, process.mLease->Want(aWanted, Now(process)));
+      Carry(aProcess, process.mLease->SetWanted(aWanted, Now(process)));
     }
   }
 
@@ -144,7 +144,7 @@
   {
     return std::count_if(
       mProcesses.begin(), mProcesses.end(), [this](const Process& aOne) {
-        return aOne.mLease->Held(Now(aOne));
+        return aOne.mLease->IsHeld(Now(aOne));
       });
   }
 
@@ -166,10 +166,10 @@
     for (LeaseAction& action : aActions) {
       if (const auto* gained = std::get_if<LeaseGained>(&action)) {
         ++mGains;
-        RC_ASSERT(gained->mFence >= mHighestFence);
-        const bool again = gained->mFence == mHighestFence;
+        RC_ASSERT(gained->mFencingNumber >= mHighestFence);
+        const bool again = gained->mFencingNumber == mHighestFence;
         RC_ASSERT(!again || mFenceOwner == Owner(aProcess));
-        mHighestFence = gained->mFence;
+        mHighestFence = gained->mFencingNumber;
         mFenceOwner = Owner(aProcess);
       } else if (!std::holds_alternative<LeaseEnded>(action)) {
         Pending& pending = mPending.emplace_back();
@@ -216,11 +216,11 @@
       return;
     }
     const auto& write = std::get<WriteLease>(aOne.mAction);
-    aOne.mEnd = LeaseWriteEnd::Refused;
+    aOne.mEnd = LeaseWriteOutcome::Refused;
     if (write.mRevision == mRevision) {
       mText = write.mText;
       mRevision = ++mLastRevision;
-      aOne.mEnd = LeaseWriteEnd::Done;
+      aOne.mEnd = LeaseWriteOutcome::Done;
       aOne.mRevision = mRevision;
     }
   }
@@ -242,8 +242,9 @@
     Carry(one.mProcess,
           std::holds_alternative<ReadLease>(one.mAction)
             ? lease.OnRead(aLost ? LeaseFound() : one.mFound, now)
-            : lease.OnWritten(
-                aLost ? LeaseWriteEnd::Unknown : one.mEnd, one.mRevision, now));
+            : lease.OnWritten(aLost ? LeaseWriteOutcome::Unknown : one.mEnd,
+                              one.mRevision,
+                              now));
   }
 
   int64_t mTime = 0;
@@ -279,49 +280,49 @@
 Test(lease, a_holder_that_slept_finds_out_before_it_acts)
 {
   Lease lease({ .mHolder = "a" });
-  lease.Want(true, Millis(0));
+  lease.SetWanted(true, Millis(0));
   lease.OnRead({ true, 0, "" }, Millis(10));
-  lease.OnWritten(LeaseWriteEnd::Done, 1, Millis(20));
-  cr_assert(lease.Held(Millis(20)));
-  cr_assert(lease.Held(Millis(20), Millis(9000)));
-  cr_assert(!lease.Held(Millis(20), Millis(9490)));
-  cr_assert(!lease.Held(Millis(9600)));
+  lease.OnWritten(LeaseWriteOutcome::Done, 1, Millis(20));
+  cr_assert(lease.IsHeld(Millis(20)));
+  cr_assert(lease.IsHeld(Millis(20), Millis(9000)));
+  cr_assert(!lease.IsHeld(Millis(20), Millis(9490)));
+  cr_assert(!lease.IsHeld(Millis(9600)));
 }
 
 /** A repeat was sent later, but the row may be the first one's. */
 Test(lease, a_late_write_is_not_taken_for_its_repeat)
 {
   Lease lease({ .mHolder = "a" });
-  lease.Want(true, Millis(0));
+  lease.SetWanted(true, Millis(0));
   const auto first = lease.OnRead({ true, 0, "" }, Millis(0));
-  lease.OnWritten(LeaseWriteEnd::Unknown, 0, Millis(2000));
+  lease.OnWritten(LeaseWriteOutcome::Unknown, 0, Millis(2000));
   lease.OnTick(Millis(3000));
   const auto second = lease.OnRead({ true, 0, "" }, Millis(9000));
   cr_assert(std::get<WriteLease>(second.at(0)).mRevision == 0);
-  lease.OnWritten(LeaseWriteEnd::Unknown, 0, Millis(9100));
+  lease.OnWritten(LeaseWriteOutcome::Unknown, 0, Millis(9100));
   lease.OnTick(Millis(9500));
   const std::string row = std::get<WriteLease>(first.at(0)).mText;
   lease.OnRead({ true, 1, row }, Millis(9600));
-  cr_assert(!lease.Held(Millis(9600)));
-  lease.OnWritten(LeaseWriteEnd::Done, 2, Millis(9700));
-  cr_assert(lease.Held(Millis(9700)));
-  cr_assert(lease.Fence() == 1);
+  cr_assert(!lease.IsHeld(Millis(9600)));
+  lease.OnWritten(LeaseWriteOutcome::Done, 2, Millis(9700));
+  cr_assert(lease.IsHeld(Millis(9700)));
+  cr_assert(lease.FencingNumber() == 1);
 }
 
 Test(lease, given_back_it_goes_to_the_next_at_once)
 {
   Lease first({ .mHolder = "a" });
-  first.Want(true, Millis(0));
+  first.SetWanted(true, Millis(0));
   first.OnRead({ true, 0, "" }, Millis(10));
-  first.OnWritten(LeaseWriteEnd::Done, 1, Millis(20));
-  LeaseActions out = first.Want(false, Millis(30));
-  cr_assert(!first.Held(Millis(30)));
+  first.OnWritten(LeaseWriteOutcome::Done, 1, Millis(20));
+  LeaseActions out = first.SetWanted(false, Millis(30));
+  cr_assert(!first.IsHeld(Millis(30)));
   const auto write = std::get<WriteLease>(out.back());
   cr_assert(write.mRevision == 1);
   Lease second({ .mHolder = "b" });
-  second.Want(true, Millis(0));
+  second.SetWanted(true, Millis(0));
   out = second.OnRead({ true, 2, write.mText }, Millis(40));
   cr_assert(std::get<WriteLease>(out.at(0)).mRevision == 2);
-  out = second.OnWritten(LeaseWriteEnd::Done, 3, Millis(50));
-  cr_assert(std::get<LeaseGained>(out.at(0)).mFence == 2);
+  out = second.OnWritten(LeaseWriteOutcome::Done, 3, Millis(50));
+  cr_assert(std::get<LeaseGained>(out.at(0)).mFencingNumber == 2);
 }
--- a/tests/unit/ledgertest.cpp
+++ b/tests/unit/ledgertest.cpp
@@ -28,7 +28,7 @@
   const bool holds = rc::check([] {
     constexpr size_t kLimit = 20;
     constexpr Millis kSpan{ 1000 };
-    Ledger ledger({ .mSpan = kSpan, .mLimit = kLimit });
+    Ledger ledger({ .mRetention = kSpan, .mLimit = kLimit });
     std::map<uint64_t, bool> ended;
     Millis now(1);
     const int steps = *rc::gen::inRange(1, 200);
@@ -37,8 +37,9 @@
       const auto number = *rc::gen::inRange<uint64_t>(0, 60);
       const bool started = *rc::gen::arbitrary<bool>();
       const bool known = ledger.Find(KeyOf(number)) != nullptr;
-      const FinalWord word =
-        started ? FinalWord(Finished{ .mKey = KeyOf(number) }) : FinalWord();
+      const FinalMessage word =
+        started ? FinalMessage(Finished{ .mKey = KeyOf(number) })
+                : FinalMessage();
       ledger.Close(KeyOf(number), word, now);
       if (!known) {
         ended[number] = started;
@@ -46,7 +47,7 @@
       ledger.Expire(now);
       RC_ASSERT(ledger.Size() <= kLimit);
       for (const auto& [key, hadStarted] : ended) {
-        const FinalWord* found = ledger.Find(KeyOf(key));
+        const FinalMessage* found = ledger.Find(KeyOf(key));
         if (found) {
           RC_ASSERT(std::holds_alternative<Finished>(*found) == hadStarted);
         }
@@ -62,7 +63,7 @@
 /** At the bound a voided attempt goes before one that had started. */
 Test(ledger, forgets_voided_attempts_first)
 {
-  Ledger ledger({ .mSpan = Millis(1000), .mLimit = 3 });
+  Ledger ledger({ .mRetention = Millis(1000), .mLimit = 3 });
   ledger.Close(KeyOf(1), Finished{ .mKey = KeyOf(1) }, Millis(1));
   for (uint64_t i = 2; i < 10; ++i) {
     ledger.Close(KeyOf(i), {}, Millis(2));
--- a/tests/unit/orderstest.cpp
+++ b/tests/unit/orderstest.cpp
@@ -28,7 +28,7 @@
   bool mExecuted = false;
   bool mForgotten = false;
   LeaseFound mFound;
-  LeaseWriteEnd mEnd = LeaseWriteEnd::Unknown;
+  LeaseWriteOutcome mEnd = LeaseWriteOutcome::Unknown;
   int64_t mRevision = 0;
 };
 
@@ -36,7 +36,7 @@
 {
   size_t mUpstream = 0;
   size_t mProcess = 0;
-  uint64_t mFence = 0;
+  uint64_t mFencingNumber = 0;
   Millis mBegin;
   Millis mEnd;
   bool mLoad = false;
@@ -119,8 +119,9 @@
         const bool counts = !other.mSlept && !first.mSlept;
         loads += during && counts && other.mLoad && first.mLoad ? 1 : 0;
         if (two > one && other.mUpstream == first.mUpstream) {
-          RC_ASSERT(other.mFence >= first.mFence);
-          RC_ASSERT(mEnginesCheck || other.mFence == first.mFence ||
+          RC_ASSERT(other.mFencingNumber >= first.mFencingNumber);
+          RC_ASSERT(mEnginesCheck ||
+                    other.mFencingNumber == first.mFencingNumber ||
                     other.mBegin >= first.mEnd);
         }
       }
@@ -133,7 +134,8 @@
   {
     size_t count = 0;
     for (size_t place = 1; place < mExecutions.size(); ++place) {
-      count += mExecutions[place].mFence != mExecutions[place - 1].mFence;
+      count += mExecutions[place].mFencingNumber !=
+               mExecutions[place - 1].mFencingNumber;
     }
     return count;
   }
@@ -179,10 +181,10 @@
     process.mOrders = std::make_unique<Orders>(OrderOptions{
       .mUpstream = "engine-" + std::to_string(aProcess % 2),
       .mHolder = std::to_string(aProcess) + "-" + std::to_string(process.mLife),
-      .mEngineChecksFence = mEnginesCheck,
-      .mLongestOrder = kLongest,
-      .mLeaseSpare = Millis(1500),
-      .mOrderSpan = Millis(30000),
+      .mEngineChecksFencing = mEnginesCheck,
+      .mMaxOrderDuration = kLongest,
+      .mLeaseMargin = Millis(1500),
+      .mOrderTimeout = Millis(30000),
       .mLoadSlots = kSlots,
       .mSeed = mRandom() });
   }
@@ -285,18 +287,23 @@
     Orders& orders = *mProcesses[aProcess].mOrders;
     const size_t upstream = aProcess % 2;
     uint64_t& highest = mHighest[upstream];
-    if (mEnginesCheck && aSend.mFence < highest) {
-      Carry(aProcess, orders.OnReply(OrderReply::OldFence, mNow));
+    if (mEnginesCheck && aSend.mFencingNumber < highest) {
+      Carry(aProcess, orders.OnReply(OrderReply::StaleFencingNumber, mNow));
       return;
     }
-    highest = aSend.mFence;
+    highest = aSend.mFencingNumber;
     const bool load = aSend.mOrder.mKind == OrderKind::LoadAdapter;
     const bool lost = !mHealed && (aSlept || Fault(30));
     const Millis span =
       lost ? kLongest : Millis(static_cast<int64_t>(Draw(300)));
     const Millis begin = aSlept ? mProcesses[aProcess].mAsleepUntil : mNow;
-    mExecutions.push_back(
-      { upstream, aProcess, aSend.mFence, begin, begin + span, load, aSlept });
+    mExecutions.push_back({ upstream,
+                            aProcess,
+                            aSend.mFencingNumber,
+                            begin,
+                            begin + span,
+                            load,
+                            aSlept });
     if (!lost) {
       mNow += span; // nothing else moves meanwhile; the reply comes at once
     }
@@ -317,10 +324,10 @@
       aOne.mFound = { true, row.mRevision, row.mText };
       return;
     }
-    aOne.mEnd = LeaseWriteEnd::Refused;
+    aOne.mEnd = LeaseWriteOutcome::Refused;
     if (write->mRevision == row.mRevision) {
       row = { ++mLastRevision, write->mText };
-      aOne.mEnd = LeaseWriteEnd::Done;
+      aOne.mEnd = LeaseWriteOutcome::Done;
       aOne.mRevision = row.mRevision;
     }
   }
@@ -340,7 +347,7 @@
     const auto& action = std::get<LeaseRowAction>(one.mAction);
     const bool reads = std::holds_alternative<ReadLease>(action.mAction);
     const LeaseFound found = aLost ? LeaseFound() : one.mFound;
-    const LeaseWriteEnd end = aLost ? LeaseWriteEnd::Unknown : one.mEnd;
+    const LeaseWriteOutcome end = aLost ? LeaseWriteOutcome::Unknown : one.mEnd;
     Carry(one.mProcess,
           reads ? process.mOrders->OnLeaseRead(action.mKey, found, mNow)
                 : process.mOrders->OnLeaseWritten(
@@ -399,10 +406,10 @@
 {
   return { .mUpstream = "e",
            .mHolder = "b",
-           .mEngineChecksFence = false,
-           .mLongestOrder = Millis(2000),
-           .mLeaseSpare = Millis(8000),
-           .mOrderSpan = Millis(8000) };
+           .mEngineChecksFencing = false,
+           .mMaxOrderDuration = Millis(2000),
+           .mLeaseMargin = Millis(8000),
+           .mOrderTimeout = Millis(8000) };
 }
 
 const EngineOrder kUnload{ "1", OrderKind::UnloadAdapter, "x", "" };
@@ -415,7 +422,7 @@
   Orders orders(Ignoring());
   orders.Submit(kUnload, Millis(0));
   orders.OnLeaseRead(kKey, aBefore, Millis(0));
-  orders.OnLeaseWritten(kKey, LeaseWriteEnd::Done, 9, Millis(0));
+  orders.OnLeaseWritten(kKey, LeaseWriteOutcome::Done, 9, Millis(0));
   return orders;
 }
 
@@ -452,7 +459,7 @@
   orders.OnLeaseRead(kKey, other, Millis(0));
   orders.OnTick(Millis(5000));
   orders.OnLeaseRead(kKey, other, Millis(5000));
-  orders.OnLeaseWritten(kKey, LeaseWriteEnd::Done, 9, Millis(5000));
+  orders.OnLeaseWritten(kKey, LeaseWriteOutcome::Done, 9, Millis(5000));
   cr_assert(!orders.MaySend(Millis(6900)));
   cr_assert(orders.MaySend(Millis(7000)));
   const Orders given =
@@ -468,7 +475,8 @@
   lost.OnReply(OrderReply::Unknown, Millis(7000));
   cr_assert(!GivesBack(lost.OnTick(Millis(8000))));
   const auto renewed = [&](int64_t aNow) {
-    return lost.OnLeaseWritten(kKey, LeaseWriteEnd::Done, aNow, Millis(aNow));
+    return lost.OnLeaseWritten(
+      kKey, LeaseWriteOutcome::Done, aNow, Millis(aNow));
   };
   cr_assert(!GivesBack(renewed(8000)));
   const bool givesBack =
--- a/tests/unit/outlierdetectortest.cpp
+++ b/tests/unit/outlierdetectortest.cpp
@@ -129,7 +129,7 @@
   fleet.SetEngine(NameOf(0), { .mRefuse = 1 });
   for (int i = 0; i < 600; i++) {
     fleet.At(Millis(2000 + i * 100),
-             [&fleet] { fleet.Ask(true, Millis(20000)); });
+             [&fleet] { fleet.SendRequest(true, Millis(20000)); });
   }
   fleet.Run(Millis(90000));
   cr_assert_leq(fleet.Calls().at(NameOf(0)), 20);
@@ -145,7 +145,7 @@
   VirtualFleet fleet(1, 3, {}, AnyUpstream());
   for (int i = 0; i < 200; i++) {
     fleet.At(Millis(2000 + i * 10),
-             [&fleet] { fleet.Ask(true, Millis(20000)); });
+             [&fleet] { fleet.SendRequest(true, Millis(20000)); });
   }
   fleet.At(Millis(3000), [&fleet] { fleet.Restart(NameOf(0)); });
   fleet.Run(Millis(3900));
--- a/tests/unit/placementtest.cpp
+++ b/tests/unit/placementtest.cpp
@@ -28,11 +28,11 @@
   void Add(const UpstreamId& aName)
   {
     UpstreamLink& link =
-      mLinks.try_emplace(aName, ChannelSpans{}).first->second;
+      mLinks.try_emplace(aName, ChannelTimeouts{}).first->second;
     link.mView = { .mName = aName, .mDataCentre = "riga-1", .mLabels = {} };
     link.mHealth.OnUp(Millis());
     link.mHealth.OnWelcome(Millis());
-    link.SetLoad({ .mTokenRoom = kRoom });
+    link.SetLoad({ .mTokenCapacity = kRoom });
   }
 
   std::vector<UpstreamLink*> Choose(uint64_t aPrefix, size_t aCount)
@@ -62,7 +62,7 @@
   {
     int largest = 0;
     for (const auto& [name, link] : mLinks) {
-      largest = std::max(largest, link.mCallsSince);
+      largest = std::max(largest, link.mCallsSinceReport);
     }
     return largest;
   }
@@ -120,7 +120,7 @@
 {
   Fleet fleet(4);
   fleet.mLinks.at("engine-0")
-    .SetLoad({ .mTokensInFlight = kRoom / 2, .mTokenRoom = kRoom });
+    .SetLoad({ .mTokensInFlight = kRoom / 2, .mTokenCapacity = kRoom });
   fleet.mLinks.at("engine-1").mView.mDataCentre = "riga-2";
   fleet.mLinks.at("engine-2").mRoundTrip = Millis(40);
   for (int i = 0; i < 20; i++) {
--- a/tests/unit/retrybudgettest.cpp
+++ b/tests/unit/retrybudgettest.cpp
@@ -51,7 +51,7 @@
     constexpr int kRequests = 1000;
     for (int i = 0; i < kRequests; i++) {
       fleet.At(Millis(2000 + i * 10),
-               [&fleet] { fleet.Ask(true, Millis(20000)); });
+               [&fleet] { fleet.SendRequest(true, Millis(20000)); });
     }
     fleet.Run(Millis(60000));
     cr_assert_leq(CallsOf(fleet), 1.1 * kRequests + 3);
@@ -70,7 +70,7 @@
   constexpr int kRequests = 2000;
   for (int i = 0; i < kRequests; i++) {
     fleet.At(Millis(2000 + i * 10),
-             [&fleet, i] { fleet.Ask(i % 2 == 0, Millis(20000)); });
+             [&fleet, i] { fleet.SendRequest(i % 2 == 0, Millis(20000)); });
   }
   for (const char* name : { "engine-0", "engine-1", "engine-2" }) {
     fleet.At(Millis(10000),
--- a/tests/unit/roomtest.cpp
+++ b/tests/unit/roomtest.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr RoomOptions kOptions{ .mFirstLimit = 16000,
-                                .mMostLimit = 64000,
-                                .mMostRunning = 64 };
+constexpr UpstreamCapacityOptions kOptions{ .mInitialLimit = 16000,
+                                            .mMaxLimit = 64000,
+                                            .mMaxRunning = 64 };
 constexpr Millis kWindow{ 250 };
 
 /** Windows of equal measurements while somebody wants more room. */
 void
-Measure(Room& aRoom, double aBetween, int aWindows, Millis& aNow)
+Measure(UpstreamCapacity& aRoom, double aBetween, int aWindows, Millis& aNow)
 {
-  const RoomShare wanted{ .mTokens = 1000000 };
+  const CapacityShare wanted{ .mTokens = 1000000 };
   for (int window = 0; window < aWindows; ++window) {
     aNow += kWindow;
     aRoom.OnWanted(wanted);
@@ -35,13 +35,13 @@
 Test(room, never_closes)
 {
   const bool holds = rc::check([] {
-    Room room(kOptions);
+    UpstreamCapacity room(kOptions);
     Millis now(1000);
-    std::vector<RoomShare> running;
+    std::vector<CapacityShare> running;
     const int steps = *rc::gen::inRange(1, 300);
     for (int i = 0; i < steps; ++i) {
       now += Millis(*rc::gen::inRange(0, 400));
-      const RoomShare share{
+      const CapacityShare share{
         .mTokens = *rc::gen::inRange<uint64_t>(1, 100000),
         .mPrefill = *rc::gen::inRange<uint64_t>(0, 8000),
         .mBeside = *rc::gen::inRange(0, 10) == 0,
@@ -63,10 +63,10 @@
       room.OnFirstToken(*rc::gen::inRange(1, 500) / 100.0,
                         *rc::gen::arbitrary<bool>());
       room.Adapt(now);
-      RC_ASSERT(room.Limit() >= kOptions.mLeastLimit);
-      RC_ASSERT(room.Limit() <= kOptions.mMostLimit);
+      RC_ASSERT(room.Limit() >= kOptions.mMinLimit);
+      RC_ASSERT(room.Limit() <= kOptions.mMaxLimit);
     }
-    for (const RoomShare& share : running) {
+    for (const CapacityShare& share : running) {
       room.Release(share);
     }
     RC_ASSERT(room.Running() == 0);
@@ -80,31 +80,31 @@
  * targets it shrinks, and when they are good again it comes back. */
 Test(room, follows_the_measured_times)
 {
-  Room room(kOptions);
+  UpstreamCapacity room(kOptions);
   Millis now(1000);
   Measure(room, 0.5, 40, now);
-  cr_assert_eq(room.Limit(), kOptions.mMostLimit);
-  room.Take({ .mTokens = kOptions.mMostLimit });
+  cr_assert_eq(room.Limit(), kOptions.mMaxLimit);
+  room.Take({ .mTokens = kOptions.mMaxLimit });
   Measure(room, 1.5, 1, now);
   const uint64_t shrunk = room.Limit();
-  cr_assert_lt(shrunk, kOptions.mMostLimit);
+  cr_assert_lt(shrunk, kOptions.mMaxLimit);
   Measure(room, 1.5, 5, now);
   cr_assert_eq(room.Limit(), shrunk, "waits until the use has come down");
-  room.Release({ .mTokens = kOptions.mMostLimit });
+  room.Release({ .mTokens = kOptions.mMaxLimit });
   Measure(room, 0.5, 40, now);
-  cr_assert_eq(room.Limit(), kOptions.mMostLimit);
+  cr_assert_eq(room.Limit(), kOptions.mMaxLimit);
 }
 
 /** An upstream that is three times too slow from the first keeps its room:
  * less would not make it quicker. */
 Test(room, does_not_shrink_for_what_it_cannot_better)
 {
-  Room room(kOptions);
+  UpstreamCapacity room(kOptions);
   Millis now(1000);
-  room.Take({ .mTokens = kOptions.mFirstLimit });
+  room.Take({ .mTokens = kOptions.mInitialLimit });
   Measure(room, 3, 100, now);
-  cr_assert_geq(room.Limit(), kOptions.mFirstLimit);
-  room.Release({ .mTokens = kOptions.mFirstLimit });
+  cr_assert_geq(room.Limit(), kOptions.mInitialLimit);
+  room.Release({ .mTokens = kOptions.mInitialLimit });
   room.Take({ .mTokens = room.Limit() });
   const uint64_t before = room.Limit();
   Measure(room, 6, 1, now);
@@ -115,7 +115,8 @@
 Test(room, lower_tier_leaves_room_for_a_burst)
 {
   const auto places = [](bool aSeen) {
-    Room room({ .mFirstLimit = 100, .mMostLimit = 100, .mMostRunning = 100 });
+    UpstreamCapacity room(
+      { .mInitialLimit = 100, .mMaxLimit = 100, .mMaxRunning = 100 });
     if (aSeen) {
       room.OnSeen(0, Millis(1000));
     }
@@ -123,7 +124,7 @@
       room.Take({ .mTokens = 1, .mTier = 0 });
     }
     int count = 0;
-    const RoomShare lower{ .mTokens = 1, .mTier = 3 };
+    const CapacityShare lower{ .mTokens = 1, .mTier = 3 };
     for (; room.Fits(lower); ++count) {
       room.Take(lower);
     }
@@ -137,7 +138,8 @@
 /** What runs beside the room takes no place from the tiers above. */
 Test(room, beside_counts_only_downwards)
 {
-  Room room({ .mFirstLimit = 100, .mMostLimit = 100, .mMostRunning = 100 });
+  UpstreamCapacity room(
+    { .mInitialLimit = 100, .mMaxLimit = 100, .mMaxRunning = 100 });
   room.Take({ .mTokens = 90, .mBeside = true, .mTier = 2 });
   cr_assert(room.Fits({ .mTokens = 100, .mTier = 1 }));
   cr_assert_not(room.Fits({ .mTokens = 20, .mTier = 2 }));
@@ -148,7 +150,7 @@
  * and more rarely. */
 Test(room, pauses_for_an_upstream_out_of_reach)
 {
-  Room room(kOptions);
+  UpstreamCapacity room(kOptions);
   Millis now(1000);
   Millis last;
   for (int i = 0; i < 8; ++i) {
@@ -160,7 +162,7 @@
     now = room.PauseEnd();
     cr_assert_not(room.IsPaused(now));
   }
-  const RoomShare call{ .mTokens = 1 };
+  const CapacityShare call{ .mTokens = 1 };
   cr_assert(room.Fits(call));
   room.Take(call);
   cr_assert_not(room.Fits(call));
--- a/tests/unit/scheduletest.cpp
+++ b/tests/unit/scheduletest.cpp
@@ -206,7 +206,7 @@
     aRecord.mSince = mNow;
   }
 
-  void Start(const Turn& aTurn)
+  void Start(const Dispatch& aTurn)
   {
     const WaitingRequest request = Find(aTurn.mKey);
     const uint64_t floorTokens = aTurn.mFloor ? request.mTokens : 0;
@@ -261,7 +261,8 @@
 
   void Forget(const AttemptKey& aKey) { mWaiting.erase(Place(aKey)); }
 
-  Schedule mSchedule{ { .mFloorSpan = kFloorSpan, .mKeptPlaces = kKept } };
+  Schedule mSchedule{ { .mFloorStartDelay = kFloorSpan,
+                        .mKeptPlaces = kKept } };
   Millis mNow{ 1 };
   uint64_t mNextKey = 1;
   std::vector<WaitingRequest> mWaiting;
@@ -328,7 +329,7 @@
       add(workspace);
     }
     for (int i = 0; i < 300; ++i) {
-      const Turn turn = *schedule.NextRegular();
+      const Dispatch turn = *schedule.NextRegular();
       const WaitingRequest request = *schedule.Find(turn.mKey);
       const int workspace = request.mLevel.mWorkspace == "A" ? 0 : 1;
       schedule.Take(turn, Millis());
@@ -365,7 +366,7 @@
   }
   int ofFirst = 0;
   for (int i = 0; i < 30; ++i) {
-    const Turn turn = *schedule.NextRegular();
+    const Dispatch turn = *schedule.NextRegular();
     ofFirst += schedule.Find(turn.mKey)->mLevel.mWorkspace == "A" ? 1 : 0;
     schedule.Take(turn, Millis());
   }
--- a/tests/unit/sidecarcoretest.cpp
+++ b/tests/unit/sidecarcoretest.cpp
@@ -156,7 +156,7 @@
 
 Test(sidecarcore, repeated_offer_and_start_change_nothing)
 {
-  Bench bench({ .mFirstTokenRoom = 200 });
+  Bench bench({ .mInitialTokenCapacity = 200 });
   bench.StartOne(1);
   bench.Message(Start{ .mKey = KeyOf(1), .mCall = {} });
   cr_assert(bench.mLast.empty());
@@ -168,7 +168,7 @@
 
 Test(sidecarcore, lapsed_grant_is_voided_for_good)
 {
-  Bench bench({ .mGrantSpan = Millis(100) });
+  Bench bench({ .mGrantTimeout = Millis(100) });
   bench.Message(OfferOf(1));
   bench.Pass(100);
   cr_assert_eq(bench.Sent<Voided>()->mIncarnation, kIncarnation);
@@ -180,7 +180,7 @@
 
 Test(sidecarcore, start_late_by_the_clock_is_voided_before_any_tick)
 {
-  Bench bench({ .mGrantSpan = Millis(100) });
+  Bench bench({ .mGrantTimeout = Millis(100) });
   bench.Message(OfferOf(1));
   bench.mNow += Millis(100);
   bench.Message(Start{ .mKey = KeyOf(1), .mCall = {} });
@@ -221,7 +221,7 @@
 
 Test(sidecarcore, forgotten_attempt_is_never_said_not_to_have_run)
 {
-  Bench bench({ .mLedgerSpan = Millis(1000) });
+  Bench bench({ .mLedgerRetention = Millis(1000) });
   bench.StartOne(1);
   bench.Event(CallFailed{ .mKey = KeyOf(1) });
   bench.Pass(1001);
@@ -259,7 +259,7 @@
 
 Test(sidecarcore, lost_entry_voids_what_waits_and_orphans_what_runs)
 {
-  Bench bench({ .mOrphanSpan = Millis(5000), .mFirstTokenRoom = 200 });
+  Bench bench({ .mOrphanTimeout = Millis(5000), .mInitialTokenCapacity = 200 });
   bench.StartOne(1);
   bench.Message(OfferOf(2));
   bench.mLast = bench.mCore.OnEntryDown("e", bench.mNow);
@@ -273,7 +273,7 @@
 
 Test(sidecarcore, drain_declines_what_waits_and_finishes_what_runs)
 {
-  Bench bench({ .mFirstTokenRoom = 200 });
+  Bench bench({ .mInitialTokenCapacity = 200 });
   bench.StartOne(1);
   bench.Message(OfferOf(2));
   bench.mLast = bench.mCore.Drain(bench.mNow);
@@ -293,7 +293,7 @@
 
 Test(sidecarcore, passed_deadline_frees_its_place_at_once)
 {
-  Bench bench({ .mFirstTokenRoom = 200 });
+  Bench bench({ .mInitialTokenCapacity = 200 });
   bench.StartOne(1);
   Offer late = OfferOf(2);
   late.mDeadline = Millis(2000);
@@ -328,7 +328,7 @@
 Test(sidecarcore, preempts_only_what_can_be_rerun_without_a_trace)
 {
   const auto run = [](bool aIdempotent, bool aBegun, Tier aTier) {
-    Bench bench({ .mFirstTokenRoom = 200, .mMostTokenRoom = 200 });
+    Bench bench({ .mInitialTokenCapacity = 200, .mMaxTokenCapacity = 200 });
     Offer lower = OfferOf(1, aTier);
     lower.mIdempotent = aIdempotent;
     bench.Message(lower);
@@ -361,7 +361,7 @@
  * may not be preempted holds up the higher tier as well. */
 Test(sidecarcore, preempts_nothing_in_vain)
 {
-  Bench bench({ .mMostRunning = 2 });
+  Bench bench({ .mMaxRunning = 2 });
   const auto start = [&](uint64_t aNumber, uint32_t aPrompt, bool aIdempotent) {
     Offer offer = OfferOf(aNumber, 3);
     offer.mPromptTokens = aPrompt;
@@ -404,7 +404,7 @@
 /** A plain service has no tokens; its room is a number of calls. */
 Test(sidecarcore, service_is_counted_in_calls)
 {
-  Bench bench({ .mTokenStream = false, .mMostRunning = 2 });
+  Bench bench({ .mTokenStream = false, .mMaxRunning = 2 });
   bench.StartOne(1);
   bench.StartOne(2);
   bench.Message(OfferOf(3));
@@ -439,7 +439,7 @@
  * entry replaces the channel. */
 Test(sidecarcore, entry_that_falls_silent_must_say_hello_again)
 {
-  Bench bench({ .mEntrySilence = Millis(2000) });
+  Bench bench({ .mEntrySilenceTimeout = Millis(2000) });
   bench.StartOne(1);
   for (int beat = 0; beat < 8; ++beat) {
     bench.Pass(500, false);
@@ -458,7 +458,7 @@
 /** An entry that watches for silence must hear of its open requests. */
 Test(sidecarcore, first_open_attempt_hastens_the_heartbeat)
 {
-  Bench bench({ .mFirstTokenRoom = 200, .mMostTokenRoom = 200 });
+  Bench bench({ .mInitialTokenCapacity = 200, .mMaxTokenCapacity = 200 });
   bench.Pass(500);
   bench.StartOne(1);
   bench.Pass(500);
--- a/tests/unit/virtualfleet.h
+++ b/tests/unit/virtualfleet.h
@@ -84,7 +84,7 @@
     }
   }
 
-  RequestId Ask(bool aIdempotent, Millis aDeadline)
+  RequestId SendRequest(bool aIdempotent, Millis aDeadline)
   {
     const RequestId id{ mRandom(), mRandom() };
     mCallers[id] = { .mIdempotent = aIdempotent,
@@ -100,7 +100,7 @@
     request.mCall.mTokenStream = true;
     request.mPromptTokens = 100;
     request.mPrefixHash = id.mLow;
-    request.mMostOutputTokens = kMostParts;
+    request.mMaxOutputTokens = kMostParts;
     CarryOut(mEntry->OnRequest(std::move(request), mNow));
     return id;
   }
