--- a/src/libtrefoilarch/classifier.cpp
+++ b/src/libtrefoilarch/classifier.cpp
@@ -51,29 +51,30 @@
 } // namespace
 
 bool
-MeetsOne(const std::string* aValue, const Requirement& aOne)
+MeetsRequirement(const std::string* aValue, const Requirement& aOne)
 {
   switch (aOne.mOperator) {
-    case Operator::Equals:
-    case Operator::In:
+    case RequirementOperator::Equals:
+    case RequirementOperator::In:
       return aValue != nullptr && Contains(aOne.mValues, *aValue);
-    case Operator::NotEquals:
-    case Operator::NotIn:
+    case RequirementOperator::NotEquals:
+    case RequirementOperator::NotIn:
       return aValue == nullptr || !Contains(aOne.mValues, *aValue);
-    case Operator::Exists:
+    case RequirementOperator::Exists:
       return aValue != nullptr;
-    case Operator::NotExists:
+    case RequirementOperator::NotExists:
       return aValue == nullptr;
   }
   return false;
 }
 
 bool
-Meets(const Labels& aLabels, const std::vector<Requirement>& aAll)
+MeetsRequirements(const Labels& aLabels, const std::vector<Requirement>& aAll)
 {
   return std::all_of(aAll.begin(), aAll.end(), [&](const Requirement& aOne) {
     const auto place = aLabels.find(aOne.mKey);
-    return MeetsOne(place == aLabels.end() ? nullptr : &place->second, aOne);
+    return MeetsRequirement(place == aLabels.end() ? nullptr : &place->second,
+                            aOne);
   });
 }
 
@@ -82,7 +83,7 @@
 {
 }
 
-Result<Classified>
+Result<ClassifiedRequest>
 Classifier::Classify(const CallerClaims& aClaims) const
 {
   const auto workspace = mPolicy->mWorkspaces.find(aClaims.mWorkspace);
@@ -106,11 +107,11 @@
   }
   const RequestClass& wanted = found->second;
   Labels traffic = TrafficLabels(aClaims, workspace->second, name);
-  if (!Meets(traffic, wanted.mCallers)) {
+  if (!MeetsRequirements(traffic, wanted.mCallers)) {
     return Refuse(ErrorKind::ClassNotAllowed,
                   "the class does not admit this caller");
   }
-  Classified classified;
+  ClassifiedRequest classified;
   classified.mLevel = { .mClass = name,
                         .mWorkspace = workspace->first,
                         .mTier = wanted.mTier,
@@ -126,7 +127,8 @@
 }
 
 bool
-Classifier::MayGo(const Labels& aTraffic, const UpstreamView& aUpstream) const
+Classifier::IsEligible(const Labels& aTraffic,
+                       const UpstreamView& aUpstream) const
 {
   const UpstreamLabels labels(*mPolicy, aUpstream);
   if (labels.Drained() || !labels.Serves(aTraffic)) {
@@ -135,8 +137,8 @@
   const auto& selectors = mPolicy->mSelectors;
   return std::any_of(
     selectors.begin(), selectors.end(), [&](const auto& aEntry) {
-      return Meets(aTraffic, aEntry.second.mTraffic) &&
-             labels.Meet(aEntry.second.mUpstreams);
+      return MeetsRequirements(aTraffic, aEntry.second.mTraffic) &&
+             labels.MeetsAll(aEntry.second.mUpstreams);
     });
 }
 
--- a/src/libtrefoilarch/classifier.h
+++ b/src/libtrefoilarch/classifier.h
@@ -24,7 +24,7 @@
 };
 
 /** A request as the policy sees it. */
-struct Classified
+struct ClassifiedRequest
 {
   ServiceLevel mLevel;
   Millis mDeadline;
@@ -54,14 +54,14 @@
   /**
    * Fails with UnknownWorkspace, BadToken, UnknownClass or ClassNotAllowed.
    */
-  Result<Classified> Classify(const CallerClaims& aClaims) const;
+  Result<ClassifiedRequest> Classify(const CallerClaims& aClaims) const;
 
   /**
    * Whether the traffic may go to the upstream (drained ones: never). Traffic
    * with a `model` or `service` goes only where the upstream's label of that
    * name is the same. For many upstreams, EligibleSets is cheaper.
    */
-  bool MayGo(const Labels& aTraffic, const UpstreamView& aUpstream) const;
+  bool IsEligible(const Labels& aTraffic, const UpstreamView& aUpstream) const;
 
   const Policy& CurrentPolicy() const { return *mPolicy; }
 
@@ -74,10 +74,10 @@
  * absent label is not equal to, and not in, anything.
  */
 bool
-MeetsOne(const std::string* aValue, const Requirement& aOne);
+MeetsRequirement(const std::string* aValue, const Requirement& aOne);
 
 /** Whether the labels meet every requirement. */
 bool
-Meets(const Labels& aLabels, const std::vector<Requirement>& aAll);
+MeetsRequirements(const Labels& aLabels, const std::vector<Requirement>& aAll);
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/directplacing.cpp
+++ b/src/libtrefoilarch/directplacing.cpp
@@ -98,8 +98,7 @@
 DirectRouter::FactsOf(const BoundRequest& aRequest, Millis aNow) const
 {
   const std::string& service = aRequest.mService;
-  const RoutedService* listed =
-    mIndex ? mIndex->ServiceNamed(service) : nullptr;
+  const RoutedService* listed = mIndex ? mIndex->FindService(service) : nullptr;
   const bool engine = listed != nullptr && listed->mEngine.has_value();
   const double perMs = mEngines.PrefillPerMs(service);
   const auto arrivals = mArrivals.find(service);
@@ -249,7 +248,7 @@
                             const PermitWait& aWait,
                             Millis aNow)
 {
-  const bool repeatable = aRequest.mRoute->mRepeat != RepeatRule::AtMostOnce;
+  const bool repeatable = aRequest.mRoute->mRetryMode != RetryMode::AtMostOnce;
   const uint32_t most = ConnectionsFor(aRequest);
   Candidates healthy;
   Candidates others;
@@ -299,7 +298,7 @@
                         const UpstreamId& aChosen) const
 {
   const RoutedService* service =
-    aRequest.mIndex->ServiceNamed(aRequest.mService);
+    aRequest.mIndex->FindService(aRequest.mService);
   const PromptShape& prompt = aRequest.mPrompt;
   const bool worthIt =
     service != nullptr && service->mEngine && service->mEngine->mBackups &&
@@ -326,9 +325,9 @@
 DirectRouter::ConnectionsFor(const BoundRequest& aRequest) const
 {
   const RoutedService* service =
-    aRequest.mIndex->ServiceNamed(aRequest.mService);
-  const uint32_t all = service == nullptr ? RoutedService{}.mMostConnections
-                                          : service->mMostConnections;
+    aRequest.mIndex->FindService(aRequest.mService);
+  const uint32_t all = service == nullptr ? RoutedService{}.mMaxConnections
+                                          : service->mMaxConnections;
   return std::max(1U, all / mOptions.mConnectionShare);
 }
 
--- a/src/libtrefoilarch/directrouter.cpp
+++ b/src/libtrefoilarch/directrouter.cpp
@@ -19,7 +19,7 @@
   return Refusal{ .mKind = aKind,
                   .mRan = Ran::No,
                   .mRetryAfter =
-                    AnswerFor(aKind).mWorthRetrying ? kComeBack : Millis(0),
+                    AnswerFor(aKind).mRetryable ? kComeBack : Millis(0),
                   .mMessage = std::move(aMessage) };
 }
 
@@ -155,7 +155,7 @@
     if (!mPolicyFreshness.IsWithin(mOptions.mKeyPolicyMaxAge, aNow)) {
       return Fail(Refuse(ErrorKind::PolicyStale, "keys can't be checked"));
     }
-    const KeyedWorkspace* workspace = mIndex->WorkspaceOf(aFacts.mKey);
+    const KeyedWorkspace* workspace = mIndex->WorkspaceForKey(aFacts.mKey);
     if (workspace == nullptr) {
       return Fail(Refuse(recent ? ErrorKind::BadToken : ErrorKind::PolicyStale,
                          "unknown key"));
@@ -197,7 +197,7 @@
   if (aRequest.mWorkspace.empty()) {
     return true;
   }
-  const KeyedWorkspace* workspace = mIndex->WorkspaceOf(aRequest.mKey);
+  const KeyedWorkspace* workspace = mIndex->WorkspaceForKey(aRequest.mKey);
   return mPolicyFreshness.IsWithin(mOptions.mKeyPolicyMaxAge, aNow) &&
          workspace != nullptr && workspace->mName == aRequest.mWorkspace;
 }
--- a/src/libtrefoilarch/eligiblesets.cpp
+++ b/src/libtrefoilarch/eligiblesets.cpp
@@ -85,7 +85,7 @@
     SelectorPlaces places{ &selector, {} };
     for (uint32_t place = 0; place < mUpstreams.size(); ++place) {
       const UpstreamLabels labels(policy, mUpstreams[place]);
-      if (!labels.Drained() && labels.Meet(selector.mUpstreams)) {
+      if (!labels.Drained() && labels.MeetsAll(selector.mUpstreams)) {
         places.mUpstreams.push_back(place);
       }
     }
@@ -124,7 +124,7 @@
   AppendLabel(key, aTraffic, "model");
   AppendLabel(key, aTraffic, "service");
   for (const SelectorPlaces& one : mSelectors) {
-    if (Meets(aTraffic, one.mSelector->mTraffic)) {
+    if (MeetsRequirements(aTraffic, one.mSelector->mTraffic)) {
       aMatching.push_back(&one);
       key += one.mSelector->mName;
       key += kSeparator;
--- a/src/libtrefoilarch/eligiblesets.h
+++ b/src/libtrefoilarch/eligiblesets.h
@@ -15,10 +15,11 @@
 using EligibleSet = std::vector<uint32_t>;
 
 /**
- * Finds all upstreams that a request may go to, as Classifier::MayGo() says,
- * at a cost that hardly depends on their number: which upstreams a selector
- * names is worked out once for each policy, and the set is kept for each
- * combination of the labels that selectors ask of traffic. Single-threaded.
+ * Finds all upstreams that a request may go to, as Classifier::IsEligible()
+ * says, at a cost that hardly depends on their number: which upstreams a
+ * selector names is worked out once for each policy, and the set is kept for
+ * each combination of the labels that selectors ask of traffic.
+ * Single-threaded.
  */
 class EligibleSets
 {
--- a/src/libtrefoilarch/entryanswers.cpp
+++ b/src/libtrefoilarch/entryanswers.cpp
@@ -57,7 +57,7 @@
     return;
   }
   aLink.mHealth.OnProven(offer->mOfferedAt);
-  if (MayGo(*request, aLink)) {
+  if (IsEligible(*request, aLink)) {
     StartAt(aLink, *request, *offer, aNow);
     return;
   }
--- a/src/libtrefoilarch/entrycore.h
+++ b/src/libtrefoilarch/entrycore.h
@@ -37,7 +37,7 @@
 struct EntryRequest
 {
   RequestId mId;
-  Classified mClassified;
+  ClassifiedRequest mClassified;
   Call mCall;
   uint32_t mPromptTokens = 0;
   /** Of what the caller and the model know in common; 0: nothing. */
--- a/src/libtrefoilarch/entryimpl.h
+++ b/src/libtrefoilarch/entryimpl.h
@@ -87,7 +87,7 @@
                Millis aNow) const;
   Outlook LookAhead(const OpenRequest& aRequest, Millis aNow) const;
   static bool MayComeBack(const UpstreamLink& aLink, Millis aNow);
-  bool MayGo(const OpenRequest& aRequest, const UpstreamLink& aLink) const;
+  bool IsEligible(const OpenRequest& aRequest, const UpstreamLink& aLink) const;
   bool HasReadyOffer(const OpenRequest& aRequest) const
   {
     return ReadyOffers(aRequest) > 0;
--- a/src/libtrefoilarch/entryplacing.cpp
+++ b/src/libtrefoilarch/entryplacing.cpp
@@ -148,7 +148,7 @@
       outlook.mMoreLater |= link.mListed && MayComeBack(link, aNow);
       continue;
     }
-    if (!link.AcceptsWork() || !MayGo(aRequest, link)) {
+    if (!link.AcceptsWork() || !IsEligible(aRequest, link)) {
       continue;
     }
     outlook.mAnyEligible = true;
@@ -166,10 +166,10 @@
 }
 
 bool
-EntryCore::Impl::MayGo(const OpenRequest& aRequest,
-                       const UpstreamLink& aLink) const
+EntryCore::Impl::IsEligible(const OpenRequest& aRequest,
+                            const UpstreamLink& aLink) const
 {
-  return mClassifier && mClassifier->MayGo(
+  return mClassifier && mClassifier->IsEligible(
                           aRequest.mRequest.mClassified.mTraffic, aLink.mView);
 }
 
@@ -209,7 +209,7 @@
                           const AttemptKey& aKey,
                           Millis aNow) const
 {
-  const Classified& classified = aRequest.mRequest.mClassified;
+  const ClassifiedRequest& classified = aRequest.mRequest.mClassified;
   const ServiceLevel& level = classified.mLevel;
   const Millis due = aRequest.mArrivedAt + level.mFirstTokenTarget;
   const bool hasTokens = classified.mTraffic.contains("model");
@@ -241,7 +241,7 @@
                                  Refusal aRefusal,
                                  Millis aNow)
 {
-  const Classified& classified = aRequest.mRequest.mClassified;
+  const ClassifiedRequest& classified = aRequest.mRequest.mClassified;
   const bool safe =
     !aRequest.mHeadSent && (classified.mIdempotent || !aRequest.mMayHaveRun);
   // Only a preemption ends a started attempt so; no upstream has failed.
@@ -317,7 +317,7 @@
   if (aRequest.mHeadSent) {
     aRefusal.mKind = KindAfterHead(aRefusal.mKind);
   }
-  const bool worth = AnswerFor(aRefusal.mKind).mWorthRetrying;
+  const bool worth = AnswerFor(aRefusal.mKind).mRetryable;
   if (worth && aRefusal.mRetryAfter <= Millis()) {
     aRefusal.mRetryAfter = ComeBack();
   } else if (!worth) {
--- a/src/libtrefoilarch/errors.h
+++ b/src/libtrefoilarch/errors.h
@@ -63,7 +63,7 @@
   ErrorKind mKind;
   std::string_view mName; /**< as in the answer's `kind` field */
   int mHttpStatus;
-  bool mWorthRetrying; /**< an answer of this kind carries a time to return */
+  bool mRetryable; /**< an answer of this kind carries a time to return */
 };
 
 /** The whole table, one row for each kind, in the order of the enumeration. */
--- a/src/libtrefoilarch/jsonfields.cpp
+++ b/src/libtrefoilarch/jsonfields.cpp
@@ -41,7 +41,7 @@
 JsonFields::Text(const std::string& aName)
 {
   if (mObject.is_object() && Find(aName) == nullptr) {
-    Fault(aName, "is missing");
+    AddFault(aName, "is missing");
   }
   return Text(aName, "");
 }
@@ -54,7 +54,7 @@
     return aDefault;
   }
   if (!member->is_string()) {
-    Fault(aName, "must be a string");
+    AddFault(aName, "must be a string");
     return aDefault;
   }
   return member->get<std::string>();
@@ -68,7 +68,7 @@
     return aDefault;
   }
   if (!member->is_boolean()) {
-    Fault(aName, "must be true or false");
+    AddFault(aName, "must be true or false");
     return aDefault;
   }
   return member->get<bool>();
@@ -86,9 +86,9 @@
   }
   const double value = member->is_number() ? member->get<double>() : aLeast - 1;
   if (!(value >= aLeast && value <= aMost)) {
-    Fault(aName,
-          "must be a number from " + Json(aLeast).dump() + " to " +
-            Json(aMost).dump());
+    AddFault(aName,
+             "must be a number from " + Json(aLeast).dump() + " to " +
+               Json(aMost).dump());
     return aDefault;
   }
   return value;
@@ -110,9 +110,9 @@
       member->get<uint64_t>() > static_cast<uint64_t>(INT64_MAX)) &&
     member->get<int64_t>() >= aLeast && member->get<int64_t>() <= aMost;
   if (!good) {
-    Fault(aName,
-          "must be a whole number from " + std::to_string(aLeast) + " to " +
-            std::to_string(aMost));
+    AddFault(aName,
+             "must be a whole number from " + std::to_string(aLeast) + " to " +
+               std::to_string(aMost));
     return aDefault;
   }
   return member->get<int64_t>();
@@ -126,7 +126,7 @@
 }
 
 void
-JsonFields::Each(
+JsonFields::ForEach(
   const std::string& aName,
   const std::function<void(const Json&, const std::string&)>& aDo)
 {
@@ -135,7 +135,7 @@
     return;
   }
   if (!member->is_array()) {
-    Fault(aName, "must be a list");
+    AddFault(aName, "must be a list");
     return;
   }
   size_t place = 0;
@@ -145,7 +145,7 @@
 }
 
 void
-JsonFields::Fault(const std::string& aName, std::string aReason)
+JsonFields::AddFault(const std::string& aName, std::string aReason)
 {
   mFaults.push_back({ PathOf(aName), std::move(aReason) });
 }
@@ -164,7 +164,7 @@
   }
   for (const auto& [name, value] : mObject.items()) {
     if (!mKnown.contains(name)) {
-      Fault(name, "is not a known field");
+      AddFault(name, "is not a known field");
     }
   }
 }
--- a/src/libtrefoilarch/jsonfields.h
+++ b/src/libtrefoilarch/jsonfields.h
@@ -39,10 +39,10 @@
   /** The member as it stands; an empty value where there is none. */
   const Json& Member(const std::string& aName);
   /** Calls back for each element of an array, with the element's path. */
-  void Each(const std::string& aName,
-            const std::function<void(const Json&, const std::string&)>& aDo);
+  void ForEach(const std::string& aName,
+               const std::function<void(const Json&, const std::string&)>& aDo);
   /** Notes a fault of one of the object's fields. */
-  void Fault(const std::string& aName, std::string aReason);
+  void AddFault(const std::string& aName, std::string aReason);
   std::string PathOf(const std::string& aName) const;
   /** Notes each field that was not asked for. */
   void Finish();
--- a/src/libtrefoilarch/policy.h
+++ b/src/libtrefoilarch/policy.h
@@ -16,7 +16,7 @@
 using Labels = std::map<std::string, std::string>;
 
 /** How a Requirement looks at a label. */
-enum class Operator : uint8_t
+enum class RequirementOperator : uint8_t
 {
   Equals,
   NotEquals,
@@ -30,7 +30,7 @@
 struct Requirement
 {
   std::string mKey;
-  Operator mOperator = Operator::Equals;
+  RequirementOperator mOperator = RequirementOperator::Equals;
   std::vector<std::string> mValues;
 
   bool operator==(const Requirement&) const = default;
--- a/src/libtrefoilarch/policychange.cpp
+++ b/src/libtrefoilarch/policychange.cpp
@@ -81,7 +81,8 @@
 
   void operator()(const VoidChange& aOne)
   {
-    mState.mIds.try_emplace(aOne.mId, IdMark{ mState.Version() + 1, true });
+    mState.mChangeIds.try_emplace(aOne.mId,
+                                  ChangeIdRecord{ mState.Version() + 1, true });
   }
 
 private:
@@ -155,14 +156,14 @@
 ForgetOld(PolicyState& aState)
 {
   const uint64_t version = aState.Version();
-  if (version <= kPolicyMemory || version % 100 != 0) {
+  if (version <= kRetainedPolicyVersions || version % 100 != 0) {
     return;
   }
-  const uint64_t oldest = version - kPolicyMemory;
-  std::erase_if(aState.mMarks, [oldest](const auto& aEntry) {
+  const uint64_t oldest = version - kRetainedPolicyVersions;
+  std::erase_if(aState.mObjectRevisions, [oldest](const auto& aEntry) {
     return aEntry.second.mVersion < oldest;
   });
-  std::erase_if(aState.mIds, [oldest](const auto& aEntry) {
+  std::erase_if(aState.mChangeIds, [oldest](const auto& aEntry) {
     return aEntry.second.mVersion < oldest;
   });
 }
@@ -173,13 +174,14 @@
               uint64_t aBase)
 {
   std::vector<PolicyConflict> conflicts;
-  if (aBase + kPolicyMemory < aState.Version()) {
+  if (aBase + kRetainedPolicyVersions < aState.Version()) {
     conflicts.push_back({ "policy", aState.Version(), "" });
     return conflicts;
   }
   for (const std::string& object : aTouched) {
-    const auto mark = aState.mMarks.find(object);
-    if (mark != aState.mMarks.end() && mark->second.mVersion > aBase) {
+    const auto mark = aState.mObjectRevisions.find(object);
+    if (mark != aState.mObjectRevisions.end() &&
+        mark->second.mVersion > aBase) {
       conflicts.push_back(
         { object, mark->second.mVersion, mark->second.mAuthor });
     }
@@ -210,9 +212,10 @@
     }
   }
   for (const std::string& object : applier.Touched()) {
-    outcome.mState.mMarks[object] = { policy.mVersion, aChange.mAuthor };
+    outcome.mState.mObjectRevisions[object] = { policy.mVersion,
+                                                aChange.mAuthor };
   }
-  outcome.mState.mIds[aChange.mId] = { policy.mVersion, false };
+  outcome.mState.mChangeIds[aChange.mId] = { policy.mVersion, false };
   outcome.mState.mPolicy = std::make_shared<Policy>(std::move(policy));
   ForgetOld(outcome.mState);
   return outcome;
@@ -220,15 +223,14 @@
 
 } // namespace
 
-ChangeStanding
-StandingOf(const PolicyState& aState, const std::string& aId)
+ChangeStatus
+ChangeStatusOf(const PolicyState& aState, const std::string& aId)
 {
-  const auto place = aState.mIds.find(aId);
-  if (place == aState.mIds.end()) {
-    return ChangeStanding::NotSeen;
+  const auto place = aState.mChangeIds.find(aId);
+  if (place == aState.mChangeIds.end()) {
+    return ChangeStatus::NotSeen;
   }
-  return place->second.mVoided ? ChangeStanding::Voided
-                               : ChangeStanding::Accepted;
+  return place->second.mVoided ? ChangeStatus::Voided : ChangeStatus::Accepted;
 }
 
 ChangeOutcome
--- a/src/libtrefoilarch/policychange.h
+++ b/src/libtrefoilarch/policychange.h
@@ -25,7 +25,7 @@
   PolicyFaults mFaults;
   std::vector<PolicyConflict> mConflicts;
 
-  bool Good() const { return mFaults.empty() && mConflicts.empty(); }
+  bool IsValid() const { return mFaults.empty() && mConflicts.empty(); }
 };
 
 /**
--- a/src/libtrefoilarch/policycodec.h
+++ b/src/libtrefoilarch/policycodec.h
@@ -16,21 +16,21 @@
 PolicyToJson(const Policy& aPolicy);
 
 /** Reads what PolicyToJson wrote, or what an operator did. */
-Reading<Policy>
+ParseResult<Policy>
 PolicyFromJson(const std::string& aText);
 
 std::string
 ChangeToJson(const PolicyChange& aChange);
 
 /** Reads a change; faults name fields such as `operations[0].class.tier`. */
-Reading<PolicyChange>
+ParseResult<PolicyChange>
 ChangeFromJson(const std::string& aText);
 
 /** A whole state, for snapshots; equal states give equal text. */
 std::string
 StateToJson(const PolicyState& aState);
 
-Reading<PolicyState>
+ParseResult<PolicyState>
 StateFromJson(const std::string& aText);
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policyfault.h
+++ b/src/libtrefoilarch/policyfault.h
@@ -18,12 +18,12 @@
 
 /** A value that was read from text, usable only where there is no fault. */
 template<typename T>
-struct Reading
+struct ParseResult
 {
   T mValue;
   PolicyFaults mFaults;
 
-  bool Good() const { return mFaults.empty(); }
+  bool IsValid() const { return mFaults.empty(); }
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policyfaults.cpp
+++ b/src/libtrefoilarch/policyfaults.cpp
@@ -92,7 +92,7 @@
 } // namespace
 
 std::vector<std::string>
-FaultsOf(const RoutePolicy& aPolicy)
+ValidateRoutePolicy(const RoutePolicy& aPolicy)
 {
   Faults faults;
   if (aPolicy.mRoutes.empty()) {
--- a/src/libtrefoilarch/policyfaults.h
+++ b/src/libtrefoilarch/policyfaults.h
@@ -13,6 +13,6 @@
  * spans and weights of nothing. Empty where there is nothing.
  */
 std::vector<std::string>
-FaultsOf(const RoutePolicy& aPolicy);
+ValidateRoutePolicy(const RoutePolicy& aPolicy);
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policylog.cpp
+++ b/src/libtrefoilarch/policylog.cpp
@@ -39,7 +39,7 @@
                    Millis aDeadline,
                    Millis aNow)
 {
-  if (mProposals.size() >= mOptions.mMostProposals) {
+  if (mProposals.size() >= mOptions.mMaxProposals) {
     return { ProposalAnswered{ aProposal, {} } };
   }
   Proposal proposal;
@@ -51,12 +51,12 @@
 }
 
 PolicyLogActions
-PolicyLog::Ask(uint64_t aProposal,
-               std::string aId,
-               Millis aDeadline,
-               Millis aNow)
+PolicyLog::QueryChange(uint64_t aProposal,
+                       std::string aId,
+                       Millis aDeadline,
+                       Millis aNow)
 {
-  if (mProposals.size() >= mOptions.mMostProposals) {
+  if (mProposals.size() >= mOptions.mMaxProposals) {
     return { ProposalAnswered{ aProposal, {} } };
   }
   Proposal proposal;
@@ -88,7 +88,7 @@
 }
 
 PolicyLogActions
-PolicyLog::OnSnapshot(const SnapshotFound& aFound, Millis aNow)
+PolicyLog::OnSnapshot(const SnapshotReadResult& aFound, Millis aNow)
 {
   mReading = false;
   const bool adopted =
@@ -135,14 +135,14 @@
 }
 
 PolicyLogActions
-PolicyLog::OnInserted(InsertEnd aEnd, Millis aNow)
+PolicyLog::OnInserted(InsertOutcome aEnd, Millis aNow)
 {
   PolicyLogActions out;
   const LogRow row = std::move(*mInserting);
   mInserting.reset();
   const bool ours =
     !mProposals.empty() && mProposals.front().mNumber == mInsertingFor;
-  if (aEnd == InsertEnd::Inserted) {
+  if (aEnd == InsertOutcome::Inserted) {
     Apply({ row });
     Announce(out);
     if (mState.Version() == row.mVersion &&
@@ -154,15 +154,15 @@
   if (ours) {
     Proposal& head = mProposals.front();
     head.mReadAsked = false;
-    head.mFresh = aEnd == InsertEnd::Inserted;
-    if (aEnd == InsertEnd::Unknown) {
+    head.mFresh = aEnd == InsertOutcome::Inserted;
+    if (aEnd == InsertOutcome::Unknown) {
       head.mUnsettledAt = row.mVersion;
     }
-    if (aEnd == InsertEnd::Inserted) {
+    if (aEnd == InsertOutcome::Inserted) {
       head.mUnsettledAt = 0;
     }
   }
-  if (aEnd == InsertEnd::Unknown || aEnd == InsertEnd::NotSent) {
+  if (aEnd == InsertOutcome::Unknown || aEnd == InsertOutcome::NotSent) {
     WaitAfterFailure(aNow);
   }
   const PolicyLogActions more = Drive(aNow);
@@ -183,9 +183,9 @@
   mSnapshotFailures = 0;
   mSnapshotted = std::max(mSnapshotted, version);
   mSnapshotDue.reset();
-  if (version > mOptions.mKeptRows) {
-    const uint64_t below = version - mOptions.mKeptRows;
-    out.push_back(CompactLog{ below, version - mOptions.mKeptChanges });
+  if (version > mOptions.mRetainedRows) {
+    const uint64_t below = version - mOptions.mRetainedRows;
+    out.push_back(CompactLog{ below, version - mOptions.mRetainedChanges });
   }
   const PolicyLogActions more = Drive(aNow);
   out.insert(out.end(), more.begin(), more.end());
--- a/src/libtrefoilarch/policylog.h
+++ b/src/libtrefoilarch/policylog.h
@@ -15,19 +15,19 @@
 struct PolicyLogOptions
 {
   /** Time between two reads of the tail, where few processes do so. */
-  Millis mPollSpan{ 1000 };
+  Millis mPollInterval{ 1000 };
   /** Added for each peer, so that a large fleet's reads stay level. */
-  Millis mPollSpanPerPeer{ 12 };
-  Millis mFirstRetry{ 100 };
-  Millis mMostRetry{ 4000 };
+  Millis mPollIntervalPerPeer{ 12 };
+  Millis mInitialRetryDelay{ 100 };
+  Millis mMaxRetryDelay{ 4000 };
   size_t mReadLimit = 200;
   /** A snapshot is written each time this many changes have been accepted. */
   uint64_t mSnapshotEvery = 100;
   /** Changes kept here for peers. */
-  uint64_t mKeptChanges = 300;
+  uint64_t mRetainedChanges = 300;
   /** Rows kept in the table at compaction, for history. */
-  uint64_t mKeptRows = 4000;
-  size_t mMostProposals = 64;
+  uint64_t mRetainedRows = 4000;
+  size_t mMaxProposals = 64;
   uint64_t mSeed = 1;
 };
 
@@ -55,16 +55,16 @@
    * Asks what became of a change. One that the log does not have is ruled
    * out first, since its write may still be under way.
    */
-  PolicyLogActions Ask(uint64_t aProposal,
-                       std::string aId,
-                       Millis aDeadline,
-                       Millis aNow);
+  PolicyLogActions QueryChange(uint64_t aProposal,
+                               std::string aId,
+                               Millis aDeadline,
+                               Millis aNow);
 
   /** Empty rows: the tail was reached; none: the table did not answer. */
   PolicyLogActions OnRows(std::optional<std::vector<LogRow>> aRows,
                           Millis aNow);
-  PolicyLogActions OnInserted(InsertEnd aEnd, Millis aNow);
-  PolicyLogActions OnSnapshot(const SnapshotFound& aFound, Millis aNow);
+  PolicyLogActions OnInserted(InsertOutcome aEnd, Millis aNow);
+  PolicyLogActions OnSnapshot(const SnapshotReadResult& aFound, Millis aNow);
   PolicyLogActions OnSnapshotWritten(bool aWritten, Millis aNow);
   PolicyLogActions OnPulled(std::optional<PolicyDelta> aDelta, Millis aNow);
   /** Another process's message carried this version. */
@@ -75,9 +75,9 @@
   PolicyDelta DeltaAfter(uint64_t aAfter) const;
 
   const PolicyState& State() const { return mState; }
-  const std::deque<LoggedChange>& Recent() const { return mRecent; }
+  const std::deque<LoggedChange>& RecentChanges() const { return mRecent; }
   /** A policy, or the certainty that there is none yet. */
-  bool Known() const { return mKnown; }
+  bool IsLoaded() const { return mKnown; }
   /** A row that could not be read, behind which this process is stuck. */
   uint64_t UnreadableRow() const { return mUnreadableRow; }
   Millis NextWake() const;
--- a/src/libtrefoilarch/policylogdriving.cpp
+++ b/src/libtrefoilarch/policylogdriving.cpp
@@ -18,7 +18,7 @@
 PolicyConflict
 VoidedConflict(const PolicyState& aState, const std::string& aId)
 {
-  return { "change/" + aId, aState.mIds.at(aId).mVersion, "" };
+  return { "change/" + aId, aState.mChangeIds.at(aId).mVersion, "" };
 }
 
 } // namespace
@@ -56,7 +56,8 @@
     const bool writing = mInserting && proposal.mNumber == mInsertingFor;
     const bool unknown = writing || proposal.mUnsettledAt != 0;
     ProposalAnswer answer;
-    answer.mEnd = unknown ? ProposalEnd::Unknown : ProposalEnd::Unavailable;
+    answer.mOutcome =
+      unknown ? ProposalOutcome::Unknown : ProposalOutcome::Unavailable;
     aOut.push_back(ProposalAnswered{ proposal.mNumber, std::move(answer) });
   }
   mProposals = std::move(kept);
@@ -84,16 +85,16 @@
   if (head.mUnsettledAt != 0 && mState.Version() >= head.mUnsettledAt) {
     head.mUnsettledAt = 0;
   }
-  const auto mark = mState.mIds.find(head.mChange.mId);
-  if (head.mAsksFor || mark == mState.mIds.end()) {
+  const auto mark = mState.mChangeIds.find(head.mChange.mId);
+  if (head.mAsksFor || mark == mState.mChangeIds.end()) {
     return false;
   }
   ProposalAnswer answer;
   if (mark->second.mVoided) {
-    answer.mEnd = ProposalEnd::Conflict;
+    answer.mOutcome = ProposalOutcome::Conflict;
     answer.mConflicts = { VoidedConflict(mState, head.mChange.mId) };
   } else {
-    answer.mEnd = ProposalEnd::Accepted;
+    answer.mOutcome = ProposalOutcome::Accepted;
     answer.mVersion = mark->second.mVersion;
   }
   AnswerHead(aOut, std::move(answer));
@@ -107,15 +108,15 @@
   if (!head.mAsksFor) {
     return false;
   }
-  const ChangeStanding standing = StandingOf(mState, *head.mAsksFor);
-  if (standing == ChangeStanding::NotSeen) {
+  const ChangeStatus standing = ChangeStatusOf(mState, *head.mAsksFor);
+  if (standing == ChangeStatus::NotSeen) {
     return false;
   }
   ProposalAnswer answer;
-  answer.mEnd = ProposalEnd::NotAccepted;
-  if (standing == ChangeStanding::Accepted) {
-    answer.mEnd = ProposalEnd::Accepted;
-    answer.mVersion = mState.mIds.at(*head.mAsksFor).mVersion;
+  answer.mOutcome = ProposalOutcome::NotAccepted;
+  if (standing == ChangeStatus::Accepted) {
+    answer.mOutcome = ProposalOutcome::Accepted;
+    answer.mVersion = mState.mChangeIds.at(*head.mAsksFor).mVersion;
   }
   AnswerHead(aOut, std::move(answer));
   return true;
@@ -129,12 +130,12 @@
     return false;
   }
   ChangeOutcome outcome = ApplyChange(mState, head.mChange);
-  if (outcome.Good()) {
+  if (outcome.IsValid()) {
     return false;
   }
   ProposalAnswer answer;
-  answer.mEnd =
-    outcome.mConflicts.empty() ? ProposalEnd::Invalid : ProposalEnd::Conflict;
+  answer.mOutcome = outcome.mConflicts.empty() ? ProposalOutcome::Invalid
+                                               : ProposalOutcome::Conflict;
   answer.mFaults = std::move(outcome.mFaults);
   answer.mConflicts = std::move(outcome.mConflicts);
   AnswerHead(aOut, std::move(answer));
@@ -223,8 +224,8 @@
       mBehind = true;
       return false;
     }
-    Reading<PolicyChange> reading = ChangeFromJson(row.mText);
-    if (!reading.Good()) {
+    ParseResult<PolicyChange> reading = ChangeFromJson(row.mText);
+    if (!reading.IsValid()) {
       mUnreadableRow = row.mVersion;
       return false;
     }
@@ -239,7 +240,7 @@
 {
   mState = ApplyLogged(mState, aLogged);
   mRecent.push_back(std::move(aLogged));
-  if (mRecent.size() > mOptions.mKeptChanges) {
+  if (mRecent.size() > mOptions.mRetainedChanges) {
     mRecent.pop_front();
   }
 }
@@ -247,8 +248,8 @@
 bool
 PolicyLog::AdoptSnapshot(const std::string& aText)
 {
-  Reading<PolicyState> reading = StateFromJson(aText);
-  if (!reading.Good() || reading.mValue.Version() <= mState.Version()) {
+  ParseResult<PolicyState> reading = StateFromJson(aText);
+  if (!reading.IsValid() || reading.mValue.Version() <= mState.Version()) {
     return false;
   }
   mState = std::move(reading.mValue);
@@ -266,8 +267,8 @@
   mSeen = mState.Version();
   mSource = Source::Rows;
   const int64_t peers = static_cast<int64_t>(mPeers);
-  mNextRead = aNow + Jittered(std::max(mOptions.mPollSpan,
-                                       mOptions.mPollSpanPerPeer * peers));
+  mNextRead = aNow + Jittered(std::max(mOptions.mPollInterval,
+                                       mOptions.mPollIntervalPerPeer * peers));
   if (!mProposals.empty() && mProposals.front().mReadAsked) {
     mProposals.front().mFresh = true;
   }
@@ -292,7 +293,8 @@
 PolicyLog::RetrySpan(unsigned aFailures)
 {
   const int64_t factor = int64_t{ 1 } << std::min(aFailures, kMostDoublings);
-  return Jittered(std::min(mOptions.mFirstRetry * factor, mOptions.mMostRetry));
+  return Jittered(
+    std::min(mOptions.mInitialRetryDelay * factor, mOptions.mMaxRetryDelay));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policylogmessages.h
+++ b/src/libtrefoilarch/policylogmessages.h
@@ -73,7 +73,7 @@
 };
 
 /** How a proposal or a question ended. */
-enum class ProposalEnd
+enum class ProposalOutcome
 {
   Accepted,
   Conflict,
@@ -85,7 +85,7 @@
 
 struct ProposalAnswer
 {
-  ProposalEnd mEnd = ProposalEnd::Unavailable;
+  ProposalOutcome mOutcome = ProposalOutcome::Unavailable;
   uint64_t mVersion = 0; /**< where accepted */
   PolicyFaults mFaults;
   std::vector<PolicyConflict> mConflicts;
@@ -109,7 +109,7 @@
 using PolicyLogActions = std::vector<PolicyLogAction>;
 
 /** How an InsertLogRow ended. */
-enum class InsertEnd
+enum class InsertOutcome
 {
   Inserted,
   Refused, /**< a condition did not hold; nothing was written */
@@ -118,7 +118,7 @@
 };
 
 /** What a ReadSnapshot found. */
-struct SnapshotFound
+struct SnapshotReadResult
 {
   bool mReached = false; /**< the object store answered */
   std::string mText;     /**< empty where there is none */
--- a/src/libtrefoilarch/policyreading.cpp
+++ b/src/libtrefoilarch/policyreading.cpp
@@ -26,15 +26,16 @@
   Requirement value;
   value.mKey = fields.Text("key");
   const std::string name = fields.Text("op");
-  const auto place =
-    std::find(kOperatorNames.begin(), kOperatorNames.end(), name);
-  if (place == kOperatorNames.end()) {
-    fields.Fault(
+  const auto place = std::find(
+    kRequirementOperatorNames.begin(), kRequirementOperatorNames.end(), name);
+  if (place == kRequirementOperatorNames.end()) {
+    fields.AddFault(
       "op", "must be equals, not_equals, in, not_in, exists or not_exists");
   } else {
-    value.mOperator = static_cast<Operator>(place - kOperatorNames.begin());
+    value.mOperator = static_cast<RequirementOperator>(
+      place - kRequirementOperatorNames.begin());
   }
-  fields.Each("values", [&](const Json& aValue, const std::string& aPlace) {
+  fields.ForEach("values", [&](const Json& aValue, const std::string& aPlace) {
     if (aValue.is_string()) {
       value.mValues.push_back(aValue.get<std::string>());
     } else {
@@ -51,7 +52,7 @@
                  PolicyFaults& aFaults)
 {
   std::vector<Requirement> values;
-  aFields.Each(aName, [&](const Json& aValue, const std::string& aPath) {
+  aFields.ForEach(aName, [&](const Json& aValue, const std::string& aPath) {
     values.push_back(ReadRequirement(aValue, aPath, aFaults));
   });
   return values;
@@ -63,15 +64,15 @@
   Labels labels;
   const Json& member = aFields.Member(aName);
   if (!member.is_null() && !member.is_object()) {
-    aFields.Fault(aName, "must be an object");
+    aFields.AddFault(aName, "must be an object");
     return labels;
   }
   for (const auto& [key, value] : member.items()) {
     if (value.is_string()) {
       labels[key] = value.get<std::string>();
     } else {
-      aFields.Fault(std::string(aName).append(".").append(key),
-                    "must be a string");
+      aFields.AddFault(std::string(aName).append(".").append(key),
+                       "must be a string");
     }
   }
   return labels;
@@ -152,7 +153,7 @@
           T (*aRead)(const Json&, const std::string&, PolicyFaults&))
 {
   std::map<std::string, T> values;
-  aFields.Each(aName, [&](const Json& aValue, const std::string& aPath) {
+  aFields.ForEach(aName, [&](const Json& aValue, const std::string& aPath) {
     T value = aRead(aValue, aPath, aFaults);
     std::string name = value.mName;
     if (!values.try_emplace(name, std::move(value)).second) {
@@ -188,7 +189,7 @@
   SetUpstreamLabels value{ aFields.Text("upstream"), {} };
   const Json& labels = aFields.Member("labels");
   if (!labels.is_object()) {
-    aFields.Fault("labels", "must be an object");
+    aFields.AddFault("labels", "must be an object");
     return value;
   }
   for (const auto& [key, label] : labels.items()) {
@@ -197,7 +198,7 @@
     } else if (label.is_null()) {
       value.mLabels[key] = std::nullopt;
     } else {
-      aFields.Fault("labels." + key, "must be a string or null");
+      aFields.AddFault("labels." + key, "must be a string or null");
     }
   }
   return value;
@@ -265,7 +266,7 @@
     operation = ReadNamedOperation(fields, name);
   }
   if (!operation) {
-    fields.Fault("op", "is not a known operation: " + name);
+    fields.AddFault("op", "is not a known operation: " + name);
     return;
   }
   aChange.mOperations.push_back(std::move(*operation));
@@ -286,19 +287,19 @@
 
 } // namespace
 
-Reading<Policy>
+ParseResult<Policy>
 PolicyFromJson(const std::string& aText)
 {
-  Reading<Policy> reading;
+  ParseResult<Policy> reading;
   const Json json = Parse(aText, reading.mFaults);
   reading.mValue = ReadPolicy(json, "", reading.mFaults);
   return reading;
 }
 
-Reading<PolicyChange>
+ParseResult<PolicyChange>
 ChangeFromJson(const std::string& aText)
 {
-  Reading<PolicyChange> reading;
+  ParseResult<PolicyChange> reading;
   PolicyFaults& faults = reading.mFaults;
   PolicyChange& change = reading.mValue;
   const Json json = Parse(aText, faults);
@@ -311,19 +312,19 @@
       static_cast<uint64_t>(fields.Integer("base_version", 0, INT64_MAX, 0));
   }
   if (!fields.Has("operations")) {
-    fields.Fault("operations", "is missing");
+    fields.AddFault("operations", "is missing");
   }
-  fields.Each("operations", [&](const Json& aOne, const std::string& aPath) {
+  fields.ForEach("operations", [&](const Json& aOne, const std::string& aPath) {
     ReadOperation(aOne, aPath, change, faults);
   });
   fields.Finish();
   return reading;
 }
 
-Reading<PolicyState>
+ParseResult<PolicyState>
 StateFromJson(const std::string& aText)
 {
-  Reading<PolicyState> reading;
+  ParseResult<PolicyState> reading;
   PolicyFaults& faults = reading.mFaults;
   const Json json = Parse(aText, faults);
   JsonFields fields(json, "", faults);
@@ -331,11 +332,13 @@
     ReadPolicy(fields.Member("policy"), "policy", faults));
   for (const auto& [object, value] : fields.Member("marks").items()) {
     JsonFields mark(value, "marks." + object, faults);
-    reading.mValue.mMarks[object] = { ReadVersion(mark), mark.Text("author") };
+    reading.mValue.mObjectRevisions[object] = { ReadVersion(mark),
+                                                mark.Text("author") };
   }
   for (const auto& [id, value] : fields.Member("ids").items()) {
     JsonFields mark(value, "ids." + id, faults);
-    reading.mValue.mIds[id] = { ReadVersion(mark), mark.Flag("voided", false) };
+    reading.mValue.mChangeIds[id] = { ReadVersion(mark),
+                                      mark.Flag("voided", false) };
   }
   return reading;
 }
--- a/src/libtrefoilarch/policystate.h
+++ b/src/libtrefoilarch/policystate.h
@@ -10,21 +10,21 @@
 namespace trefoilarch {
 
 /** Who changed an object of the policy last. */
-struct ObjectMark
+struct ObjectRevision
 {
   uint64_t mVersion = 0;
   std::string mAuthor;
 
-  bool operator==(const ObjectMark&) const = default;
+  bool operator==(const ObjectRevision&) const = default;
 };
 
 /** Where a change's id stands: accepted in a version, or ruled out in it. */
-struct IdMark
+struct ChangeIdRecord
 {
   uint64_t mVersion = 0;
   bool mVoided = false;
 
-  bool operator==(const IdMark&) const = default;
+  bool operator==(const ChangeIdRecord&) const = default;
 };
 
 /**
@@ -35,25 +35,25 @@
 {
   std::shared_ptr<const Policy> mPolicy = std::make_shared<Policy>();
   /** By object, such as `class/call`; removed objects too. */
-  std::map<std::string, ObjectMark> mMarks;
+  std::map<std::string, ObjectRevision> mObjectRevisions;
   /** Ids of the changes that were accepted or ruled out. */
-  std::map<std::string, IdMark> mIds;
+  std::map<std::string, ChangeIdRecord> mChangeIds;
 
   uint64_t Version() const { return mPolicy->mVersion; }
 };
 
 /** Marks and ids older than this many versions are forgotten. */
-constexpr uint64_t kPolicyMemory = 4000;
+constexpr uint64_t kRetainedPolicyVersions = 4000;
 
 /** How an id stands in a state. */
-enum class ChangeStanding
+enum class ChangeStatus
 {
   NotSeen,
   Accepted,
   Voided,
 };
 
-ChangeStanding
-StandingOf(const PolicyState& aState, const std::string& aId);
+ChangeStatus
+ChangeStatusOf(const PolicyState& aState, const std::string& aId);
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policyvalidation.cpp
+++ b/src/libtrefoilarch/policyvalidation.cpp
@@ -156,20 +156,20 @@
   {
     const size_t count = aOne.mValues.size();
     switch (aOne.mOperator) {
-      case Operator::Equals:
-      case Operator::NotEquals:
+      case RequirementOperator::Equals:
+      case RequirementOperator::NotEquals:
         if (count != 1) {
           Add(aPath, "must have one value for equals and not_equals");
         }
         return;
-      case Operator::In:
-      case Operator::NotIn:
+      case RequirementOperator::In:
+      case RequirementOperator::NotIn:
         if (count == 0) {
           Add(aPath, "must have a value for in and not_in");
         }
         return;
-      case Operator::Exists:
-      case Operator::NotExists:
+      case RequirementOperator::Exists:
+      case RequirementOperator::NotExists:
         if (count != 0) {
           Add(aPath, "must be empty for exists and not_exists");
         }
--- a/src/libtrefoilarch/policywarnings.cpp
+++ b/src/libtrefoilarch/policywarnings.cpp
@@ -18,13 +18,14 @@
 {
   return std::all_of(aAll.begin(), aAll.end(), [&](const Requirement& aOne) {
     if (aOne.mKey == "workspace") {
-      return MeetsOne(&aWorkspace.mName, aOne);
+      return MeetsRequirement(&aWorkspace.mName, aOne);
     }
     if (aOne.mKey == "class") {
-      return MeetsOne(&aClass, aOne);
+      return MeetsRequirement(&aClass, aOne);
     }
     const auto place = aWorkspace.mLabels.find(aOne.mKey);
-    return place == aWorkspace.mLabels.end() || MeetsOne(&place->second, aOne);
+    return place == aWorkspace.mLabels.end() ||
+           MeetsRequirement(&place->second, aOne);
   });
 }
 
@@ -34,10 +35,11 @@
 {
   const auto& all = aSelector.mTraffic;
   return std::all_of(all.begin(), all.end(), [&](const Requirement& aOne) {
-    const bool named =
-      aOne.mOperator == Operator::Equals || aOne.mOperator == Operator::In;
+    const bool named = aOne.mOperator == RequirementOperator::Equals ||
+                       aOne.mOperator == RequirementOperator::In;
     const bool served = aOne.mKey == "model" || aOne.mKey == "service";
-    return !(named && served) || MeetsOne(aLabels.Find(aOne.mKey), aOne);
+    return !(named && served) ||
+           MeetsRequirement(aLabels.Find(aOne.mKey), aOne);
   });
 }
 
@@ -85,7 +87,7 @@
     return std::any_of(
       mUpstreams.begin(), mUpstreams.end(), [&](const UpstreamView& aOne) {
         const UpstreamLabels labels(mPolicy, aOne);
-        return !labels.Drained() && labels.Meet(aSelector.mUpstreams) &&
+        return !labels.Drained() && labels.MeetsAll(aSelector.mUpstreams) &&
                ServesSome(labels, aSelector);
       });
   }
--- a/src/libtrefoilarch/policywriting.cpp
+++ b/src/libtrefoilarch/policywriting.cpp
@@ -14,7 +14,9 @@
 ToJson(const Requirement& aValue)
 {
   return { { "key", aValue.mKey },
-           { "op", kOperatorNames.at(static_cast<size_t>(aValue.mOperator)) },
+           { "op",
+             kRequirementOperatorNames.at(
+               static_cast<size_t>(aValue.mOperator)) },
            { "values", aValue.mValues } };
 }
 
@@ -177,12 +179,12 @@
 StateToJson(const PolicyState& aState)
 {
   Json marks = Json::object();
-  for (const auto& [object, mark] : aState.mMarks) {
+  for (const auto& [object, mark] : aState.mObjectRevisions) {
     marks[object] = { { "version", mark.mVersion },
                       { "author", mark.mAuthor } };
   }
   Json ids = Json::object();
-  for (const auto& [id, mark] : aState.mIds) {
+  for (const auto& [id, mark] : aState.mChangeIds) {
     ids[id] = { { "version", mark.mVersion }, { "voided", mark.mVoided } };
   }
   return Json{
--- a/src/libtrefoilarch/requestplan.cpp
+++ b/src/libtrefoilarch/requestplan.cpp
@@ -230,13 +230,13 @@
 bool
 RequestPlan::MayRepeat() const
 {
-  return mRequest.mRoute->mRepeat != RepeatRule::AtMostOnce;
+  return mRequest.mRoute->mRetryMode != RetryMode::AtMostOnce;
 }
 
 bool
 RequestPlan::AttemptsLeft() const
 {
-  return mAttempts < mRequest.mRoute->mMostAttempts;
+  return mAttempts < mRequest.mRoute->mMaxAttempts;
 }
 
 PlanStep
--- a/src/libtrefoilarch/routeindex.cpp
+++ b/src/libtrefoilarch/routeindex.cpp
@@ -64,14 +64,14 @@
 }
 
 const KeyedWorkspace*
-RouteIndex::WorkspaceOf(const std::string& aKey) const
+RouteIndex::WorkspaceForKey(const std::string& aKey) const
 {
   const auto place = mKeys.find(aKey);
   return place == mKeys.end() ? nullptr : place->second;
 }
 
 const RoutedService*
-RouteIndex::ServiceNamed(const std::string& aName) const
+RouteIndex::FindService(const std::string& aName) const
 {
   const auto place = mPolicy->mServices.find(aName);
   return place == mPolicy->mServices.end() ? nullptr : &place->second;
--- a/src/libtrefoilarch/routeindex.h
+++ b/src/libtrefoilarch/routeindex.h
@@ -26,10 +26,10 @@
   const Route* Find(std::string_view aHost, std::string_view aPath) const;
 
   /** Whose key it is, or null. */
-  const KeyedWorkspace* WorkspaceOf(const std::string& aKey) const;
+  const KeyedWorkspace* WorkspaceForKey(const std::string& aKey) const;
 
   /** Null where the policy does not describe the service. */
-  const RoutedService* ServiceNamed(const std::string& aName) const;
+  const RoutedService* FindService(const std::string& aName) const;
 
   const RoutePolicy& Policy() const { return *mPolicy; }
   uint64_t Version() const { return mPolicy->mVersion; }
--- a/src/libtrefoilarch/routepolicy.h
+++ b/src/libtrefoilarch/routepolicy.h
@@ -12,7 +12,7 @@
 namespace trefoilarch {
 
 /** What of a route's requests may be sent to a second upstream. */
-enum class RepeatRule : uint8_t
+enum class RetryMode : uint8_t
 {
   AtMostOnce, /**< only what surely has not run */
   Idempotent, /**< as a whole, at any time */
@@ -34,7 +34,7 @@
   std::string mName;
   std::string mHost;
   std::string mPathPrefix; /**< begins and ends with a slash */
-  RepeatRule mRepeat = RepeatRule::AtMostOnce;
+  RetryMode mRetryMode = RetryMode::AtMostOnce;
   bool mStream = false;
   /** The longest that a caller is kept waiting. */
   Millis mTimeout{ 60000 };
@@ -45,7 +45,7 @@
   uint8_t mPriority = 0;
   std::vector<WeightedTarget> mTargets;
   /** Upstreams that one request may be sent to, the first one included. */
-  uint32_t mMostAttempts = 1;
+  uint32_t mMaxAttempts = 1;
   /** Needs no key. */
   bool mPublic = false;
 
@@ -63,7 +63,7 @@
   /** Running requests can be moved between the engines. */
   bool mMoves = false;
   /** How long a copy is kept. */
-  Millis mCopySpan{ 0 };
+  Millis mCopyRetention{ 0 };
 
   bool operator==(const EngineTraits&) const = default;
 };
@@ -73,7 +73,7 @@
 {
   std::string mName;
   /** Connections that one upstream takes from all entries together. */
-  uint32_t mMostConnections = 100;
+  uint32_t mMaxConnections = 100;
   std::optional<EngineTraits> mEngine;
 
   bool operator==(const RoutedService&) const = default;
@@ -82,8 +82,8 @@
 /** Bounds on what a caller may send. */
 struct CallerLimits
 {
-  uint32_t mMostHeaderBytes = 16384;
-  uint64_t mMostBodyBytes = 4194304;
+  uint32_t mMaxHeaderBytes = 16384;
+  uint64_t mMaxBodyBytes = 4194304;
   Millis mHeaderTimeout{ 3000 };
   Millis mIdleTimeout{ 15000 };
 
--- a/src/libtrefoilarch/upstreamlabels.cpp
+++ b/src/libtrefoilarch/upstreamlabels.cpp
@@ -45,10 +45,10 @@
 }
 
 bool
-UpstreamLabels::Meet(const std::vector<Requirement>& aAll) const
+UpstreamLabels::MeetsAll(const std::vector<Requirement>& aAll) const
 {
   return std::all_of(aAll.begin(), aAll.end(), [this](const Requirement& aOne) {
-    return MeetsOne(Find(aOne.mKey), aOne);
+    return MeetsRequirement(Find(aOne.mKey), aOne);
   });
 }
 
--- a/src/libtrefoilarch/upstreamlabels.h
+++ b/src/libtrefoilarch/upstreamlabels.h
@@ -18,7 +18,7 @@
 
   /** Null where there is no such label. */
   const std::string* Find(const std::string& aKey) const;
-  bool Meet(const std::vector<Requirement>& aAll) const;
+  bool MeetsAll(const std::vector<Requirement>& aAll) const;
   /** Whether it has the model and the service that the traffic asks for. */
   bool Serves(const Labels& aTraffic) const;
   bool Drained() const { return mSettings != nullptr && mSettings->mDrained; }
--- a/src/libtrefoilgate/callerconnection.cpp
+++ b/src/libtrefoilgate/callerconnection.cpp
@@ -136,8 +136,8 @@
   mLimits = mHooks.mLimits();
   mParser.emplace();
   mParser->eager(true);
-  mParser->header_limit(mLimits.mMostHeaderBytes);
-  mParser->body_limit(mLimits.mMostBodyBytes);
+  mParser->header_limit(mLimits.mMaxHeaderBytes);
+  mParser->body_limit(mLimits.mMaxBodyBytes);
   mHeadChecked = false;
   mSince = BootNow();
 }
--- a/src/libtrefoilgate/callerlistener.cpp
+++ b/src/libtrefoilgate/callerlistener.cpp
@@ -111,7 +111,7 @@
 void
 CallerListener::Add(asio::ip::tcp::socket aSocket)
 {
-  if (mConnections.size() >= mOptions.mMostConnections) {
+  if (mConnections.size() >= mOptions.mMaxConnections) {
     return;
   }
   SetOptions(aSocket, kCallerSilence);
--- a/src/libtrefoilgate/callerlistener.h
+++ b/src/libtrefoilgate/callerlistener.h
@@ -18,7 +18,7 @@
   /** `IP:PORT`. */
   std::string mAddress;
   /** More connections than these are closed at once. */
-  size_t mMostConnections = 3500;
+  size_t mMaxConnections = 3500;
 };
 
 /** Accepts callers and keeps their connections. */
--- a/src/libtrefoilgate/exchange.cpp
+++ b/src/libtrefoilgate/exchange.cpp
@@ -467,7 +467,7 @@
 bool
 Exchange::CanGoOn() const
 {
-  return mPlan.Request().mRoute->mRepeat == RepeatRule::Resumable;
+  return mPlan.Request().mRoute->mRetryMode == RetryMode::Resumable;
 }
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/gatesettings.cpp
+++ b/src/libtrefoilgate/gatesettings.cpp
@@ -144,7 +144,7 @@
   compare("retry-slack", &GateSettings::mRetrySlack);
   compare("stop-seconds", &GateSettings::mStopSpan);
   compare("most-descriptors", &GateSettings::mMostDescriptors);
-  compare("memory-mb", &GateSettings::mMostBodyBytes);
+  compare("memory-mb", &GateSettings::mMaxBodyBytes);
   return names;
 }
 
@@ -170,7 +170,7 @@
     .mStopSpan = Millis(Floor(stopMillis)) - kStopMargin,
     .mMostDescriptors =
       static_cast<uint32_t>(Floor(aSettings.Number("most-descriptors"))),
-    .mMostBodyBytes = static_cast<uint64_t>(Floor(memory)) / kBodyPart
+    .mMaxBodyBytes = static_cast<uint64_t>(Floor(memory)) / kBodyPart
   };
 }
 
--- a/src/libtrefoilgate/gatesettings.h
+++ b/src/libtrefoilgate/gatesettings.h
@@ -32,7 +32,7 @@
   trefoilarch::Millis mStopSpan;
   uint32_t mMostDescriptors = 0;
   /** Bytes of callers' bodies that may be held at a time. */
-  uint64_t mMostBodyBytes = 0;
+  uint64_t mMaxBodyBytes = 0;
 
   bool operator==(const GateSettings&) const = default;
 };
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -125,7 +125,7 @@
                 [this](Exchange* aEnded) { OnExchangeEnded(aEnded); } }
   , mCallers(aLoop,
              { .mAddress = mOptions.mSettings.mListen,
-               .mMostConnections =
+               .mMaxConnections =
                  ConnectionsFor(mOptions.mSettings.mMostDescriptors) },
              CallersHooks())
   , mOperators(aLoop,
@@ -206,7 +206,7 @@
   const uint64_t before = mRouter.Index() ? mRouter.Index()->Version() : 0;
   const uint64_t version = aPolicy->mVersion;
   const size_t routes = aPolicy->mRoutes.size();
-  const std::vector<std::string> faults = FaultsOf(*aPolicy);
+  const std::vector<std::string> faults = ValidateRoutePolicy(*aPolicy);
   const bool newer = mRouter.SetPolicy(std::move(aPolicy));
   mMetrics.OnPolicy(newer ? "taken" : "not_newer");
   mLog.Write(LineKind::Belief,
@@ -233,7 +233,7 @@
   mOptions.mSettings.mRetryPercent = aSettings.mRetryPercent;
   mOptions.mSettings.mRetrySlack = aSettings.mRetrySlack;
   mOptions.mSettings.mStopSpan = aSettings.mStopSpan;
-  mOptions.mSettings.mMostBodyBytes = aSettings.mMostBodyBytes;
+  mOptions.mSettings.mMaxBodyBytes = aSettings.mMaxBodyBytes;
   mRouter.SetKeyPolicyMaxAge(aSettings.mKeyPolicyMaxAge);
   mRouter.SetRetries(RetriesOf(aSettings, mEntries));
   mLog.Write(
@@ -359,7 +359,7 @@
                            .mMessage = "could not be finished in time" });
     return;
   }
-  if (mBodyBytes + aRequest.mBody->size() > mOptions.mSettings.mMostBodyBytes) {
+  if (mBodyBytes + aRequest.mBody->size() > mOptions.mSettings.mMaxBodyBytes) {
     RefuseUnbound(aCaller,
                   aRequest,
                   id,
--- a/src/libtrefoilio/callrunner.cpp
+++ b/src/libtrefoilio/callrunner.cpp
@@ -55,7 +55,7 @@
     if (!mMulti) {
       throw std::runtime_error("cannot set up libcurl");
     }
-    const auto most = static_cast<long>(mOptions.mMostConnections);
+    const auto most = static_cast<long>(mOptions.mMaxConnections);
     curl_multi_setopt(mMulti.get(), CURLMOPT_MAX_TOTAL_CONNECTIONS, most);
     curl_multi_setopt(mMulti.get(), CURLMOPT_MAXCONNECTS, kIdleConnectionsKept);
     curl_multi_setopt(mMulti.get(), CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
--- a/src/libtrefoilio/callrunner.h
+++ b/src/libtrefoilio/callrunner.h
@@ -29,7 +29,7 @@
 struct CallRunnerOptions
 {
   long mConnectMillis = 1000;
-  size_t mMostConnections = 512;
+  size_t mMaxConnections = 512;
 };
 
 /**
--- a/src/libtrefoilio/connectionwatch.cpp
+++ b/src/libtrefoilio/connectionwatch.cpp
@@ -57,7 +57,7 @@
 {
   {
     std::lock_guard lock(mMutex);
-    if (mConnections.size() >= mOptions.mMostConnections) {
+    if (mConnections.size() >= mOptions.mMaxConnections) {
       CloseOldestIdle();
     }
     mConnections[aSocket] = Connection{ .mSince = Clock::now() };
@@ -113,7 +113,7 @@
 ConnectionWatch::Crowded() const
 {
   std::lock_guard lock(mMutex);
-  return mConnections.size() > mOptions.mMostConnections;
+  return mConnections.size() > mOptions.mMaxConnections;
 }
 
 void
--- a/src/libtrefoilio/connectionwatch.h
+++ b/src/libtrefoilio/connectionwatch.h
@@ -18,7 +18,7 @@
   uint64_t mMostRequestBytes = 0;
   std::chrono::milliseconds mReceiveSpan{ 10000 };
   std::chrono::milliseconds mIdleSpan{ 60000 };
-  size_t mMostConnections = 1000;
+  size_t mMaxConnections = 1000;
 };
 
 /** Why the watch refused a request that was still arriving. */
--- a/src/libtrefoilio/httpserver.cpp
+++ b/src/libtrefoilio/httpserver.cpp
@@ -161,16 +161,16 @@
   {
     const size_t body = mOptions.mMostBody;
     return { .mMostRequestBytes =
-               body + body / 8 + mOptions.mMostHeaderBytes + kFramingSpare,
+               body + body / 8 + mOptions.mMaxHeaderBytes + kFramingSpare,
              .mReceiveSpan = std::chrono::seconds(mOptions.mReceiveSeconds),
              .mIdleSpan = std::chrono::seconds(mOptions.mIdleSeconds),
-             .mMostConnections = mOptions.mMostConnections };
+             .mMaxConnections = mOptions.mMaxConnections };
   }
 
   /** The daemon holds some more than allowed, so that these get an answer. */
   unsigned HardConnectionLimit() const
   {
-    const size_t most = mOptions.mMostConnections;
+    const size_t most = mOptions.mMaxConnections;
     return static_cast<unsigned>(most + most / 4 + 16);
   }
 
@@ -180,7 +180,7 @@
       return reinterpret_cast<intptr_t>(aCallback);
     };
     const auto pool =
-      static_cast<intptr_t>(2 * mOptions.mMostHeaderBytes + kPoolSpare);
+      static_cast<intptr_t>(2 * mOptions.mMaxHeaderBytes + kPoolSpare);
     MHD_OptionItem items[] = {
       { MHD_OPTION_NOTIFY_COMPLETED, pointer(&OnCompleted), this },
       { MHD_OPTION_URI_LOG_CALLBACK, pointer(&OnUri), this },
@@ -297,7 +297,7 @@
     if (aRequest.mBody.size() > mOptions.mMostBody) {
       return mBadInput(BadInput::BodyTooLarge);
     }
-    if (HeaderBytes(aRequest) > mOptions.mMostHeaderBytes) {
+    if (HeaderBytes(aRequest) > mOptions.mMaxHeaderBytes) {
       return mBadInput(BadInput::HeaderTooLarge);
     }
     if (mWatch.Crowded()) {
--- a/src/libtrefoilio/httpserver.h
+++ b/src/libtrefoilio/httpserver.h
@@ -15,8 +15,8 @@
   std::string mAddress = "127.0.0.1";
   uint16_t mPort = 0; /**< 0: any free port */
   size_t mMostBody = size_t{ 4 } * 1024 * 1024;
-  size_t mMostHeaderBytes = size_t{ 16 } * 1024;
-  size_t mMostConnections = 1000;
+  size_t mMaxHeaderBytes = size_t{ 16 } * 1024;
+  size_t mMaxConnections = 1000;
   /** A request that is not whole after this is given up; seconds. */
   unsigned mReceiveSeconds = 10;
   /** A connection without a request for so long is closed; seconds. */
@@ -32,7 +32,7 @@
   HeaderTooLarge,
   Malformed,          /**< not HTTP, or cut off before it was whole */
   SlowSender,         /**< not whole within mReceiveSeconds */
-  TooManyConnections, /**< above mMostConnections */
+  TooManyConnections, /**< above mMaxConnections */
 };
 
 /** An HTTP server on ulfius; its threads live as long as the object. */
--- a/src/trefoilarchctl/changesender.cpp
+++ b/src/trefoilarchctl/changesender.cpp
@@ -128,7 +128,7 @@
 } // namespace
 
 ChangeReport
-AskChange(OperatorClient& aClient, const std::string& aId)
+QueryChange(OperatorClient& aClient, const std::string& aId)
 {
   ChangeReport report = UnknownReport(aId);
   for (int i = 0; i < kQuestions; ++i) {
@@ -136,7 +136,7 @@
       std::this_thread::sleep_for(kBetweenQuestions);
     }
     const Answer answer = aClient.Get(std::string(kChangesPath) + "/" + aId);
-    if (answer.mKind == Answer::Kind::Whole) {
+    if (answer.mKind == Answer::Kind::Complete) {
       report = Judge(answer, aId);
     }
     if (report.mCode != ExitCode::Unknown &&
@@ -148,7 +148,7 @@
 }
 
 ChangeReport
-SendChange(OperatorClient& aClient, const ChangeOrder& aOrder)
+ProposeChange(OperatorClient& aClient, const ChangeProposal& aOrder)
 {
   const std::string id = DrawId();
   const json base = aOrder.mBaseVersion ? json(*aOrder.mBaseVersion) : json();
@@ -161,10 +161,10 @@
     return UnreachableReport(id);
   }
   if (answer.mKind == Answer::Kind::Lost) {
-    return AskChange(aClient, id);
+    return QueryChange(aClient, id);
   }
   ChangeReport report = Judge(answer, id);
-  return report.mCode == ExitCode::Unknown ? AskChange(aClient, id) : report;
+  return report.mCode == ExitCode::Unknown ? QueryChange(aClient, id) : report;
 }
 
 } // namespace trefoilarchctl
--- a/src/trefoilarchctl/changesender.h
+++ b/src/trefoilarchctl/changesender.h
@@ -13,7 +13,7 @@
 class OperatorClient;
 
 /** A change of the policy as an operator wants it. */
-struct ChangeOrder
+struct ChangeProposal
 {
   std::string mAuthor;
   nlohmann::json mOperations;
@@ -35,10 +35,10 @@
  * find the change rules it out first.
  */
 ChangeReport
-SendChange(OperatorClient& aClient, const ChangeOrder& aOrder);
+ProposeChange(OperatorClient& aClient, const ChangeProposal& aOrder);
 
 /** Asks what became of a change. */
 ChangeReport
-AskChange(OperatorClient& aClient, const std::string& aId);
+QueryChange(OperatorClient& aClient, const std::string& aId);
 
 } // namespace trefoilarchctl
--- a/src/trefoilarchctl/fleetcommands.cpp
+++ b/src/trefoilarchctl/fleetcommands.cpp
@@ -64,7 +64,7 @@
   const Answer answer =
     aClient.Post("/v1/quarantine/release/" + aFingerprint, "");
   constexpr int kNotFound = 404;
-  if (answer.mKind == Answer::Kind::Whole && answer.mStatus == kNotFound) {
+  if (answer.mKind == Answer::Kind::Complete && answer.mStatus == kNotFound) {
     std::cerr << "no such request is in quarantine\n";
     return ExitCode::Refused;
   }
--- a/src/trefoilarchctl/objectcommand.cpp
+++ b/src/trefoilarchctl/objectcommand.cpp
@@ -56,11 +56,11 @@
   OperatorClient client(line.Operators());
   json operation{ { "op", "remove_" + aKind.mName },
                   { "name", name.getValue() } };
-  return Report(
+  return PrintReport(
     line,
-    SendChange(client,
-               { .mAuthor = line.Author(),
-                 .mOperations = json::array({ std::move(operation) }) }));
+    ProposeChange(client,
+                  { .mAuthor = line.Author(),
+                    .mOperations = json::array({ std::move(operation) }) }));
 }
 
 ExitCode
@@ -75,12 +75,12 @@
   aChange(object);
   json operation{ { "op", "set_" + aKind.mName },
                   { aKind.mName, std::move(object) } };
-  return Report(
+  return PrintReport(
     aLine,
-    SendChange(client,
-               { .mAuthor = aLine.Author(),
-                 .mOperations = json::array({ std::move(operation) }),
-                 .mBaseVersion = policy.value("version", uint64_t{ 0 }) }));
+    ProposeChange(client,
+                  { .mAuthor = aLine.Author(),
+                    .mOperations = json::array({ std::move(operation) }),
+                    .mBaseVersion = policy.value("version", uint64_t{ 0 }) }));
 }
 
 ExitCode
--- a/src/trefoilarchctl/operatorclient.cpp
+++ b/src/trefoilarchctl/operatorclient.cpp
@@ -32,7 +32,7 @@
   };
   hooks.mOnEnd = [aCollector](CallEnd aEnd) {
     Answer& answer = aCollector->mAnswer;
-    answer.mKind = aEnd == CallEnd::Whole       ? Answer::Kind::Whole
+    answer.mKind = aEnd == CallEnd::Whole       ? Answer::Kind::Complete
                    : aEnd == CallEnd::NeverSent ? Answer::Kind::NeverSent
                                                 : Answer::Kind::Lost;
     aCollector->mDone.set_value(std::move(answer));
@@ -54,7 +54,7 @@
   Answer last;
   for (const std::string& base : mBases) {
     last = Call("GET", base + aPath, "");
-    if (last.mKind == Answer::Kind::Whole) {
+    if (last.mKind == Answer::Kind::Complete) {
       return last;
     }
   }
--- a/src/trefoilarchctl/operatorclient.h
+++ b/src/trefoilarchctl/operatorclient.h
@@ -12,7 +12,7 @@
 {
   enum class Kind
   {
-    Whole,
+    Complete,
     NeverSent, /**< nobody has seen the call */
     Lost,      /**< somebody may have seen it */
   };
--- a/src/trefoilarchctl/output.cpp
+++ b/src/trefoilarchctl/output.cpp
@@ -50,7 +50,7 @@
 }
 
 ExitCode
-Report(const CommandLine& aLine, const ChangeReport& aReport)
+PrintReport(const CommandLine& aLine, const ChangeReport& aReport)
 {
   if (aLine.Json()) {
     std::cout << aReport.mJson.dump() << "\n";
@@ -64,7 +64,7 @@
 ExitCode
 CheckAnswer(const Answer& aAnswer)
 {
-  if (aAnswer.mKind != Answer::Kind::Whole) {
+  if (aAnswer.mKind != Answer::Kind::Complete) {
     std::cerr << "unreachable: no operator port answered\n";
     return ExitCode::Unreachable;
   }
@@ -82,7 +82,7 @@
 {
   const Answer answer = aClient.Get("/v1/policy");
   json policy = json::parse(answer.mBody, nullptr, false);
-  if (answer.mKind != Answer::Kind::Whole || answer.mStatus >= kLeastError ||
+  if (answer.mKind != Answer::Kind::Complete || answer.mStatus >= kLeastError ||
       !policy.is_object()) {
     throw UnreachableError("no operator port gave the policy; ask an entry's");
   }
--- a/src/trefoilarchctl/output.h
+++ b/src/trefoilarchctl/output.h
@@ -21,7 +21,7 @@
 
 /** Says what became of a change: faults to standard error. */
 ExitCode
-Report(const CommandLine& aLine, const ChangeReport& aReport);
+PrintReport(const CommandLine& aLine, const ChangeReport& aReport);
 
 /**
  * Prints why a question has no good answer and gives the exit code for it;
--- a/src/trefoilarchctl/policycommand.cpp
+++ b/src/trefoilarchctl/policycommand.cpp
@@ -91,12 +91,12 @@
   const bool based = version && *version > 0 && !force.getValue();
   OperatorClient client(line.Operators());
   json operation{ { "op", "replace_policy" }, { "policy", std::move(policy) } };
-  return Report(
+  return PrintReport(
     line,
-    SendChange(client,
-               { .mAuthor = line.Author(),
-                 .mOperations = json::array({ std::move(operation) }),
-                 .mBaseVersion = based ? version : std::nullopt }));
+    ProposeChange(client,
+                  { .mAuthor = line.Author(),
+                    .mOperations = json::array({ std::move(operation) }),
+                    .mBaseVersion = based ? version : std::nullopt }));
 }
 
 ExitCode
@@ -120,11 +120,11 @@
                      "with \"operations\"");
   }
   OperatorClient client(line.Operators());
-  return Report(line,
-                SendChange(client,
-                           { .mAuthor = line.Author(),
-                             .mOperations = std::move(operations),
-                             .mBaseVersion = version }));
+  return PrintReport(line,
+                     ProposeChange(client,
+                                   { .mAuthor = line.Author(),
+                                     .mOperations = std::move(operations),
+                                     .mBaseVersion = version }));
 }
 
 ExitCode
@@ -169,7 +169,7 @@
     "id", "of the change", true, "", "ID", line.Line());
   line.Parse(aArguments);
   OperatorClient client(line.Operators());
-  return Report(line, AskChange(client, id.getValue()));
+  return PrintReport(line, QueryChange(client, id.getValue()));
 }
 
 } // namespace
--- a/src/trefoilarchctl/upstreamcommands.cpp
+++ b/src/trefoilarchctl/upstreamcommands.cpp
@@ -18,11 +18,11 @@
 SendOne(CommandLine& aLine, json aOperation)
 {
   OperatorClient client(aLine.Operators());
-  return Report(
+  return PrintReport(
     aLine,
-    SendChange(client,
-               { .mAuthor = aLine.Author(),
-                 .mOperations = json::array({ std::move(aOperation) }) }));
+    ProposeChange(client,
+                  { .mAuthor = aLine.Author(),
+                    .mOperations = json::array({ std::move(aOperation) }) }));
 }
 
 ExitCode
--- a/src/trefoilarchd/callerservice.cpp
+++ b/src/trefoilarchd/callerservice.cpp
@@ -238,7 +238,7 @@
 
 Result<HttpReply>
 CallerService::Submit(CallerRequest aRequest,
-                      Classified aClassified,
+                      ClassifiedRequest aClassified,
                       const std::shared_ptr<ClaimHold>& aClaim,
                       const HttpRequest& aHttp,
                       const RequestId& aId,
--- a/src/trefoilarchd/callerservice.h
+++ b/src/trefoilarchd/callerservice.h
@@ -66,7 +66,7 @@
   Result<std::shared_ptr<const Classifier>> PolicyInForce() const;
   /** Hands the request to the router, and waits for its answer's head. */
   Result<trefoilio::HttpReply> Submit(CallerRequest aRequest,
-                                      Classified aClassified,
+                                      ClassifiedRequest aClassified,
                                       const std::shared_ptr<ClaimHold>& aClaim,
                                       const trefoilio::HttpRequest& aHttp,
                                       const RequestId& aId,
--- a/src/trefoilarchd/entryprocess.cpp
+++ b/src/trefoilarchd/entryprocess.cpp
@@ -52,10 +52,10 @@
   options.mHttp.mAddress = listen.mAddress;
   options.mHttp.mPort = listen.mPort;
   options.mHttp.mMostBody = aSettings.Integer("most-body-bytes");
-  options.mHttp.mMostHeaderBytes = aSettings.Integer("most-header-bytes");
+  options.mHttp.mMaxHeaderBytes = aSettings.Integer("most-header-bytes");
   options.mHttp.mReceiveSeconds = aSettings.Integer("receive-seconds");
   options.mMaxOpen = aSettings.Integer("most-open");
-  options.mHttp.mMostConnections = 2 * options.mMaxOpen;
+  options.mHttp.mMaxConnections = 2 * options.mMaxOpen;
   options.mDataCentre = aSettings.Text("data-centre");
   return options;
 }
--- a/src/trefoilarchd/policyhttp.cpp
+++ b/src/trefoilarchd/policyhttp.cpp
@@ -87,23 +87,23 @@
              const std::string& aId,
              const ProposalAnswer& aAnswer)
 {
-  switch (aAnswer.mEnd) {
-    case ProposalEnd::Accepted:
+  switch (aAnswer.mOutcome) {
+    case ProposalOutcome::Accepted:
       return JsonReply(200,
                        { { "status", "accepted" },
                          { "id", aId },
                          { "version", aAnswer.mVersion },
                          { "warnings", aService.Warnings() } });
-    case ProposalEnd::NotAccepted:
+    case ProposalOutcome::NotAccepted:
       return JsonReply(200, { { "status", "not_accepted" }, { "id", aId } });
-    case ProposalEnd::Conflict:
+    case ProposalOutcome::Conflict:
       return ConflictReply(aAnswer.mConflicts);
-    case ProposalEnd::Invalid:
+    case ProposalOutcome::Invalid:
       return InvalidReply(aAnswer.mFaults);
-    case ProposalEnd::Unknown:
+    case ProposalOutcome::Unknown:
       return JsonReply(kUnavailable,
                        { { "status", "unknown" }, { "id", aId } });
-    case ProposalEnd::Unavailable:
+    case ProposalOutcome::Unavailable:
       break;
   }
   return JsonReply(kUnavailable,
@@ -149,8 +149,8 @@
 trefoilio::HttpReply
 ProposeReply(PolicyService& aService, const std::string& aBody)
 {
-  Reading<PolicyChange> reading = ChangeFromJson(aBody);
-  if (!reading.Good()) {
+  ParseResult<PolicyChange> reading = ChangeFromJson(aBody);
+  if (!reading.IsValid()) {
     return InvalidReply(reading.mFaults);
   }
   const std::string id = reading.mValue.mId;
@@ -184,7 +184,7 @@
   if (reads && path.size() > kChangesPath.size() + 1 &&
       path.starts_with(kChangesPath) && path[kChangesPath.size()] == '/') {
     const std::string id(path.substr(kChangesPath.size() + 1));
-    return OutcomeReply(aService, id, aService.Ask(id));
+    return OutcomeReply(aService, id, aService.QueryChange(id));
   }
   return JsonReply(
     kNotFound, ErrorBody(ErrorKind::InvalidRequest, "there is no such path"));
--- a/src/trefoilarchd/policyservice.cpp
+++ b/src/trefoilarchd/policyservice.cpp
@@ -38,7 +38,7 @@
     mService.mWaiting[number] = aOne.mPromise;
     const Millis deadline = mNow + mService.mOptions.mProposalSpan;
     if (!aOne.mAsksFor.empty()) {
-      return mService.mLog.Ask(number, aOne.mAsksFor, deadline, mNow);
+      return mService.mLog.QueryChange(number, aOne.mAsksFor, deadline, mNow);
     }
     return mService.mLog.Propose(
       number, std::move(aOne.mChange), deadline, mNow);
@@ -53,7 +53,7 @@
   }
   PolicyLogActions operator()(const RowInserted& aOne) const
   {
-    return mService.mLog.OnInserted(aOne.mEnd, mNow);
+    return mService.mLog.OnInserted(aOne.mOutcome, mNow);
   }
   PolicyLogActions operator()(SnapshotRead& aOne) const
   {
@@ -106,12 +106,12 @@
   std::optional<Event> operator()(const InsertLogRow& aOne) const
   {
     return RowInserted{ mService.mStore ? mService.mStore->Insert(aOne)
-                                        : InsertEnd::NotSent };
+                                        : InsertOutcome::NotSent };
   }
   std::optional<Event> operator()(const ReadSnapshot& /*aOne*/) const
   {
     return SnapshotRead{ mService.mStore ? mService.mStore->NewestSnapshot()
-                                         : SnapshotFound() };
+                                         : SnapshotReadResult() };
   }
   std::optional<Event> operator()(const WriteSnapshot& aOne) const
   {
@@ -181,11 +181,11 @@
   std::lock_guard lock(mMutex);
   return nlohmann::json{
     { "version", mLog.State().Version() },
-    { "known", mLog.Known() },
+    { "known", mLog.IsLoaded() },
     { "unreadable_row", mLog.UnreadableRow() },
     { "highest_version_seen", mNoted.load() },
     { "peers", mPeers.size() },
-    { "changes_kept", mLog.Recent().size() },
+    { "changes_kept", mLog.RecentChanges().size() },
     { "classes", mLog.State().mPolicy->mClasses.size() },
     { "workspaces", mLog.State().mPolicy->mWorkspaces.size() },
     { "selectors", mLog.State().mPolicy->mSelectors.size() },
@@ -239,7 +239,7 @@
 }
 
 ProposalAnswer
-PolicyService::Ask(std::string aId)
+PolicyService::QueryChange(std::string aId)
 {
   NewProposal proposal;
   proposal.mAsksFor = std::move(aId);
@@ -259,7 +259,7 @@
   const auto wait = std::chrono::milliseconds(span.Count());
   if (answer.wait_for(wait) != std::future_status::ready) {
     ProposalAnswer unknown;
-    unknown.mEnd = ProposalEnd::Unknown;
+    unknown.mOutcome = ProposalOutcome::Unknown;
     return unknown;
   }
   return answer.get();
@@ -279,7 +279,7 @@
     return changes;
   }
   std::lock_guard lock(mMutex);
-  for (const LoggedChange& logged : mLog.Recent()) {
+  for (const LoggedChange& logged : mLog.RecentChanges()) {
     if (logged.mVersion > aAfter && changes.size() < aLimit) {
       changes.push_back(logged);
     }
@@ -318,7 +318,7 @@
       const Millis now = trefoilio::MonotonicNow();
       actions =
         event ? std::visit(Decider{ *this, now }, *event) : mLog.OnTick(now);
-      mKnown = mLog.Known();
+      mKnown = mLog.IsLoaded();
     }
     Perform(std::move(actions));
   }
--- a/src/trefoilarchd/policyservice.h
+++ b/src/trefoilarchd/policyservice.h
@@ -75,7 +75,7 @@
 
   /** Waits for the outcome; at most the proposal span and a little. */
   ProposalAnswer Propose(PolicyChange aChange);
-  ProposalAnswer Ask(std::string aId);
+  ProposalAnswer QueryChange(std::string aId);
   /** Accepted changes after a version, oldest first; from the table or, in
    * an outage, from memory. */
   std::vector<LoggedChange> History(uint64_t aAfter, size_t aLimit) const;
@@ -102,11 +102,11 @@
   };
   struct RowInserted
   {
-    InsertEnd mEnd = InsertEnd::Unknown;
+    InsertOutcome mOutcome = InsertOutcome::Unknown;
   };
   struct SnapshotRead
   {
-    SnapshotFound mFound;
+    SnapshotReadResult mFound;
   };
   struct SnapshotStored
   {
--- a/src/trefoilarchd/policystore.cpp
+++ b/src/trefoilarchd/policystore.cpp
@@ -51,7 +51,7 @@
   return rows;
 }
 
-InsertEnd
+InsertOutcome
 PolicyStore::Insert(const InsertLogRow& aAction) const
 {
   const uint64_t version = aAction.mRow.mVersion;
@@ -69,18 +69,18 @@
   }
   switch (mPlatform->Commit(transaction).mOutcome) {
     case WriteOutcome::Done:
-      return InsertEnd::Inserted;
+      return InsertOutcome::Inserted;
     case WriteOutcome::Refused:
-      return InsertEnd::Refused;
+      return InsertOutcome::Refused;
     case WriteOutcome::NotDone:
-      return InsertEnd::NotSent;
+      return InsertOutcome::NotSent;
     case WriteOutcome::Unknown:
       break;
   }
-  return InsertEnd::Unknown;
+  return InsertOutcome::Unknown;
 }
 
-SnapshotFound
+SnapshotReadResult
 PolicyStore::NewestSnapshot() const
 {
   const auto keys = mPlatform->ListObjects(kSnapshotPrefix);
--- a/src/trefoilarchd/policystore.h
+++ b/src/trefoilarchd/policystore.h
@@ -23,8 +23,8 @@
   explicit PolicyStore(std::shared_ptr<const PlatformClient> aPlatform);
 
   std::optional<std::vector<LogRow>> Read(const ReadLog& aAction) const;
-  InsertEnd Insert(const InsertLogRow& aAction) const;
-  SnapshotFound NewestSnapshot() const;
+  InsertOutcome Insert(const InsertLogRow& aAction) const;
+  SnapshotReadResult NewestSnapshot() const;
   bool Write(const WriteSnapshot& aAction) const;
   void Compact(const CompactLog& aAction) const;
 
--- a/src/trefoilarchd/refusalreply.cpp
+++ b/src/trefoilarchd/refusalreply.cpp
@@ -25,7 +25,7 @@
 bool
 TellsWhenToReturn(const Refusal& aRefusal)
 {
-  return AnswerFor(aRefusal.mKind).mWorthRetrying &&
+  return AnswerFor(aRefusal.mKind).mRetryable &&
          aRefusal.mRetryAfter > Millis(0);
 }
 
--- a/src/trefoilarchd/sidecarprocess.cpp
+++ b/src/trefoilarchd/sidecarprocess.cpp
@@ -47,7 +47,7 @@
   core.mInitialTokenCapacity = aSettings.Integer("first-token-room");
   core.mMaxTokenCapacity = aSettings.Integer("most-token-room");
   core.mOrphanTimeout = Millis(aSettings.Integer("orphan-ms"));
-  options.mCalls.mMostConnections = core.mMaxRunning;
+  options.mCalls.mMaxConnections = core.mMaxRunning;
   return options;
 }
 
--- a/src/trefoilbench/entrybench.cpp
+++ b/src/trefoilbench/entrybench.cpp
@@ -34,8 +34,10 @@
     policy->mVersion = 1;
     policy->mSelectors["agents"] = {
       .mName = "agents",
-      .mTraffic = { { "class", Operator::In, { "agents", "staff" } } },
-      .mUpstreams = { { "data_centre", Operator::Exists, {} } }
+      .mTraffic = { { "class",
+                      RequirementOperator::In,
+                      { "agents", "staff" } } },
+      .mUpstreams = { { "data_centre", RequirementOperator::Exists, {} } }
     };
     mCore.SetClassifier(std::make_shared<const Classifier>(std::move(policy)));
     std::vector<UpstreamView> views;
@@ -88,7 +90,7 @@
     mNumber++;
     EntryRequest request;
     request.mId = { mRandom(), mRandom() };
-    Classified& classified = request.mClassified;
+    ClassifiedRequest& classified = request.mClassified;
     classified.mLevel.mClass = "agents";
     classified.mLevel.mWorkspace =
       "workspace-" + std::to_string(mNumber % mWorkspaces);
--- a/src/trefoilbench/policybench.cpp
+++ b/src/trefoilbench/policybench.cpp
@@ -53,14 +53,14 @@
     Selector& one = policy.mSelectors[Numbered("selector-", each)];
     const std::string model = Numbered("model-", each);
     one.mName = Numbered("selector-", each);
-    one.mTraffic = { { "model", Operator::Equals, { model } } };
-    one.mUpstreams = { { "model", Operator::Equals, { model } },
-                       { "reserved", Operator::NotExists, {} } };
+    one.mTraffic = { { "model", RequirementOperator::Equals, { model } } };
+    one.mUpstreams = { { "model", RequirementOperator::Equals, { model } },
+                       { "reserved", RequirementOperator::NotExists, {} } };
   }
   policy.mSelectors["reserved"] = {
     "reserved",
-    { { "workspace", Operator::Equals, { "workspace-0" } } },
-    { { "reserved", Operator::Equals, { "workspace-0" } } }
+    { { "workspace", RequirementOperator::Equals, { "workspace-0" } } },
+    { { "reserved", RequirementOperator::Equals, { "workspace-0" } } }
   };
   return policy;
 }
@@ -142,7 +142,7 @@
        }));
   Line(aSize, "ask MayGo of every upstream", NanosEach(200, [&](size_t aOne) {
          for (const UpstreamView& upstream : upstreams) {
-           found += classifier->MayGo(traffic[aOne], upstream) ? 1 : 0;
+           found += classifier->IsEligible(traffic[aOne], upstream) ? 1 : 0;
          }
        }));
   EligibleSets sets;
--- a/src/trefoilload/replayer.cpp
+++ b/src/trefoilload/replayer.cpp
@@ -41,7 +41,7 @@
 
   std::vector<CallRecord> Go()
   {
-    trefoilio::CallRunner runner({ .mMostConnections = 2000 });
+    trefoilio::CallRunner runner({ .mMaxConnections = 2000 });
     for (size_t number = 0; number < mTrace.mRequests.size(); ++number) {
       const TraceRequest& request = mTrace.mRequests[number];
       WaitUntil(static_cast<double>(request.mAt) / mOptions.mSpeed);
--- a/tests/bench/pathbench.cpp
+++ b/tests/bench/pathbench.cpp
@@ -61,7 +61,7 @@
 public:
   explicit Prober(Fleet& aFleet)
     : mFleet(aFleet)
-    , mRunner({ .mMostConnections = 2 * kOpenStreams })
+    , mRunner({ .mMaxConnections = 2 * kOpenStreams })
   {
   }
 
--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -56,17 +56,17 @@
   const auto policy = ReadPolicy(kPolicy, why);
   cr_assert(policy.has_value(), "%s", why.c_str());
   cr_expect(policy->mVersion == 7);
-  cr_expect(policy->mRoutes.at(0).mRepeat == RepeatRule::Resumable);
+  cr_expect(policy->mRoutes.at(0).mRetryMode == RetryMode::Resumable);
   cr_expect(policy->mRoutes.at(0).mGapTarget == Millis(300));
-  cr_expect(policy->mRoutes.at(0).mMostAttempts == 2);
-  cr_expect(policy->mRoutes.at(1).mRepeat == RepeatRule::AtMostOnce);
+  cr_expect(policy->mRoutes.at(0).mMaxAttempts == 2);
+  cr_expect(policy->mRoutes.at(1).mRetryMode == RetryMode::AtMostOnce);
   cr_expect(policy->mRoutes.at(1).mTargets.at(0).mWeight == 90);
   cr_expect(policy->mRoutes.at(1).mPublic);
-  cr_expect(policy->mRoutes.at(2).mRepeat == RepeatRule::Idempotent);
+  cr_expect(policy->mRoutes.at(2).mRetryMode == RetryMode::Idempotent);
   cr_expect(policy->mServices.at("s1").mEngine->mMemoryTokens == 369436);
-  cr_expect(policy->mServices.at("s1").mEngine->mCopySpan == Millis(5000));
+  cr_expect(policy->mServices.at("s1").mEngine->mCopyRetention == Millis(5000));
   cr_expect(!policy->mServices.at("s2").mEngine);
-  cr_expect(policy->mLimits.mMostBodyBytes == 1000);
+  cr_expect(policy->mLimits.mMaxBodyBytes == 1000);
   cr_expect(policy->mWorkspaces.at(0).mPriority == 2);
   cr_expect(policy->mWorkspaces.at(1).mKeys.empty());
 }
--- a/tests/platform/gatesettingstest.cpp
+++ b/tests/platform/gatesettingstest.cpp
@@ -163,8 +163,8 @@
             plain.mStopSpan);
   cr_expect(SettingsWith("TREFOILARCH_STOP_SECONDS", "8.5").mStopSpan ==
             plain.mStopSpan + Millis(500));
-  cr_expect(SettingsWith("TREFOILARCH_MEMORY_MB", "110.5").mMostBodyBytes >
-            plain.mMostBodyBytes);
+  cr_expect(SettingsWith("TREFOILARCH_MEMORY_MB", "110.5").mMaxBodyBytes >
+            plain.mMaxBodyBytes);
 }
 
 Test(gatesettings, a_gate_starts_and_serves_with_fractions, .timeout = 30)
--- a/tests/platform/loopcosttest.cpp
+++ b/tests/platform/loopcosttest.cpp
@@ -40,7 +40,7 @@
                        .mStream = true,
                        .mTargets = { { .mService = "svc" } },
                        .mPublic = true } };
-  policy.mServices["svc"] = { .mName = "svc", .mMostConnections = 1000 };
+  policy.mServices["svc"] = { .mName = "svc", .mMaxConnections = 1000 };
   return std::make_shared<const RoutePolicy>(std::move(policy));
 }
 
@@ -61,7 +61,7 @@
                                      .mKeyPolicyMaxAge = Millis(4500),
                                      .mStopSpan = Millis(1000),
                                      .mMostDescriptors = 4096,
-                                     .mMostBodyBytes = 1 << 24 },
+                                     .mMaxBodyBytes = 1 << 24 },
                       .mDialect = trefoilplatform::PlatformDialect() });
     mGateway->SetPolicy(OpenPolicy());
     mGateway->ConfirmPolicy(BootNow());
--- a/tests/replay/gates.cpp
+++ b/tests/replay/gates.cpp
@@ -39,14 +39,15 @@
   Route route{ .mName = aClass.mName + (aIdempotent ? "" : "-once"),
                .mHost = kHost };
   route.mPathPrefix = PathOf(aClass.mName, aIdempotent);
-  route.mRepeat = aIdempotent ? RepeatRule::Idempotent : RepeatRule::AtMostOnce;
+  route.mRetryMode =
+    aIdempotent ? RetryMode::Idempotent : RetryMode::AtMostOnce;
   route.mStream = true;
   route.mTimeout = aClass.mDeadline;
   route.mFirstTokenTarget = aClass.mFirstTokenTarget;
   route.mGapTarget = aClass.mBetweenTokenTarget * 5;
   route.mPriority = aClass.mTier;
   route.mTargets = { { .mService = kService } };
-  route.mMostAttempts = kMostAttempts;
+  route.mMaxAttempts = kMostAttempts;
   route.mPublic = true;
   return route;
 }
@@ -61,7 +62,7 @@
   }
   policy.mServices[kService] = {
     .mName = kService,
-    .mMostConnections = 10000,
+    .mMaxConnections = 10000,
     .mEngine =
       EngineTraits{ .mSlots = static_cast<uint32_t>(aTrace.mBatch.mMaxRunning),
                     .mMemoryTokens = aTrace.mBatch.mMemoryTokens }
--- a/tests/unit/classifiertest.cpp
+++ b/tests/unit/classifiertest.cpp
@@ -24,11 +24,11 @@
   const bool hit =
     there &&
     std::count(values.begin(), values.end(), aLabels.at(aOne.mKey)) != 0;
-  const bool negated = aOne.mOperator == Operator::NotEquals ||
-                       aOne.mOperator == Operator::NotIn ||
-                       aOne.mOperator == Operator::NotExists;
-  const bool about =
-    aOne.mOperator == Operator::Exists || aOne.mOperator == Operator::NotExists;
+  const bool negated = aOne.mOperator == RequirementOperator::NotEquals ||
+                       aOne.mOperator == RequirementOperator::NotIn ||
+                       aOne.mOperator == RequirementOperator::NotExists;
+  const bool about = aOne.mOperator == RequirementOperator::Exists ||
+                     aOne.mOperator == RequirementOperator::NotExists;
   return (about ? there : hit) != negated;
 }
 
@@ -72,15 +72,15 @@
 }
 
 /** The classified request, or none where it was refused. */
-std::optional<Classified>
+std::optional<ClassifiedRequest>
 Classify(const Classifier& aClassifier, const CallerClaims& aClaims)
 {
   return boost::leaf::try_handle_all(
-    [&]() -> Result<std::optional<Classified>> {
+    [&]() -> Result<std::optional<ClassifiedRequest>> {
       BOOST_LEAF_AUTO(classified, aClassifier.Classify(aClaims));
-      return std::optional<Classified>(std::move(classified));
+      return std::optional<ClassifiedRequest>(std::move(classified));
     },
-    [] { return std::optional<Classified>(); });
+    [] { return std::optional<ClassifiedRequest>(); });
 }
 
 ErrorKind
@@ -105,7 +105,9 @@
   policy.mVersion = 7;
   policy.mClasses["call"] = { .mName = "call", .mTier = 0, .mFloor = 0.2 };
   policy.mClasses["staff"] = { .mName = "staff" };
-  policy.mClasses["staff"].mCallers = { { "role", Operator::Equals, { "s" } } };
+  policy.mClasses["staff"].mCallers = {
+    { "role", RequirementOperator::Equals, { "s" } }
+  };
   policy.mWorkspaces["north"] = { .mName = "north",
                                   .mTokenHash = std::string(64, 'a'),
                                   .mWeight = 3,
@@ -137,7 +139,7 @@
       const auto eligible = sets.For(traffic);
       for (uint32_t place = 0; place < upstreams.size(); ++place) {
         const bool may = MayGoPlainly(*policy, traffic, upstreams[place]);
-        RC_ASSERT(classifier->MayGo(traffic, upstreams[place]) == may);
+        RC_ASSERT(classifier->IsEligible(traffic, upstreams[place]) == may);
         RC_ASSERT(
           std::binary_search(eligible->begin(), eligible->end(), place) == may);
         allowed += may;
@@ -193,7 +195,7 @@
       }
       ++warned;
       for (const UpstreamView& upstream : upstreams) {
-        RC_ASSERT(!classifier.MayGo(classified->mTraffic, upstream));
+        RC_ASSERT(!classifier.IsEligible(classified->mTraffic, upstream));
       }
     }
   });
@@ -209,12 +211,14 @@
   };
   policy.mSelectors["calls"] = {
     "calls",
-    { { "class", Operator::Equals, { "call" } } },
-    { { "pool", Operator::Equals, { "calls" } } }
+    { { "class", RequirementOperator::Equals, { "call" } } },
+    { { "pool", RequirementOperator::Equals, { "calls" } } }
+  };
+  policy.mSelectors["typo"] = {
+    "typo",
+    { { "class", RequirementOperator::Equals, { "staff" } } },
+    { { "pool", RequirementOperator::Equals, { "cals" } } }
   };
-  policy.mSelectors["typo"] = { "typo",
-                                { { "class", Operator::Equals, { "staff" } } },
-                                { { "pool", Operator::Equals, { "cals" } } } };
   const std::vector<std::string> expected = {
     "selector typo leads to no upstream that is in use",
     "class staff is left without any upstream",
--- a/tests/unit/entryfaultstest.cpp
+++ b/tests/unit/entryfaultstest.cpp
@@ -125,7 +125,7 @@
     RC_ASSERT(aCaller.mRuns == 0);
     RC_ASSERT(!aCaller.mHead);
   }
-  if (aCaller.mRefusal && AnswerFor(aCaller.mRefusal->mKind).mWorthRetrying) {
+  if (aCaller.mRefusal && AnswerFor(aCaller.mRefusal->mKind).mRetryable) {
     RC_ASSERT(aCaller.mRefusal->mRetryAfter > Millis());
   }
 }
--- a/tests/unit/httpservertest.cpp
+++ b/tests/unit/httpservertest.cpp
@@ -310,7 +310,7 @@
 
 Test(httpserver, limits_get_an_answer_and_are_counted)
 {
-  Fixture fixture({ .mMostBody = 1000, .mMostHeaderBytes = 2000 });
+  Fixture fixture({ .mMostBody = 1000, .mMaxHeaderBytes = 2000 });
   const auto body = SendHttp({ .mMethod = "POST",
                                .mTarget = fixture.Url("/"),
                                .mBody = std::string(1001, 'x') },
@@ -379,7 +379,7 @@
 
 Test(httpserver, crowded_server_answers_and_recovers)
 {
-  Fixture fixture({ .mMostConnections = 2 });
+  Fixture fixture({ .mMaxConnections = 2 });
   CallRunner runner({});
   Recorder first;
   Recorder second;
--- a/tests/unit/policycodectest.cpp
+++ b/tests/unit/policycodectest.cpp
@@ -32,8 +32,8 @@
 FaultsOf(const std::string& aOperation)
 {
   const std::string text = R"({"id":"x","operations":[)" + aOperation + "]}";
-  const Reading<PolicyChange> reading = ChangeFromJson(text);
-  if (!reading.Good()) {
+  const ParseResult<PolicyChange> reading = ChangeFromJson(text);
+  if (!reading.IsValid()) {
     return reading.mFaults;
   }
   return ApplyChange(PolicyState(), reading.mValue).mFaults;
@@ -59,7 +59,7 @@
   const bool holds = rc::check([](uint32_t aSeed) {
     Generator draw(aSeed);
     const Policy policy = draw.Policy();
-    RC_ASSERT(PolicyFromJson(PolicyToJson(policy)).Good());
+    RC_ASSERT(PolicyFromJson(PolicyToJson(policy)).IsValid());
     RC_ASSERT(PolicyFromJson(PolicyToJson(policy)).mValue == policy);
     PolicyChange change;
     change.mId = "id";
@@ -69,17 +69,17 @@
       change.mBaseVersion = draw.Draw(1000);
     }
     change.mOperations = OneOfEach(draw);
-    RC_ASSERT(ChangeFromJson(ChangeToJson(change)).Good());
+    RC_ASSERT(ChangeFromJson(ChangeToJson(change)).IsValid());
     RC_ASSERT(ChangeFromJson(ChangeToJson(change)).mValue == change);
     PolicyState state;
     state.mPolicy = std::make_shared<Policy>(policy);
-    state.mMarks["class/call"] = { 3, "someone" };
-    state.mIds["x"] = { 3, draw.Chance(50) };
+    state.mObjectRevisions["class/call"] = { 3, "someone" };
+    state.mChangeIds["x"] = { 3, draw.Chance(50) };
     const auto reading = StateFromJson(StateToJson(state));
-    RC_ASSERT(reading.Good());
+    RC_ASSERT(reading.IsValid());
     RC_ASSERT(*reading.mValue.mPolicy == policy);
-    RC_ASSERT(reading.mValue.mMarks == state.mMarks);
-    RC_ASSERT(reading.mValue.mIds == state.mIds);
+    RC_ASSERT(reading.mValue.mObjectRevisions == state.mObjectRevisions);
+    RC_ASSERT(reading.mValue.mChangeIds == state.mChangeIds);
   });
   cr_assert(holds);
 }
@@ -123,12 +123,12 @@
 Test(policycodec, text_that_is_no_change_is_refused)
 {
   for (const char* text : { "", "{", "[]", "7", "null", "{\"id\":\"x\"}" }) {
-    cr_assert(!ChangeFromJson(text).Good(), "%s", text);
+    cr_assert(!ChangeFromJson(text).IsValid(), "%s", text);
   }
-  cr_assert(!ChangeFromJson(R"({"id":"x","operations":[7]})").Good());
-  cr_assert(!ChangeFromJson(R"({"id":"x","operations":{}})").Good());
+  cr_assert(!ChangeFromJson(R"({"id":"x","operations":[7]})").IsValid());
+  cr_assert(!ChangeFromJson(R"({"id":"x","operations":{}})").IsValid());
   cr_assert(!FaultsOf("").empty());
   PolicyChange nameless;
   nameless.mOperations = { SetDrained{ "a", true } };
-  cr_assert(!ApplyChange(PolicyState(), nameless).Good());
+  cr_assert(!ApplyChange(PolicyState(), nameless).IsValid());
 }
--- a/tests/unit/policyfaultstest.cpp
+++ b/tests/unit/policyfaultstest.cpp
@@ -32,7 +32,7 @@
 bool
 OnlyFault(const RoutePolicy& aPolicy, const std::string& aPart)
 {
-  const auto faults = FaultsOf(aPolicy);
+  const auto faults = ValidateRoutePolicy(aPolicy);
   return faults.size() == 1 && faults[0].find(aPart) != std::string::npos;
 }
 
@@ -40,7 +40,7 @@
 
 Test(policyfaults, a_policy_without_faults_has_none)
 {
-  cr_expect(FaultsOf(PolicyWith({ GoodRoute() })).empty());
+  cr_expect(ValidateRoutePolicy(PolicyWith({ GoodRoute() })).empty());
 }
 
 Test(policyfaults, each_fault_is_named_with_its_route)
@@ -75,7 +75,7 @@
   cr_expect(OnlyFault(PolicyWith({ GoodRoute(), second }),
                       "the same requests as route \"r\""));
   second.mPathPrefix = "/a/b/";
-  cr_expect(FaultsOf(PolicyWith({ GoodRoute(), second })).empty());
+  cr_expect(ValidateRoutePolicy(PolicyWith({ GoodRoute(), second })).empty());
 }
 
 Test(policyfaults, a_key_of_two_workspaces_is_a_fault_and_not_shown)
@@ -84,5 +84,6 @@
   policy.mWorkspaces[1].mKeys = { "secret-key" };
   policy.mWorkspaces[0].mKeys = { "secret-key" };
   cr_expect(OnlyFault(policy, "\"t\" and \"u\" hold the same key"));
-  cr_expect(FaultsOf(policy)[0].find("secret-key") == std::string::npos);
+  cr_expect(ValidateRoutePolicy(policy)[0].find("secret-key") ==
+            std::string::npos);
 }
--- a/tests/unit/policyfleet.cpp
+++ b/tests/unit/policyfleet.cpp
@@ -43,7 +43,7 @@
     case 1:
       return ProposeAgain(Draw(kProcesses));
     case 2:
-      return Ask(Draw(kProcesses));
+      return QueryChange(Draw(kProcesses));
     case 3:
       return PauseOrWake(mProcesses[Draw(kProcesses)]);
     case 4:
@@ -119,8 +119,8 @@
   process.mLog =
     std::make_unique<PolicyLog>(PolicyLogOptions{ .mReadLimit = 3,
                                                   .mSnapshotEvery = 4,
-                                                  .mKeptChanges = 3,
-                                                  .mKeptRows = 5,
+                                                  .mRetainedChanges = 3,
+                                                  .mRetainedRows = 5,
                                                   .mSeed = mRandom() });
   process.mLog->SetPeerCount(kProcesses - 1);
   ++process.mLife;
@@ -184,7 +184,7 @@
 }
 
 void
-PolicyFleet::Ask(size_t aProcess)
+PolicyFleet::QueryChange(size_t aProcess)
 {
   Process& process = mProcesses[aProcess];
   const Told* told = DrawTold();
@@ -193,9 +193,9 @@
   }
   const uint64_t number = ++mLastNumber;
   process.mQuestions[number] = told->mChange.mId;
-  Carry(
-    aProcess,
-    process.mLog->Ask(number, told->mChange.mId, mNow + kProposalSpan, mNow));
+  Carry(aProcess,
+        process.mLog->QueryChange(
+          number, told->mChange.mId, mNow + kProposalSpan, mNow));
 }
 
 const Told*
@@ -267,7 +267,7 @@
   const ProposalAnswer& answer = aAnswer.mAnswer;
   if (proposal != aProcess.mProposals.end()) {
     mTold[proposal->second].mAnswers.push_back(answer);
-    if (answer.mEnd == ProposalEnd::Accepted) {
+    if (answer.mOutcome == ProposalOutcome::Accepted) {
       // In force here before its author hears of it.
       RC_ASSERT(aProcess.mAdopted >= answer.mVersion);
     }
@@ -356,22 +356,22 @@
   return rows;
 }
 
-InsertEnd
+InsertOutcome
 PolicyFleet::TableInsert(const LogRow& aRow)
 {
   if (mTableDown) {
-    return Chance(30) ? InsertEnd::Unknown : InsertEnd::NotSent;
+    return Chance(30) ? InsertOutcome::Unknown : InsertOutcome::NotSent;
   }
   const bool follows =
     aRow.mVersion == 1 ? !mBegun : mTable.contains(aRow.mVersion - 1);
   if (!follows || mTable.contains(aRow.mVersion)) {
-    return InsertEnd::Refused;
+    return InsertOutcome::Refused;
   }
   mBegun = true;
   mTable[aRow.mVersion] = aRow.mText;
   RC_ASSERT(!mHistory.contains(aRow.mVersion));
   mHistory[aRow.mVersion] = ChangeFromJson(aRow.mText).mValue;
-  return InsertEnd::Inserted;
+  return InsertOutcome::Inserted;
 }
 
 void
@@ -392,9 +392,9 @@
   if (std::holds_alternative<ReadLog>(one.mAction)) {
     out = log.OnRows(aLost ? std::nullopt : one.mRows, mNow);
   } else if (std::holds_alternative<InsertLogRow>(one.mAction)) {
-    out = log.OnInserted(aLost ? InsertEnd::Unknown : one.mInsert, mNow);
+    out = log.OnInserted(aLost ? InsertOutcome::Unknown : one.mInsert, mNow);
   } else if (std::holds_alternative<ReadSnapshot>(one.mAction)) {
-    out = log.OnSnapshot(aLost ? SnapshotFound() : one.mSnapshot, mNow);
+    out = log.OnSnapshot(aLost ? SnapshotReadResult() : one.mSnapshot, mNow);
   } else if (std::holds_alternative<WriteSnapshot>(one.mAction)) {
     out = log.OnSnapshotWritten(!aLost && one.mWritten, mNow);
   } else if (std::holds_alternative<PullFromPeer>(one.mAction)) {
@@ -413,17 +413,17 @@
   std::vector<ProposalAnswer> all = aTold.mAnswers;
   all.insert(all.end(), aTold.mAskAnswers.begin(), aTold.mAskAnswers.end());
   for (const ProposalAnswer& answer : all) {
-    if (answer.mEnd == ProposalEnd::Accepted) {
+    if (answer.mOutcome == ProposalOutcome::Accepted) {
       RC_ASSERT(logged && place->second == answer.mVersion);
     }
-    if (answer.mEnd == ProposalEnd::NotAccepted) {
+    if (answer.mOutcome == ProposalOutcome::NotAccepted) {
       RC_ASSERT(!logged);
     }
   }
   if (aTold.mProposals == 1) {
     for (const ProposalAnswer& answer : aTold.mAnswers) {
-      const bool clear = answer.mEnd != ProposalEnd::Accepted &&
-                         answer.mEnd != ProposalEnd::Unknown;
+      const bool clear = answer.mOutcome != ProposalOutcome::Accepted &&
+                         answer.mOutcome != ProposalOutcome::Unknown;
       RC_ASSERT(!(clear && logged));
     }
   }
--- a/tests/unit/policyfleet.h
+++ b/tests/unit/policyfleet.h
@@ -39,8 +39,8 @@
   bool mExecuted = false;
   bool mForgotten = false; /**< the process was told "no answer" already */
   std::optional<std::vector<LogRow>> mRows;
-  InsertEnd mInsert = InsertEnd::Unknown;
-  SnapshotFound mSnapshot;
+  InsertOutcome mInsert = InsertOutcome::Unknown;
+  SnapshotReadResult mSnapshot;
   bool mWritten = false;
   std::optional<PolicyDelta> mDelta;
 };
@@ -88,7 +88,7 @@
   /** An operator that got no clear answer repeats the id somewhere. */
   void ProposeAgain(size_t aProcess);
 
-  void Ask(size_t aProcess);
+  void QueryChange(size_t aProcess);
 
   const Told* DrawTold();
 
@@ -110,7 +110,7 @@
 
   std::optional<std::vector<LogRow>> TableRead(const ReadLog& aRead);
 
-  InsertEnd TableInsert(const LogRow& aRow);
+  InsertOutcome TableInsert(const LogRow& aRow);
 
   /** Tells the process; a write whose answer is lost may still come true. */
   void Deliver(size_t aPlace, bool aLost);
--- a/tests/unit/policygen.h
+++ b/tests/unit/policygen.h
@@ -44,11 +44,12 @@
   {
     trefoilarch::Requirement one;
     one.mKey = Pick(aKeys);
-    one.mOperator = static_cast<trefoilarch::Operator>(Draw(6));
-    const bool many = one.mOperator == trefoilarch::Operator::In ||
-                      one.mOperator == trefoilarch::Operator::NotIn;
-    const bool none = one.mOperator == trefoilarch::Operator::Exists ||
-                      one.mOperator == trefoilarch::Operator::NotExists;
+    one.mOperator = static_cast<trefoilarch::RequirementOperator>(Draw(6));
+    const bool many = one.mOperator == trefoilarch::RequirementOperator::In ||
+                      one.mOperator == trefoilarch::RequirementOperator::NotIn;
+    const bool none =
+      one.mOperator == trefoilarch::RequirementOperator::Exists ||
+      one.mOperator == trefoilarch::RequirementOperator::NotExists;
     const size_t count = none ? 0 : many ? 1 + Draw(2) : 1;
     while (one.mValues.size() < count) {
       one.mValues.push_back(one.mKey == "workspace" ? WorkspaceName()
--- a/tests/unit/requestplantest.cpp
+++ b/tests/unit/requestplantest.cpp
@@ -11,16 +11,16 @@
 constexpr Millis kTimeout{ 5000 };
 
 Route
-MakeRoute(const char* aName, RepeatRule aRepeat, uint32_t aAttempts)
+MakeRoute(const char* aName, RetryMode aRepeat, uint32_t aAttempts)
 {
   return Route{ .mName = aName,
                 .mHost = "h",
                 .mPathPrefix = std::string("/") + aName + "/",
-                .mRepeat = aRepeat,
-                .mStream = aRepeat == RepeatRule::Resumable,
+                .mRetryMode = aRepeat,
+                .mStream = aRepeat == RetryMode::Resumable,
                 .mTimeout = kTimeout,
                 .mTargets = { { .mService = "svc" } },
-                .mMostAttempts = aAttempts };
+                .mMaxAttempts = aAttempts };
 }
 
 /** A router that knows a policy, a key and a few upstreams. */
@@ -31,9 +31,9 @@
                                       .mInitial = aRetries,
                                       .mMax = aRetries } });
   RoutePolicy policy{ .mVersion = 1 };
-  policy.mRoutes = { MakeRoute("once", RepeatRule::AtMostOnce, 3),
-                     MakeRoute("safe", RepeatRule::Idempotent, 3),
-                     MakeRoute("resume", RepeatRule::Resumable, 3) };
+  policy.mRoutes = { MakeRoute("once", RetryMode::AtMostOnce, 3),
+                     MakeRoute("safe", RetryMode::Idempotent, 3),
+                     MakeRoute("resume", RetryMode::Resumable, 3) };
   policy.mWorkspaces = { { .mName = "desk", .mKeys = { "k" } } };
   router.SetPolicy(std::make_shared<const RoutePolicy>(std::move(policy)));
   router.ConfirmPolicy(Millis(0));
@@ -223,7 +223,7 @@
       }
       router.OnEnded(attempt, AttemptOutcome::Broken, now);
       step = plan.OnBroken(
-        plan.Request().mRoute->mRepeat == RepeatRule::Resumable, now);
+        plan.Request().mRoute->mRetryMode == RetryMode::Resumable, now);
     }
   }
   played.mAttempts = plan.Attempts();
@@ -341,7 +341,7 @@
   DirectRouter router = MakeRouter(1);
   RequestPlan plan(router, Bound(router, "/safe/x"));
   RoutePolicy later{ .mVersion = 2 };
-  later.mRoutes = { MakeRoute("safe", RepeatRule::Idempotent, 3) };
+  later.mRoutes = { MakeRoute("safe", RetryMode::Idempotent, 3) };
   later.mWorkspaces = { { .mName = "desk", .mKeys = { "other" } } };
   router.SetPolicy(std::make_shared<const RoutePolicy>(std::move(later)));
   const PlanStep step = plan.Begin(Millis(1));
@@ -470,7 +470,7 @@
 {
   DirectRouter router = MakeRouter(4);
   RoutePolicy policy{ .mVersion = 2 };
-  policy.mRoutes = { MakeRoute("resume", RepeatRule::Resumable, 1) };
+  policy.mRoutes = { MakeRoute("resume", RetryMode::Resumable, 1) };
   policy.mRoutes[0].mStream = true;
   policy.mServices["svc"] = { .mName = "svc",
                               .mEngine = EngineTraits{ .mBackups = true } };
--- a/tests/unit/routeindextest.cpp
+++ b/tests/unit/routeindextest.cpp
@@ -62,7 +62,7 @@
 Test(routeindex, keys_are_found_exactly)
 {
   const RouteIndex index = MakeIndex();
-  cr_expect(index.WorkspaceOf("k1")->mName == "desk");
-  cr_expect(index.WorkspaceOf("K1") == nullptr);
-  cr_expect(index.WorkspaceOf("") == nullptr);
+  cr_expect(index.WorkspaceForKey("k1")->mName == "desk");
+  cr_expect(index.WorkspaceForKey("K1") == nullptr);
+  cr_expect(index.WorkspaceForKey("") == nullptr);
 }
--- a/tests/unit/sharedtierstest.cpp
+++ b/tests/unit/sharedtierstest.cpp
@@ -46,7 +46,7 @@
     RoutePolicy policy{ .mVersion = 1 };
     policy.mRoutes = { RouteOf("quote", 1, 500), RouteOf("draft", 2, 1500) };
     policy.mServices["engines"] = { .mName = "engines",
-                                    .mMostConnections = 100000,
+                                    .mMaxConnections = 100000,
                                     .mEngine = EngineTraits{ .mSlots = 64 } };
     mRouter.SetPolicy(std::make_shared<const RoutePolicy>(std::move(policy)));
     for (int each = 0; each < 4; ++each) {
