--- a/src/libtrefoilarch/crashnews.h
+++ b/src/libtrefoilarch/crashnews.h
@@ -49,18 +49,19 @@
   /** Got a whole answer, or were let go by an operator. */
   std::vector<AgedRequest> mCleared;
   /** Suspects that have just been sent to an upstream. */
-  std::vector<RequestFingerprint> mProbes;
+  std::vector<RequestFingerprint> mKeepaliveProbes;
   std::vector<QuarantineReport> mQuarantined;
 
   bool IsEmpty() const
   {
-    return mReports.empty() && mCleared.empty() && mProbes.empty() &&
+    return mReports.empty() && mCleared.empty() && mKeepaliveProbes.empty() &&
            mQuarantined.empty();
   }
   /** Requests that are named in it, for its size as a message. */
   size_t Size() const
   {
-    size_t size = mCleared.size() + mProbes.size() + mQuarantined.size();
+    size_t size =
+      mCleared.size() + mKeepaliveProbes.size() + mQuarantined.size();
     for (const CrashReport& each : mReports) {
       size += 2 + each.mSuspects.size();
     }
--- a/src/libtrefoilarch/crashnewsparts.cpp
+++ b/src/libtrefoilarch/crashnewsparts.cpp
@@ -16,8 +16,8 @@
 
 CrashUpdateParts::CrashUpdateParts(CrashUpdate aNews)
 {
-  for (const RequestFingerprint& each : aNews.mProbes) {
-    Room(1).mProbes.push_back(each);
+  for (const RequestFingerprint& each : aNews.mKeepaliveProbes) {
+    Room(1).mKeepaliveProbes.push_back(each);
   }
   for (const AgedRequest& each : aNews.mCleared) {
     Room(1).mCleared.push_back(each);
--- a/src/libtrefoilarch/directplacing.cpp
+++ b/src/libtrefoilarch/directplacing.cpp
@@ -143,7 +143,7 @@
                         .mRoute = aRequest.mRoute->mName,
                         .mAddress = backup->mAddress,
                         .mWork = work,
-                        .mCopyOf = aBroken.mAddress,
+                        .mCopySourceAddress = aBroken.mAddress,
                         .mSentAt = aNow };
 }
 
--- a/src/libtrefoilarch/directrouter.h
+++ b/src/libtrefoilarch/directrouter.h
@@ -148,7 +148,7 @@
   std::string mBackupAddress;
   /** Empty, or the address of the upstream that ran the request before and
    * left a copy of it at this one. */
-  std::string mCopyOf;
+  std::string mCopySourceAddress;
   Millis mSentAt;
   Millis mStartedAt;
   bool mStarted = false;
--- a/src/libtrefoilarch/quarantine.cpp
+++ b/src/libtrefoilarch/quarantine.cpp
@@ -68,8 +68,8 @@
       aNow - open->second.mLastSent < mOptions.mProbeTimeout) {
     return true;
   }
-  const auto trial = mProbes.find(aRequest);
-  return trial != mProbes.end() &&
+  const auto trial = mKeepaliveProbes.find(aRequest);
+  return trial != mKeepaliveProbes.end() &&
          aNow - trial->second < mOptions.mProbeTimeout;
 }
 
@@ -83,7 +83,7 @@
   open.mCount++;
   open.mLastSent = aNow;
   if (IsWorthTelling(aRequest)) {
-    mNews.mProbes.push_back(aRequest);
+    mNews.mKeepaliveProbes.push_back(aRequest);
   }
 }
 
@@ -186,9 +186,9 @@
   }
   for (const RequestFingerprint& each : aReport.mSuspects) {
     // The trial has come to its end, if it was not another repeat's.
-    mProbes.erase(each);
+    mKeepaliveProbes.erase(each);
     if (mOpen.contains(each) && IsWorthTelling(each)) {
-      mNews.mProbes.push_back(each);
+      mNews.mKeepaliveProbes.push_back(each);
     }
     const auto held = mHeld.find(each);
     if (held != mHeld.end()) {
@@ -207,7 +207,7 @@
 {
   mEvidence.Clear(aRequest, aAt);
   mSettling.erase(aRequest);
-  mProbes.erase(aRequest);
+  mKeepaliveProbes.erase(aRequest);
   if (mHeld.erase(aRequest) > 0) {
     mCleared[aRequest] = aAt;
     mChanges.push_back({ .mRequest = aRequest, .mReason = aWhy });
@@ -253,7 +253,7 @@
     Put(held, "crashes");
     mNews.mQuarantined.push_back(ReportOf(held, aNow));
   }
-  std::erase_if(mProbes, [&](const auto& aEntry) {
+  std::erase_if(mKeepaliveProbes, [&](const auto& aEntry) {
     return aNow - aEntry.second > mOptions.mProbeTimeout;
   });
   std::erase_if(mClearedToldAt, [&](const auto& aEntry) {
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -186,7 +186,7 @@
   /** Attempts of this entry that are under way. */
   std::unordered_map<RequestFingerprint, Open> mOpen;
   /** When another entry last sent the suspect. */
-  std::unordered_map<RequestFingerprint, Millis> mProbes;
+  std::unordered_map<RequestFingerprint, Millis> mKeepaliveProbes;
   /** Culprits, and when the last crash was heard of. */
   std::map<RequestFingerprint, Millis> mSettling;
   std::map<RequestFingerprint, QuarantinedRequest> mHeld;
--- a/src/libtrefoilarch/quarantinenews.cpp
+++ b/src/libtrefoilarch/quarantinenews.cpp
@@ -85,7 +85,7 @@
   for (const AgedRequest& each : aNews.mCleared) {
     TakeCleared(each, aNow);
   }
-  for (const RequestFingerprint& each : aNews.mProbes) {
+  for (const RequestFingerprint& each : aNews.mKeepaliveProbes) {
     TakeTrial(each, aNow);
   }
   for (const QuarantineReport& each : aNews.mQuarantined) {
@@ -118,7 +118,7 @@
 void
 Quarantine::TakeTrial(const RequestFingerprint& aRequest, Millis aNow)
 {
-  const auto [trial, fresh] = mProbes.try_emplace(aRequest, aNow);
+  const auto [trial, fresh] = mKeepaliveProbes.try_emplace(aRequest, aNow);
   const bool known =
     !fresh && aNow - trial->second < mOptions.mFirstProbeTimeout;
   if (known) {
@@ -126,7 +126,7 @@
   }
   trial->second = aNow;
   if (mRelays && IsWorthTelling(aRequest)) {
-    mNews.mProbes.push_back(aRequest);
+    mNews.mKeepaliveProbes.push_back(aRequest);
   }
   const auto held = mHeld.find(aRequest);
   if (held != mHeld.end()) {
--- a/src/libtrefoilarch/requestplan.cpp
+++ b/src/libtrefoilarch/requestplan.cpp
@@ -66,10 +66,10 @@
 RequestPlan::OnUnreachable(Millis aNow)
 {
   mUnreachable++;
-  if (!mCurrent.mCopyOf.empty()) {
+  if (!mCurrent.mCopySourceAddress.empty()) {
     // The copy is out of reach: another upstream would be one more attempt.
     return MayRepeat() ? Again(aNow, ErrorKind::UpstreamUnreachable)
-                       : PlanStep(CutAnswer{});
+                       : PlanStep(AbortAnswer{});
   }
   mAttempts--;
   if (mUnreachable >= kMostUnreachable) {
@@ -83,7 +83,7 @@
 {
   mMayHaveRun = mMayHaveRunBefore;
   if (mAnswerBegun && !MayRepeat()) {
-    return CutAnswer{};
+    return AbortAnswer{};
   }
   return Again(aNow, ErrorKind::Shed);
 }
@@ -111,7 +111,7 @@
     }
   }
   if (mAnswerBegun && !aCanGoOn) {
-    return CutAnswer{};
+    return AbortAnswer{};
   }
   if (MayRepeat()) {
     return Again(aNow, ErrorKind::UpstreamFailed);
@@ -243,7 +243,7 @@
 RequestPlan::Refuse(ErrorKind aKind, Millis aRetryAfter, Millis aNow) const
 {
   if (mAnswerBegun) {
-    return CutAnswer{ .mKind = aKind };
+    return AbortAnswer{ .mKind = aKind };
   }
   Refusal refusal{ .mKind = aKind, .mRetryAfter = aRetryAfter };
   if (mMayHaveRun) {
--- a/src/libtrefoilarch/requestplan.h
+++ b/src/libtrefoilarch/requestplan.h
@@ -34,13 +34,13 @@
 {};
 
 /** The answer has begun and can't be completed: the connection is cut. */
-struct CutAnswer
+struct AbortAnswer
 {
   ErrorKind mKind = ErrorKind::AnswerCut;
 };
 
 using PlanStep = std::
-  variant<SendRequest, HoldRequest, AnswerRefusal, ForwardAnswer, CutAnswer>;
+  variant<SendRequest, HoldRequest, AnswerRefusal, ForwardAnswer, AbortAnswer>;
 
 /**
  * One caller's request from its binding to its end: says after each event
--- a/src/libtrefoilarch/upstreamdirectory.cpp
+++ b/src/libtrefoilarch/upstreamdirectory.cpp
@@ -80,7 +80,7 @@
 }
 
 void
-UpstreamDirectory::OnStoreAnswer(Millis aReading)
+UpstreamDirectory::OnStoreResponse(Millis aReading)
 {
   const Millis served = ServedWhenRead();
   if (mStore.OnAnswer(aReading)) {
--- a/src/libtrefoilarch/upstreamdirectory.h
+++ b/src/libtrefoilarch/upstreamdirectory.h
@@ -78,7 +78,7 @@
   void ReplaceAll(std::vector<ListedUpstream> aAll, Millis aNow);
 
   /** See StoreUptime. */
-  void OnStoreAnswer(Millis aReading);
+  void OnStoreResponse(Millis aReading);
   void OnStoreReport(const StoreServingInterval& aTold);
   const std::optional<StoreServingInterval>& StoreServing() const
   {
--- a/src/libtrefoilgate/callerconnection.cpp
+++ b/src/libtrefoilgate/callerconnection.cpp
@@ -35,7 +35,7 @@
 constexpr int kHeadersTooLarge = 431;
 
 void
-AppendHead(std::string& aOut, const AnswerHeadOut& aHead, bool aKeep)
+AppendHead(std::string& aOut, const AnswerHead& aHead, bool aKeep)
 {
   aOut += "HTTP/1.1 ";
   aOut += std::to_string(aHead.mStatus);
@@ -93,7 +93,7 @@
 }
 
 void
-CallerConnection::CheckTimes(Millis aNow)
+CallerConnection::CheckTimeouts(Millis aNow)
 {
   if (mState != State::Reading) {
     return;
@@ -238,7 +238,7 @@
   CallerRequest request{ .mMethod = std::string(message.method_string()),
                          .mTarget = std::string(message.target()),
                          .mHost = std::string(message[http::field::host]),
-                         .mHeaders = EndToEnd(message),
+                         .mHeaders = EndToEndHeaders(message),
                          .mHasBody =
                            message.has_content_length() || message.chunked(),
                          .mArrivedAt = mSince };
@@ -261,7 +261,7 @@
 }
 
 void
-CallerConnection::BeginAnswer(const AnswerHeadOut& aHead)
+CallerConnection::BeginAnswer(const AnswerHead& aHead)
 {
   mNoBody = aHead.mNoBody;
   mChunked = !aHead.mLength && !aHead.mNoBody;
@@ -313,7 +313,7 @@
 }
 
 void
-CallerConnection::Answer(AnswerHeadOut aHead, std::string_view aBody)
+CallerConnection::Answer(AnswerHead aHead, std::string_view aBody)
 {
   if (mState != State::Serving) {
     return;
@@ -329,7 +329,7 @@
 }
 
 void
-CallerConnection::CutAnswer()
+CallerConnection::AbortAnswer()
 {
   mOnLeft = nullptr;
   Close();
--- a/src/libtrefoilgate/callerconnection.h
+++ b/src/libtrefoilgate/callerconnection.h
@@ -34,7 +34,7 @@
 };
 
 /** The head of an answer to a caller. */
-struct AnswerHeadOut
+struct AnswerHead
 {
   int mStatus = 200;
   std::string mReason;
@@ -77,33 +77,36 @@
   void Start();
 
   /** Told if the caller leaves before its answer is whole. */
-  void OnLeft(std::function<void()> aLeft) { mOnLeft = std::move(aLeft); }
+  void OnDisconnected(std::function<void()> aLeft)
+  {
+    mOnLeft = std::move(aLeft);
+  }
   /** Told when a slow caller has taken what was pending. */
   void OnDrained(std::function<void()> aDrained)
   {
     mOnDrained = std::move(aDrained);
   }
 
-  void BeginAnswer(const AnswerHeadOut& aHead);
+  void BeginAnswer(const AnswerHead& aHead);
   void WriteAnswer(std::string_view aData);
   /** The answer is whole; the next request may be read. */
   void EndAnswer();
   /** The whole of a short answer. */
-  void Answer(AnswerHeadOut aHead, std::string_view aBody);
+  void Answer(AnswerHead aHead, std::string_view aBody);
   /** The answer can't be completed: the connection ends, visibly short. */
-  void CutAnswer();
+  void AbortAnswer();
 
   /** Bytes that the caller has not taken yet. */
-  size_t Pending() const { return mOut.size() + mWriting.size(); }
+  size_t PendingBytes() const { return mOut.size() + mWriting.size(); }
   /** No request is being read or served. */
   bool Idle() const;
   /** How long it has been idle; zero if it is not. */
-  trefoilarch::Millis IdleFor(trefoilarch::Millis aNow) const
+  trefoilarch::Millis IdleTime(trefoilarch::Millis aNow) const
   {
     return Idle() ? aNow - mSince : trefoilarch::Millis(0);
   }
   /** Closes an idle connection, and one whose request takes too long. */
-  void CheckTimes(trefoilarch::Millis aNow);
+  void CheckTimeouts(trefoilarch::Millis aNow);
   void Close();
 
 private:
--- a/src/libtrefoilgate/callerlistener.cpp
+++ b/src/libtrefoilgate/callerlistener.cpp
@@ -19,9 +19,9 @@
 constexpr std::chrono::milliseconds kAcceptPause{ 50 };
 
 /** A caller on a bad line may be silent for seconds. */
-constexpr SilenceOptions kCallerSilence{ .mUnacknowledged = Millis(8000),
-                                         .mProbeAfterSeconds = 5,
-                                         .mProbes = 3 };
+constexpr KeepaliveOptions kCallerSilence{ .mUserTimeout = Millis(8000),
+                                           .mKeepaliveIdleSeconds = 5,
+                                           .mKeepaliveProbes = 3 };
 
 } // namespace
 
@@ -42,7 +42,7 @@
 void
 CallerListener::Open()
 {
-  const auto endpoint = EndpointOf(mOptions.mAddress);
+  const auto endpoint = ParseEndpoint(mOptions.mAddress);
   mAcceptor.open(endpoint.protocol());
   mAcceptor.set_option(asio::socket_base::reuse_address(true));
   mAcceptor.bind(endpoint);
@@ -65,16 +65,16 @@
 }
 
 void
-CallerListener::CheckTimes(Millis aNow)
+CallerListener::CheckTimeouts(Millis aNow)
 {
-  ForEach([aNow](CallerConnection& aEach) { aEach.CheckTimes(aNow); });
+  ForEach([aNow](CallerConnection& aEach) { aEach.CheckTimeouts(aNow); });
 }
 
 void
 CallerListener::CloseIdle(Millis aSpan, Millis aNow)
 {
   ForEach([aSpan, aNow](CallerConnection& aEach) {
-    if (aEach.IdleFor(aNow) >= aSpan) {
+    if (aEach.IdleTime(aNow) >= aSpan) {
       aEach.Close();
     }
   });
@@ -114,7 +114,7 @@
   if (mConnections.size() >= mOptions.mMaxConnections) {
     return;
   }
-  SetOptions(aSocket, kCallerSilence);
+  SetSocketOptions(aSocket, kCallerSilence);
   const auto connection =
     std::make_shared<CallerConnection>(std::move(aSocket), mHooks);
   mConnections[connection.get()] = connection;
--- a/src/libtrefoilgate/callerlistener.h
+++ b/src/libtrefoilgate/callerlistener.h
@@ -35,7 +35,7 @@
   void Close();
 
   /** Closes connections that are idle or slow beyond the limits. */
-  void CheckTimes(trefoilarch::Millis aNow);
+  void CheckTimeouts(trefoilarch::Millis aNow);
   /** Closes the connections that have had no request for that long. */
   void CloseIdle(trefoilarch::Millis aSpan, trefoilarch::Millis aNow);
   void CloseAll();
--- a/src/libtrefoilgate/clientconnection.cpp
+++ b/src/libtrefoilgate/clientconnection.cpp
@@ -57,14 +57,14 @@
 void
 ClientConnection::Connect(const asio::ip::tcp::endpoint& aServer,
                           Millis aSpan,
-                          const SilenceOptions& aSilence,
+                          const KeepaliveOptions& aSilence,
                           std::function<void(bool)> aDone)
 {
   mOnConnected = std::move(aDone);
   Error error;
   mSocket.open(asio::ip::tcp::v4(), error);
   if (!error) {
-    SetOptions(mSocket, aSilence);
+    SetSocketOptions(mSocket, aSilence);
   }
   mConnectTimer.expires_after(std::chrono::milliseconds(aSpan.Count()));
   mConnectTimer.async_wait([self = shared_from_this()](const Error& aError) {
@@ -242,15 +242,15 @@
   }
   UpstreamAnswer answer{ .mStatus = static_cast<int>(message.result_int()),
                          .mReason = std::string(message.reason()),
-                         .mHeaders = EndToEnd(message),
+                         .mHeaders = EndToEndHeaders(message),
                          .mEndsWithConnection = mParser->need_eof(),
-                         .mIdleSpan = IdleSpanOf(message) };
+                         .mIdleTimeout = IdleSpanOf(message) };
   if (message.has_content_length()) {
     const auto length = mParser->content_length();
     answer.mLength = length ? std::optional<uint64_t>(*length) : 0;
   }
-  if (answer.mIdleSpan) {
-    mIdleSpan = answer.mIdleSpan;
+  if (answer.mIdleTimeout) {
+    mIdleTimeout = answer.mIdleTimeout;
   }
   if (mHandlers.mIsOurs && !mHandlers.mIsOurs(answer)) {
     mSkipping = true;
--- a/src/libtrefoilgate/clientconnection.h
+++ b/src/libtrefoilgate/clientconnection.h
@@ -57,14 +57,17 @@
   /** Tells whether the connection was made within the span. */
   void Connect(const boost::asio::ip::tcp::endpoint& aServer,
                trefoilarch::Millis aSpan,
-               const SilenceOptions& aSilence,
+               const KeepaliveOptions& aSilence,
                std::function<void(bool)> aDone);
 
   /** Only while Idle(). */
   void Send(OutgoingCall aCall, CallHandlers aHandlers);
 
   /** The rest of the call's answer goes to others. */
-  void Replace(CallHandlers aHandlers) { mHandlers = std::move(aHandlers); }
+  void ReplaceHandlers(CallHandlers aHandlers)
+  {
+    mHandlers = std::move(aHandlers);
+  }
 
   /** Reads no further until Resume(): the receiver is slow. */
   void Pause();
@@ -76,9 +79,15 @@
   /** Nobody listened at the server's address. */
   bool Refused() const { return mRefused; }
   /** How long the server keeps it when idle, as last told. */
-  std::optional<trefoilarch::Millis> IdleSpan() const { return mIdleSpan; }
+  std::optional<trefoilarch::Millis> IdleTimeout() const
+  {
+    return mIdleTimeout;
+  }
   /** Told once if the connection ends while idle. */
-  void OnIdleLost(std::function<void()> aLost) { mOnLost = std::move(aLost); }
+  void OnClosedWhileIdle(std::function<void()> aLost)
+  {
+    mOnLost = std::move(aLost);
+  }
 
   /** Drops the connection and forgets the call. */
   void Close();
@@ -109,7 +118,7 @@
   CallHandlers mHandlers;
   std::function<void(bool)> mOnConnected;
   std::function<void()> mOnLost;
-  std::optional<trefoilarch::Millis> mIdleSpan;
+  std::optional<trefoilarch::Millis> mIdleTimeout;
   bool mOpen = false;
   bool mRefused = false;
   bool mBusy = false;
--- a/src/libtrefoilgate/connectionpool.cpp
+++ b/src/libtrefoilgate/connectionpool.cpp
@@ -13,7 +13,7 @@
 using trefoilarch::UpstreamId;
 
 boost::asio::ip::tcp::endpoint
-EndpointOf(const std::string& aAddress)
+ParseEndpoint(const std::string& aAddress)
 {
   const size_t colon = aAddress.rfind(':');
   if (colon == std::string::npos) {
@@ -49,7 +49,7 @@
     const Kept kept = std::move(place->second.back());
     place->second.pop_back();
     if (kept.mConnection->Idle() && !Expired(kept, now)) {
-      kept.mConnection->OnIdleLost(nullptr);
+      kept.mConnection->OnClosedWhileIdle(nullptr);
       aDone(kept.mConnection);
       return;
     }
@@ -80,9 +80,9 @@
 {
   const auto connection = std::make_shared<ClientConnection>(mLoop);
   connection->Connect(
-    EndpointOf(aAddress),
-    mOptions.mConnectSpan,
-    mOptions.mSilence,
+    ParseEndpoint(aAddress),
+    mOptions.mConnectTimeout,
+    mOptions.mKeepalive,
     [this, connection, aUpstream, done = std::move(aDone)](bool aMade) {
       (aMade ? mMade : mFailed)++;
       if (aMade) {
@@ -101,7 +101,7 @@
   if (!aConnection->Idle()) {
     return;
   }
-  aConnection->OnIdleLost(
+  aConnection->OnClosedWhileIdle(
     [this, aUpstream, raw = aConnection.get()] { Forget(aUpstream, raw); });
   mIdle[aUpstream].push_back({ aConnection, BootNow() });
 }
@@ -172,7 +172,7 @@
 ConnectionPool::Expired(const Kept& aKept, Millis aNow) const
 {
   const Millis told =
-    aKept.mConnection->IdleSpan().value_or(mOptions.mIdleSpan);
+    aKept.mConnection->IdleTimeout().value_or(mOptions.mIdleTimeout);
   const Millis span = std::max(told - mOptions.mIdleMargin, told / 2);
   return aNow - aKept.mSince >= span;
 }
--- a/src/libtrefoilgate/connectionpool.h
+++ b/src/libtrefoilgate/connectionpool.h
@@ -20,13 +20,13 @@
 {
   /** In a region a handshake takes milliseconds; an upstream that does not
    * answer one is tried no longer. */
-  trefoilarch::Millis mConnectSpan{ 250 };
+  trefoilarch::Millis mConnectTimeout{ 250 };
   /** Closed by us this long before the upstream would: a request must not
    * cross the upstream's close. */
   trefoilarch::Millis mIdleMargin{ 1000 };
   /** Kept where the upstream says nothing. */
-  trefoilarch::Millis mIdleSpan{ 15000 };
-  SilenceOptions mSilence{};
+  trefoilarch::Millis mIdleTimeout{ 15000 };
+  KeepaliveOptions mKeepalive{};
   /** Nobody listens at the upstream's address. */
   std::function<void(const trefoilarch::UpstreamId&)> mOnRefused =
     [](const trefoilarch::UpstreamId&) {};
@@ -74,8 +74,8 @@
 
   size_t IdleCount() const;
   /** Connections made since the start. */
-  uint64_t Made() const { return mMade; }
-  uint64_t Failed() const { return mFailed; }
+  uint64_t MadeCount() const { return mMade; }
+  uint64_t FailedCount() const { return mFailed; }
 
 private:
   struct Kept
@@ -102,6 +102,6 @@
 
 /** Reads `IP:PORT`; an unspecified endpoint where it is none. */
 boost::asio::ip::tcp::endpoint
-EndpointOf(const std::string& aAddress);
+ParseEndpoint(const std::string& aAddress);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/crashdatagram.cpp
+++ b/src/libtrefoilgate/crashdatagram.cpp
@@ -40,7 +40,7 @@
 {
   return aValue.is_array() && aValue.size() % aEach == 0 &&
          aValue.size() <= kMostNamed * aEach &&
-         std::all_of(aValue.begin(), aValue.end(), IsCount);
+         std::all_of(aValue.begin(), aValue.end(), IsUnsigned);
 }
 
 bool
@@ -79,7 +79,7 @@
 } // namespace
 
 std::vector<uint8_t>
-EncodeCrashNews(const CrashUpdate& aNews)
+EncodeCrashUpdate(const CrashUpdate& aNews)
 {
   Json reports = Json::array();
   for (const CrashReport& each : aNews.mReports) {
@@ -89,23 +89,23 @@
     }
     reports.push_back({ each.mIncarnation.mUpstream,
                         each.mIncarnation.mStartTime,
-                        MillisWithin(each.mAge, kMostAgeMs),
+                        ClampedMillis(each.mAge, kMostAgeMs),
                         std::move(suspects) });
   }
   Json cleared = Json::array();
   for (const AgedRequest& each : aNews.mCleared) {
     Append(cleared, each.mRequest);
-    cleared.push_back(MillisWithin(each.mAge, kMostAgeMs));
+    cleared.push_back(ClampedMillis(each.mAge, kMostAgeMs));
   }
   Json trials = Json::array();
-  for (const RequestFingerprint& each : aNews.mProbes) {
+  for (const RequestFingerprint& each : aNews.mKeepaliveProbes) {
     Append(trials, each);
   }
   Json held = Json::array();
   for (const QuarantineReport& each : aNews.mQuarantined) {
     Append(held, each.mRequest);
-    held.push_back(MillisWithin(each.mSuspectFor, kMostAgeMs));
-    held.push_back(MillisWithin(each.mIdleFor, kMostAgeMs));
+    held.push_back(ClampedMillis(each.mSuspectFor, kMostAgeMs));
+    held.push_back(ClampedMillis(each.mIdleFor, kMostAgeMs));
   }
   return Json::to_msgpack(Json::array({ kFormat,
                                         std::move(reports),
@@ -115,7 +115,7 @@
 }
 
 std::optional<CrashUpdate>
-DecodeCrashNews(const std::vector<uint8_t>& aBytes)
+DecodeCrashUpdate(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
   if (!IsNews(json)) {
@@ -138,7 +138,7 @@
                               .mAge = AgeAt(json[2], place + 2) });
   }
   for (size_t place = 0; place < json[3].size(); place += 2) {
-    news.mProbes.push_back(RequestAt(json[3], place));
+    news.mKeepaliveProbes.push_back(RequestAt(json[3], place));
   }
   for (size_t place = 0; place < json[4].size(); place += 4) {
     news.mQuarantined.push_back({ .mRequest = RequestAt(json[4], place),
--- a/src/libtrefoilgate/crashdatagram.h
+++ b/src/libtrefoilgate/crashdatagram.h
@@ -10,10 +10,10 @@
 
 /** The bytes of the news, which fits a datagram. */
 std::vector<uint8_t>
-EncodeCrashNews(const trefoilarch::CrashUpdate& aNews);
+EncodeCrashUpdate(const trefoilarch::CrashUpdate& aNews);
 
-/** Reads what EncodeCrashNews() wrote; nothing if it is anything else. */
+/** Reads what EncodeCrashUpdate() wrote; nothing if it is anything else. */
 std::optional<trefoilarch::CrashUpdate>
-DecodeCrashNews(const std::vector<uint8_t>& aBytes);
+DecodeCrashUpdate(const std::vector<uint8_t>& aBytes);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/datagramfields.cpp
+++ b/src/libtrefoilgate/datagramfields.cpp
@@ -6,7 +6,7 @@
 namespace trefoilgate {
 
 bool
-IsCount(const nlohmann::json& aValue)
+IsUnsigned(const nlohmann::json& aValue)
 {
   return aValue.is_number_unsigned();
 }
@@ -14,11 +14,11 @@
 bool
 IsAtMost(const nlohmann::json& aValue, uint64_t aMost)
 {
-  return IsCount(aValue) && aValue.get<uint64_t>() <= aMost;
+  return IsUnsigned(aValue) && aValue.get<uint64_t>() <= aMost;
 }
 
 uint64_t
-MillisWithin(trefoilarch::Millis aSpan, uint64_t aMost)
+ClampedMillis(trefoilarch::Millis aSpan, uint64_t aMost)
 {
   return static_cast<uint64_t>(
     std::clamp<int64_t>(aSpan.Count(), 0, static_cast<int64_t>(aMost)));
--- a/src/libtrefoilgate/datagramfields.h
+++ b/src/libtrefoilgate/datagramfields.h
@@ -11,13 +11,13 @@
  * before they are taken. */
 
 bool
-IsCount(const nlohmann::json& aValue);
+IsUnsigned(const nlohmann::json& aValue);
 
 bool
 IsAtMost(const nlohmann::json& aValue, uint64_t aMost);
 
 /** The span in milliseconds, no less than 0 and no more than that. */
 uint64_t
-MillisWithin(trefoilarch::Millis aSpan, uint64_t aMost);
+ClampedMillis(trefoilarch::Millis aSpan, uint64_t aMost);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/decisionlog.h
+++ b/src/libtrefoilgate/decisionlog.h
@@ -14,10 +14,10 @@
 /** Kinds of line, each with a budget of its own. */
 enum class LineKind : uint8_t
 {
-  Process, /**< start, stop, reload, a dependency lost or regained */
-  Belief,  /**< what the process believes has changed */
-  Trouble, /**< a refusal, repeat, cancellation or unknown outcome */
-  Success, /**< a request that was served; the first to be left out */
+  Process,     /**< start, stop, reload, a dependency lost or regained */
+  StateChange, /**< what the process believes has changed */
+  Failure,     /**< a refusal, repeat, cancellation or unknown outcome */
+  Success,     /**< a request that was served; the first to be left out */
 };
 
 /** How much is logged. */
--- a/src/libtrefoilgate/dialect.h
+++ b/src/libtrefoilgate/dialect.h
@@ -12,7 +12,7 @@
 namespace trefoilgate {
 
 /** What an entry sets on a request that goes to an upstream. */
-struct OutgoingMarks
+struct OutgoingRequestInfo
 {
   trefoilarch::UpstreamId mUpstream;
   std::string mWorkspace;
@@ -25,18 +25,18 @@
   /** Empty, or the address of an upstream that is to keep a copy. */
   std::string mBackupAddress;
   /** Empty, or the address of the upstream that left a copy at this one. */
-  std::string mCopyOf;
+  std::string mCopySourceAddress;
   /** The last event that the caller has; empty at the first attempt. */
-  std::string mLastEvent;
+  std::string mLastEventId;
 };
 
 /** How an upstream's answer is to be taken. */
-enum class AnswerMeaning : uint8_t
+enum class AnswerValidity : uint8_t
 {
-  Genuine,  /**< the upstream's answer to this request */
-  NotRun,   /**< the upstream did not run the request */
-  NotOurs,  /**< the answer to another request */
-  Unsealed, /**< a success that the upstream did not vouch for */
+  Genuine,    /**< the upstream's answer to this request */
+  NotRun,     /**< the upstream did not run the request */
+  Mismatched, /**< the answer to another request */
+  Unsealed,   /**< a success that the upstream did not vouch for */
 };
 
 /**
@@ -48,12 +48,14 @@
 {
   /** The caller's name for its request, for logs and for matching answers. */
   std::function<std::string(const CallerRequest&)> mRequestId;
-  std::function<trefoilarch::RequestAttributes(const CallerRequest&)> mFacts;
+  std::function<trefoilarch::RequestAttributes(const CallerRequest&)>
+    mRequestAttributes;
   /** Headers of the request to an upstream: the caller's less those that the
    * system sets itself, and the system's. */
-  std::function<Headers(const CallerRequest&, const OutgoingMarks&)> mOutgoing;
-  std::function<AnswerMeaning(const UpstreamAnswer&, const std::string& aId)>
-    mMeaning;
+  std::function<Headers(const CallerRequest&, const OutgoingRequestInfo&)>
+    mOutgoing;
+  std::function<AnswerValidity(const UpstreamAnswer&, const std::string& aId)>
+    mClassify;
   std::function<std::optional<trefoilarch::ReportedLoad>(const UpstreamAnswer&)>
     mLoad;
   /** The upstream's rate limit; empty where the answer names none. */
--- a/src/libtrefoilgate/eventtracker.h
+++ b/src/libtrefoilgate/eventtracker.h
@@ -18,17 +18,17 @@
   std::string Add(const std::string& aData);
 
   /** What was left over at the end of a run. */
-  const std::string& Rest() const { return mRest; }
+  const std::string& Remainder() const { return mRest; }
 
   /** Another run goes on: half an event of the last one is dropped, events
    * that are known already are left out. */
   void BeginNextRun();
 
   /** The id of the last event passed on, or empty. */
-  const std::string& LastId() const { return mLastId; }
+  const std::string& LastEventId() const { return mLastId; }
   uint64_t Events() const { return mEvents; }
   /** An event of the new run left out others: the streams don't fit. */
-  bool Gap() const { return mGap; }
+  bool HasGap() const { return mGap; }
 
 private:
   std::string TakeEvent(const std::string& aEvent);
--- a/src/libtrefoilgate/exchange.cpp
+++ b/src/libtrefoilgate/exchange.cpp
@@ -47,7 +47,7 @@
 Exchange::Start()
 {
   const auto self = shared_from_this();
-  mCaller->OnLeft([self] { self->OnCallerLeft(); });
+  mCaller->OnDisconnected([self] { self->OnCallerLeft(); });
   mCaller->OnDrained([self] {
     if (self->mPaused && self->mConnection) {
       self->mPaused = false;
@@ -84,7 +84,7 @@
     Hold(hold->mDelay);
   } else if (const auto* answer = std::get_if<AnswerRefusal>(&aStep)) {
     Refuse(answer->mRefusal);
-  } else if (const auto* cut = std::get_if<CutAnswer>(&aStep)) {
+  } else if (const auto* cut = std::get_if<AbortAnswer>(&aStep)) {
     Cut(cut->mKind);
   }
 }
@@ -155,15 +155,16 @@
 Exchange::MakeCall(Millis aTimeLeft) const
 {
   const BoundRequest& bound = mPlan.Request();
-  const OutgoingMarks marks{ .mUpstream = mAttempt->mUpstream,
-                             .mWorkspace = bound.mWorkspace,
-                             .mPriority = bound.mPriority,
-                             .mRoutePriority = bound.mRoutePriority,
-                             .mTimeLeft = aTimeLeft,
-                             .mHolderAddress = mAttempt->mHolderAddress,
-                             .mBackupAddress = mAttempt->mBackupAddress,
-                             .mCopyOf = mAttempt->mCopyOf,
-                             .mLastEvent = mEvents.LastId() };
+  const OutgoingRequestInfo marks{ .mUpstream = mAttempt->mUpstream,
+                                   .mWorkspace = bound.mWorkspace,
+                                   .mPriority = bound.mPriority,
+                                   .mRoutePriority = bound.mRoutePriority,
+                                   .mTimeLeft = aTimeLeft,
+                                   .mHolderAddress = mAttempt->mHolderAddress,
+                                   .mBackupAddress = mAttempt->mBackupAddress,
+                                   .mCopySourceAddress =
+                                     mAttempt->mCopySourceAddress,
+                                   .mLastEventId = mEvents.LastEventId() };
   std::string head =
     mRequest.mMethod + " " + mRequest.mTarget + " HTTP/1.1\r\n";
   for (const auto& [name, value] :
@@ -186,8 +187,8 @@
   return CallHandlers{
     .mIsOurs =
       [self](const UpstreamAnswer& aAnswer) {
-        return self->mContext.mDialect.mMeaning(aAnswer, self->mId) !=
-               AnswerMeaning::NotOurs;
+        return self->mContext.mDialect.mClassify(aAnswer, self->mId) !=
+               AnswerValidity::Mismatched;
       },
     .mOnHead =
       [self](UpstreamAnswer aAnswer) { self->OnHead(std::move(aAnswer)); },
@@ -207,15 +208,15 @@
   }
   mContext.mRouter.OnRateLimit(
     *mAttempt, mContext.mDialect.mLimit(aAnswer), now);
-  const AnswerMeaning meaning = mContext.mDialect.mMeaning(aAnswer, mId);
-  if (meaning == AnswerMeaning::NotRun) {
+  const AnswerValidity meaning = mContext.mDialect.mClassify(aAnswer, mId);
+  if (meaning == AnswerValidity::NotRun) {
     LogAttempt("not_run", "status " + std::to_string(aAnswer.mStatus));
     SetAside();
     EndAttempt(AttemptOutcome::Refused);
     Apply(mPlan.OnNotRun(now));
     return;
   }
-  if (meaning == AnswerMeaning::Unsealed) {
+  if (meaning == AnswerValidity::Unsealed) {
     DropConnection();
     OnBroken("a success without the upstream's seal");
     return;
@@ -272,7 +273,7 @@
 void
 Exchange::PassData(const std::string& aData)
 {
-  if (mEvents.Gap()) {
+  if (mEvents.HasGap()) {
     DropConnection();
     EndAttempt(AttemptOutcome::Broken);
     Cut(ErrorKind::AnswerCut);
@@ -302,7 +303,7 @@
 void
 Exchange::HoldBackIfSlow()
 {
-  if (mCaller->Pending() > kMostPending) {
+  if (mCaller->PendingBytes() > kMostPending) {
     mPaused = true;
     mConnection->Pause();
   }
@@ -315,7 +316,7 @@
          mAnswer->mStatus == kNotModified;
 }
 
-AnswerHeadOut
+AnswerHead
 Exchange::HeadWith(std::optional<uint64_t> aLength) const
 {
   return { .mStatus = mAnswer->mStatus,
@@ -348,7 +349,7 @@
   EndAttempt(status < kLeastFailure ? AttemptOutcome::Good
                                     : AttemptOutcome::Failed);
   // What is no whole event at the end is the upstream's to answer for.
-  mBuffered += mEvents.Rest();
+  mBuffered += mEvents.Remainder();
   if (mBegun) {
     mCaller->WriteAnswer(mBuffered);
     mCaller->EndAnswer();
@@ -431,7 +432,7 @@
 void
 Exchange::Cut(ErrorKind aKind)
 {
-  mCaller->CutAnswer();
+  mCaller->AbortAnswer();
   Close(Name(aKind).data(), 0);
 }
 
@@ -459,7 +460,7 @@
 Exchange::SetAside()
 {
   // The rest of the answer is read and dropped, and the connection kept.
-  mConnection->Replace(ConnectionPool::DiscardHandlers(
+  mConnection->ReplaceHandlers(ConnectionPool::DiscardHandlers(
     mContext.mPool, mAttempt->mUpstream, mConnection));
   mConnection.reset();
 }
--- a/src/libtrefoilgate/exchange.h
+++ b/src/libtrefoilgate/exchange.h
@@ -81,7 +81,7 @@
   /** The answer is a head alone. */
   bool HasNoBody() const;
   /** The upstream's head, as it goes to the caller. */
-  AnswerHeadOut HeadWith(std::optional<uint64_t> aLength) const;
+  AnswerHead HeadWith(std::optional<uint64_t> aLength) const;
   /** The answer's content has begun to come. */
   void MarkStarted(trefoilarch::Millis aNow);
   void PassData(const std::string& aData);
--- a/src/libtrefoilgate/exchangelog.cpp
+++ b/src/libtrefoilgate/exchangelog.cpp
@@ -26,10 +26,10 @@
   mContext.mMetrics.OnRequest({ .mRoute = bound.mRoute->mName,
                                 .mPriority = bound.mPriority,
                                 .mOutcome = aOutcome,
-                                .mFirstByte = firstByte,
-                                .mTook = now - mRequest.mArrivedAt });
+                                .mTimeToFirstByte = firstByte,
+                                .mDuration = now - mRequest.mArrivedAt });
   mContext.mLog.Write(
-    served ? LineKind::Success : LineKind::Trouble,
+    served ? LineKind::Success : LineKind::Failure,
     "request_ended",
     { { "id", mId },
       { "fingerprint", bound.mFingerprint.Text() },
@@ -55,7 +55,7 @@
       { "allowed_ms", (bound.mDeadline - bound.mArrivedAt).Count() } });
   // The last reference may be the caller's hooks: end after they are gone.
   const auto self = shared_from_this();
-  mCaller->OnLeft(nullptr);
+  mCaller->OnDisconnected(nullptr);
   mCaller->OnDrained(nullptr);
   mContext.mOnEnded(this);
 }
@@ -65,7 +65,7 @@
 {
   const Millis now = BootNow();
   mContext.mLog.Write(
-    LineKind::Trouble,
+    LineKind::Failure,
     "attempt_ended",
     { { "id", mId },
       { "fingerprint", mPlan.Request().mFingerprint.Text() },
--- a/src/libtrefoilgate/gatemetrics.cpp
+++ b/src/libtrefoilgate/gatemetrics.cpp
@@ -194,12 +194,13 @@
   mMetrics.Count(kRequests,
                  route + "," + priority + "," +
                    Label("outcome", aRequest.mOutcome));
-  if (aRequest.mFirstByte > Millis(0)) {
-    mMetrics.Observe(
-      kFirstByte, static_cast<double>(aRequest.mFirstByte.Count()), route);
+  if (aRequest.mTimeToFirstByte > Millis(0)) {
+    mMetrics.Observe(kFirstByte,
+                     static_cast<double>(aRequest.mTimeToFirstByte.Count()),
+                     route);
   }
   mMetrics.Observe(
-    kRequestSpan, static_cast<double>(aRequest.mTook.Count()), route);
+    kRequestSpan, static_cast<double>(aRequest.mDuration.Count()), route);
 }
 
 void
--- a/src/libtrefoilgate/gatemetrics.h
+++ b/src/libtrefoilgate/gatemetrics.h
@@ -19,8 +19,8 @@
   uint8_t mPriority = 0;
   std::string_view mOutcome;
   /** 0 where no byte of an answer came. */
-  trefoilarch::Millis mFirstByte;
-  trefoilarch::Millis mTook;
+  trefoilarch::Millis mTimeToFirstByte;
+  trefoilarch::Millis mDuration;
 };
 
 /** A gauge of the gateway; the table of names stands in the source. */
--- a/src/libtrefoilgate/gatesettings.cpp
+++ b/src/libtrefoilgate/gatesettings.cpp
@@ -137,13 +137,13 @@
   compare("platform", &GateSettings::mPlatform);
   compare("peer-listen", &GateSettings::mPeerListen);
   compare("revoke-ms", &GateSettings::mKeyPolicyMaxAge);
-  compare("apply-ms", &GateSettings::mApplySpan);
-  compare("drain-ms", &GateSettings::mDrainSpan);
-  compare("heartbeat-ms", &GateSettings::mHeartbeat);
+  compare("apply-ms", &GateSettings::mMaxApplyDelay);
+  compare("drain-ms", &GateSettings::mMaxDrainDelay);
+  compare("heartbeat-ms", &GateSettings::mHeartbeatInterval);
   compare("retry-share", &GateSettings::mRetryPercent);
   compare("retry-slack", &GateSettings::mRetrySlack);
-  compare("stop-seconds", &GateSettings::mStopSpan);
-  compare("most-descriptors", &GateSettings::mMostDescriptors);
+  compare("stop-seconds", &GateSettings::mStopTimeout);
+  compare("most-descriptors", &GateSettings::mMaxDescriptors);
   compare("memory-mb", &GateSettings::mMaxBodyBytes);
   return names;
 }
@@ -162,13 +162,13 @@
     .mPeerListen = aSettings.Text("peer-listen"),
     .mKeyPolicyMaxAge =
       Millis(Floor(aSettings.Number("revoke-ms"))) - kKeyMargin,
-    .mApplySpan = Millis(Floor(aSettings.Number("apply-ms"))),
-    .mDrainSpan = Millis(Floor(aSettings.Number("drain-ms"))),
-    .mHeartbeat = Millis(Floor(aSettings.Number("heartbeat-ms"))),
+    .mMaxApplyDelay = Millis(Floor(aSettings.Number("apply-ms"))),
+    .mMaxDrainDelay = Millis(Floor(aSettings.Number("drain-ms"))),
+    .mHeartbeatInterval = Millis(Floor(aSettings.Number("heartbeat-ms"))),
     .mRetryPercent = aSettings.Number("retry-share") * kRetryPart * kHundred,
     .mRetrySlack = aSettings.Number("retry-slack"),
-    .mStopSpan = Millis(Floor(stopMillis)) - kStopMargin,
-    .mMostDescriptors =
+    .mStopTimeout = Millis(Floor(stopMillis)) - kStopMargin,
+    .mMaxDescriptors =
       static_cast<uint32_t>(Floor(aSettings.Number("most-descriptors"))),
     .mMaxBodyBytes = static_cast<uint64_t>(Floor(memory)) / kBodyPart
   };
--- a/src/libtrefoilgate/gatesettings.h
+++ b/src/libtrefoilgate/gatesettings.h
@@ -21,16 +21,16 @@
   std::string mPeerListen;
   trefoilarch::Millis mKeyPolicyMaxAge;
   /** A policy is in force within this. */
-  trefoilarch::Millis mApplySpan;
+  trefoilarch::Millis mMaxApplyDelay;
   /** An upstream that leaves gets no request later than this. */
-  trefoilarch::Millis mDrainSpan;
+  trefoilarch::Millis mMaxDrainDelay;
   /** Upstreams renew their entries this often. */
-  trefoilarch::Millis mHeartbeat;
+  trefoilarch::Millis mHeartbeatInterval;
   double mRetryPercent = 0;
   /** Retries beside the share, of all entries together. */
   double mRetrySlack = 0;
-  trefoilarch::Millis mStopSpan;
-  uint32_t mMostDescriptors = 0;
+  trefoilarch::Millis mStopTimeout;
+  uint32_t mMaxDescriptors = 0;
   /** Bytes of callers' bodies that may be held at a time. */
   uint64_t mMaxBodyBytes = 0;
 
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -63,11 +63,11 @@
 DirectoryOptions
 DirectoryOptionsOf(const GateSettings& aSettings)
 {
-  const Millis bound = TableWatchOptions::MaxAgeFor(aSettings.mDrainSpan);
+  const Millis bound = TableWatchOptions::MaxAgeFor(aSettings.mMaxDrainDelay);
   // An entry lapses after three heartbeats of silence, one of which may pass
   // before the outage and one after it.
   const Millis least =
-    std::max(aSettings.mHeartbeat, bound + bound / kUsualGapPart);
+    std::max(aSettings.mHeartbeatInterval, bound + bound / kUsualGapPart);
   return { .mStore = { .mMinOutage = least } };
 }
 
@@ -103,7 +103,7 @@
                 [this](const LimitChange& aChange) { LogLimit(aChange); },
               .mOnPermitRequest =
                 [this](const AddressedPermitRequest& aAsk) {
-                  mPeers.Ask(aAsk.mTo, aAsk.mRequest);
+                  mPeers.RequestPermit(aAsk.mTo, aAsk.mRequest);
                 },
               .mSeed = mOptions.mSeed })
   , mPool(aLoop,
@@ -123,11 +123,11 @@
               .mMetrics = mMetrics,
               .mOnEnded =
                 [this](Exchange* aEnded) { OnExchangeEnded(aEnded); } }
-  , mCallers(aLoop,
-             { .mAddress = mOptions.mSettings.mListen,
-               .mMaxConnections =
-                 ConnectionsFor(mOptions.mSettings.mMostDescriptors) },
-             CallersHooks())
+  , mCallers(
+      aLoop,
+      { .mAddress = mOptions.mSettings.mListen,
+        .mMaxConnections = ConnectionsFor(mOptions.mSettings.mMaxDescriptors) },
+      CallersHooks())
   , mOperators(aLoop,
                { .mAddress = mOptions.mSettings.mOperatorListen },
                OperatorHooks())
@@ -209,7 +209,7 @@
   const std::vector<std::string> faults = ValidateRoutePolicy(*aPolicy);
   const bool newer = mRouter.SetPolicy(std::move(aPolicy));
   mMetrics.OnPolicy(newer ? "taken" : "not_newer");
-  mLog.Write(LineKind::Belief,
+  mLog.Write(LineKind::StateChange,
              newer ? "policy_taken" : "policy_not_newer",
              { { "version", version },
                { "before", before },
@@ -232,7 +232,7 @@
   mOptions.mSettings.mKeyPolicyMaxAge = aSettings.mKeyPolicyMaxAge;
   mOptions.mSettings.mRetryPercent = aSettings.mRetryPercent;
   mOptions.mSettings.mRetrySlack = aSettings.mRetrySlack;
-  mOptions.mSettings.mStopSpan = aSettings.mStopSpan;
+  mOptions.mSettings.mStopTimeout = aSettings.mStopTimeout;
   mOptions.mSettings.mMaxBodyBytes = aSettings.mMaxBodyBytes;
   mRouter.SetKeyPolicyMaxAge(aSettings.mKeyPolicyMaxAge);
   mRouter.SetRetries(RetriesOf(aSettings, mEntries));
@@ -245,7 +245,7 @@
 }
 
 void
-Gateway::RefuseSettings(const std::vector<std::string>& aFaults)
+Gateway::RejectSettings(const std::vector<std::string>& aFaults)
 {
   mLog.Write(LineKind::Process, "reload_refused", { { "faults", aFaults } });
   mMetrics.OnReload("refused");
@@ -255,16 +255,17 @@
 Gateway::SetPeers(const std::vector<std::string>& aAddresses)
 {
   mPeers.SetPeers(aAddresses);
-  mEntries = mPeers.Listed() + 1;
+  mEntries = mPeers.ListedCount() + 1;
   mRouter.SetRetries(RetriesOf(mOptions.mSettings, mEntries));
   mRouter.SetEntries(mEntries);
-  mRouter.SetRelays(mPeers.TellsSome());
+  mRouter.SetRelays(mPeers.SendsToSubset());
   mRouter.SetPermitEntries(PeerAddress(), aAddresses);
-  mLog.Write(LineKind::Belief, "peers", { { "listed", aAddresses.size() } });
+  mLog.Write(
+    LineKind::StateChange, "peers", { { "listed", aAddresses.size() } });
 }
 
 Millis
-Gateway::HeardAt(const std::string& aName) const
+Gateway::LastReceivedAt(const std::string& aName) const
 {
   const auto place = mHeardAt.find(aName);
   return place == mHeardAt.end() ? Millis(0) : place->second;
@@ -274,24 +275,25 @@
 Gateway::HooksForPeers()
 {
   return PeerHooks{
-    .mHasNotes = [this] { return mRouter.HasPeerUpdate(); },
-    .mTakeNotes =
+    .mHasPeerUpdate = [this] { return mRouter.HasPeerUpdate(); },
+    .mTakePeerUpdate =
       [this] {
         PeerUpdate notes = mRouter.TakePeerUpdate(BootNow());
-        notes.mTables = mTables.mTell();
+        notes.mTables = mTables.mGetCheckpoints();
         notes.mStoreServing = mRouter.Directory().StoreServing();
         return notes;
       },
-    .mOnNotes =
+    .mOnPeerUpdate =
       [this](const PeerUpdate& aNotes) {
         mHeardAt[aNotes.mFrom] = BootNow();
         mRouter.OnPeerUpdate(aNotes, BootNow());
         if (aNotes.mStoreServing) {
           OnStoreReport(*aNotes.mStoreServing);
         }
-        mTables.mOnTold(aNotes.mTables);
+        mTables.mOnCheckpoints(aNotes.mTables);
       },
-    .mOnNews = [this](const TableUpdate& aNews) { mTables.mOnNews(aNews); },
+    .mOnTableUpdate =
+      [this](const TableUpdate& aNews) { mTables.mOnTableUpdate(aNews); },
     .mOnCrashUpdate =
       [this](const CrashUpdate& aNews) {
         mRouter.OnCrashUpdate(aNews, BootNow());
@@ -326,7 +328,7 @@
                         [this](int aStatus, const char* aWhy) {
                           mMetrics.OnRefusal("unreadable");
                           mLog.Write(
-                            LineKind::Trouble,
+                            LineKind::Failure,
                             "request_unreadable",
                             { { "status", aStatus }, { "why", aWhy } });
                         } };
@@ -368,7 +370,8 @@
                            .mMessage = "bodies fill the memory" });
     return;
   }
-  const RequestAttributes facts = mOptions.mDialect.mFacts(aRequest);
+  const RequestAttributes facts =
+    mOptions.mDialect.mRequestAttributes(aRequest);
   boost::leaf::try_handle_all(
     [&]() -> Result<void> {
       BOOST_LEAF_AUTO(bound, mRouter.Bind(facts, BootNow()));
@@ -404,7 +407,7 @@
 {
   mMetrics.OnRefusal(Name(aRefusal.mKind));
   mLog.Write(
-    LineKind::Trouble,
+    LineKind::Failure,
     "request_refused",
     { { "id", aId },
       { "kind", Name(aRefusal.mKind) },
@@ -422,8 +425,8 @@
   const Millis now = BootNow();
   mRouter.TickCrashes(now);
   TellCrashNews(true);
-  mCallers.CheckTimes(now);
-  mOperators.CheckTimes(now);
+  mCallers.CheckTimeouts(now);
+  mOperators.CheckTimeouts(now);
   mPool.Sweep(
     [this](const UpstreamId& aUpstream) {
       return mRouter.Directory().Find(aUpstream) != nullptr;
@@ -452,7 +455,7 @@
   }
   mCallers.CloseIdle(kStopIdleSpan, BootNow());
   const bool done = mExchanges.empty() && mCallers.Connections() == 0;
-  if (done || span >= mOptions.mSettings.mStopSpan) {
+  if (done || span >= mOptions.mSettings.mStopTimeout) {
     mLoop.stop();
   }
 }
--- a/src/libtrefoilgate/gateway.h
+++ b/src/libtrefoilgate/gateway.h
@@ -41,18 +41,18 @@
 {
   using Notes = std::vector<trefoilarch::PeerTableCheckpoint>;
 
-  std::function<Notes()> mTell = [] { return Notes(); };
-  std::function<void(const Notes&)> mOnTold = [](const Notes&) {};
-  std::function<void(const trefoilarch::TableUpdate&)> mOnNews =
+  std::function<Notes()> mGetCheckpoints = [] { return Notes(); };
+  std::function<void(const Notes&)> mOnCheckpoints = [](const Notes&) {};
+  std::function<void(const trefoilarch::TableUpdate&)> mOnTableUpdate =
     [](const trefoilarch::TableUpdate&) {};
   /** The list of upstreams is to be confirmed when the store's clock shows
    * that. */
-  std::function<void(trefoilarch::Millis)> mOnListWanted =
+  std::function<void(trefoilarch::Millis)> mOnListConfirmationWanted =
     [](trefoilarch::Millis) {};
 };
 
 /** What the operator port answers. */
-struct OperatorPage
+struct OperatorResponse
 {
   int mStatus = 200;
   /** Empty, or the content's type. */
@@ -87,9 +87,9 @@
     const std::function<void(trefoilarch::UpstreamDirectory&)>& aChange);
   /** The store has answered, and its clock showed that; to be told before
    * what the answer holds. */
-  void OnStoreAnswer(trefoilarch::Millis aReading);
+  void OnStoreResponse(trefoilarch::Millis aReading);
   /** The list has been read as a whole once. */
-  void SetListKnown() { mListKnown = true; }
+  void SetListLoaded() { mListKnown = true; }
   /** The list was the newest at that instant, when the store's clock showed
    * aReading. */
   void ConfirmList(trefoilarch::Millis aAt, trefoilarch::Millis aReading);
@@ -97,18 +97,21 @@
   /** The other entries' addresses. */
   void SetPeers(const std::vector<std::string>& aAddresses);
   void SetTableHooks(TableHooks aHooks) { mTables = std::move(aHooks); }
-  void TellNews(const trefoilarch::TableUpdate& aNews) { mPeers.Tell(aNews); }
+  void SendTableUpdate(const trefoilarch::TableUpdate& aNews)
+  {
+    mPeers.SendUpdate(aNews);
+  }
   /** Where other entries reach this one; empty where they can't. */
   std::string PeerAddress() const { return mPeers.Address(); }
   /** When that entry was last heard; 0 for never. */
-  trefoilarch::Millis HeardAt(const std::string& aName) const;
+  trefoilarch::Millis LastReceivedAt(const std::string& aName) const;
   const std::string& EntryName() const { return mOptions.mSettings.mName; }
 
   /** Takes over what a running process can change, and says in the log what
    * needs a restart. */
   void ChangeSettings(const GateSettings& aSettings);
   /** Settings that were read again have faults: the old ones stay. */
-  void RefuseSettings(const std::vector<std::string>& aFaults);
+  void RejectSettings(const std::vector<std::string>& aFaults);
 
   /** Where callers connect, once it is started. */
   std::string CallersAddress() const { return mCallers.Address(); }
@@ -131,7 +134,7 @@
   CallerHooks OperatorHooks();
   void OnRequest(const std::shared_ptr<CallerConnection>& aCaller,
                  CallerRequest aRequest);
-  std::map<std::string, std::function<OperatorPage()>, std::less<>>
+  std::map<std::string, std::function<OperatorResponse()>, std::less<>>
   OperatorPages();
   void OnOperatorRequest(const std::shared_ptr<CallerConnection>& aCaller,
                          const CallerRequest& aRequest);
@@ -140,7 +143,7 @@
                      const CallerRequest& aRequest,
                      const std::string& aId,
                      const trefoilarch::Refusal& aRefusal);
-  OperatorPage ReadyPage();
+  OperatorResponse ReadyPage();
   /** Requests in quarantine, as JSON text. */
   std::string QuarantineText() const;
   /** Lets the request go; the status that tells whether it was held back. */
@@ -179,7 +182,7 @@
   TableHooks mTables;
   boost::asio::steady_timer mTimer;
   /** By path. */
-  std::map<std::string, std::function<OperatorPage()>, std::less<>> mPages;
+  std::map<std::string, std::function<OperatorResponse()>, std::less<>> mPages;
   std::unordered_map<Exchange*, std::shared_ptr<Exchange>> mExchanges;
   /** Of the bodies of open requests. */
   uint64_t mBodyBytes = 0;
--- a/src/libtrefoilgate/gatewaycrashes.cpp
+++ b/src/libtrefoilgate/gatewaycrashes.cpp
@@ -57,7 +57,7 @@
 Gateway::TellCrashNews(bool aAgain)
 {
   for (const CrashUpdate& each : mRouter.TakeCrashUpdates(aAgain, BootNow())) {
-    mPeers.Tell(each);
+    mPeers.SendUpdate(each);
   }
   LogCrashes();
 }
@@ -66,7 +66,7 @@
 Gateway::LogCrashes()
 {
   for (const UpstreamCrash& each : mRouter.TakeCrashes()) {
-    mLog.Write(LineKind::Belief,
+    mLog.Write(LineKind::StateChange,
                "upstream_crashed",
                { { "upstream", each.mIncarnation.mUpstream },
                  { "born", each.mIncarnation.mStartTime },
@@ -75,7 +75,7 @@
                  { "fingerprints", TextsOf(each.mSuspects) } });
   }
   for (const QuarantineChange& each : mRouter.CrashQuarantine().TakeChanges()) {
-    mLog.Write(LineKind::Belief,
+    mLog.Write(LineKind::StateChange,
                each.mHeld ? "request_quarantined" : "request_let_go",
                { { "fingerprint", each.mRequest.Text() },
                  { "why", each.mReason },
--- a/src/libtrefoilgate/gatewayoperator.cpp
+++ b/src/libtrefoilgate/gatewayoperator.cpp
@@ -19,7 +19,7 @@
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
 
-OperatorPage
+OperatorResponse
 Json(std::string aText)
 {
   return { .mType = "application/json", .mText = std::move(aText) };
@@ -27,7 +27,7 @@
 
 } // namespace
 
-std::map<std::string, std::function<OperatorPage()>, std::less<>>
+std::map<std::string, std::function<OperatorResponse()>, std::less<>>
 Gateway::OperatorPages()
 {
   const auto ready = [this] { return ReadyPage(); };
@@ -35,7 +35,7 @@
   return { { mOptions.mReadyPath, ready },
            { "/ready", ready },
            { "/metrics",
-             [this]() -> OperatorPage {
+             [this]() -> OperatorResponse {
                return { .mType = "text/plain; version=0.0.4",
                         .mText = MetricsText() };
              } },
@@ -60,8 +60,8 @@
     aCaller->Answer({ .mStatus = kNotFound }, "");
     return;
   }
-  const OperatorPage page = place->second();
-  AnswerHeadOut head{ .mStatus = page.mStatus };
+  const OperatorResponse page = place->second();
+  AnswerHead head{ .mStatus = page.mStatus };
   if (!page.mType.empty()) {
     head.mHeaders = { { "Content-Type", page.mType } };
   }
@@ -101,7 +101,7 @@
   return kOk;
 }
 
-OperatorPage
+OperatorResponse
 Gateway::ReadyPage()
 {
   const std::string reason = NotReady();
@@ -152,8 +152,8 @@
   count(Gauge::BodyBytes, mBodyBytes);
   count(Gauge::CallerConnections, mCallers.Connections());
   count(Gauge::IdleUpstreamConnections, mPool.IdleCount());
-  count(Gauge::UpstreamConnectionsMade, mPool.Made());
-  count(Gauge::UpstreamConnectionsFailed, mPool.Failed());
+  count(Gauge::UpstreamConnectionsMade, mPool.MadeCount());
+  count(Gauge::UpstreamConnectionsFailed, mPool.FailedCount());
   count(Gauge::PolicyAgeMs, mRouter.PolicyFreshness().AgeMs(now));
   count(Gauge::PolicyVersion, mRouter.Index() ? mRouter.Index()->Version() : 0);
   count(Gauge::ListAgeMs, mRouter.ListFreshness().AgeMs(now));
--- a/src/libtrefoilgate/gatewayupstreams.cpp
+++ b/src/libtrefoilgate/gatewayupstreams.cpp
@@ -22,7 +22,7 @@
   for (const UpstreamId& id : mRouter.OnDirectoryChanged(BootNow())) {
     mPool.CloseIdle(id);
     mLog.Write(
-      LineKind::Belief, "upstream_started_again", { { "upstream", id } });
+      LineKind::StateChange, "upstream_started_again", { { "upstream", id } });
   }
   LogUnlisted();
   ExpireUpstreams();
@@ -41,15 +41,15 @@
       OnDirectoryChanged();
     }
     if (const auto wanted = mRouter.Directory().RequiredStoreTime()) {
-      mTables.mOnListWanted(*wanted);
+      mTables.mOnListConfirmationWanted(*wanted);
     }
   });
 }
 
 void
-Gateway::OnStoreAnswer(Millis aReading)
+Gateway::OnStoreResponse(Millis aReading)
 {
-  mRouter.Directory().OnStoreAnswer(aReading);
+  mRouter.Directory().OnStoreResponse(aReading);
   ExpireUpstreams();
 }
 
@@ -76,7 +76,7 @@
   for (const auto& [id, unlisted] : mUnlisted) {
     if (!directory.Unlisted().contains(id)) {
       const bool known = directory.Find(id) != nullptr;
-      mLog.Write(LineKind::Belief,
+      mLog.Write(LineKind::StateChange,
                  known ? "upstream_relisted" : "upstream_dropped",
                  { { "upstream", id },
                    { "unlisted_ms", (now - unlisted.mSince).Count() } });
@@ -84,8 +84,9 @@
   }
   for (const auto& [id, unlisted] : directory.Unlisted()) {
     if (!mUnlisted.contains(id)) {
-      mLog.Write(
-        LineKind::Belief, "upstream_kept_unlisted", { { "upstream", id } });
+      mLog.Write(LineKind::StateChange,
+                 "upstream_kept_unlisted",
+                 { { "upstream", id } });
     }
   }
   mUnlisted = directory.Unlisted();
@@ -107,7 +108,7 @@
     fields["lasted_ms"] = aChange.mLasted.Count();
     fields["told"] = aChange.mFromPeer;
   }
-  mLog.Write(LineKind::Belief, event, fields);
+  mLog.Write(LineKind::StateChange, event, fields);
 }
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/httpfields.cpp
+++ b/src/libtrefoilgate/httpfields.cpp
@@ -24,28 +24,28 @@
 } // namespace
 
 bool
-SameName(std::string_view aLeft, std::string_view aRight)
+IsSameHeaderName(std::string_view aLeft, std::string_view aRight)
 {
   return trefoilio::SameHeaderName(aLeft, aRight);
 }
 
 std::string_view
-ValueOf(const Headers& aHeaders, std::string_view aName)
+HeaderValue(const Headers& aHeaders, std::string_view aName)
 {
   return trefoilio::FindHeader(aHeaders, aName);
 }
 
 bool
-Has(const Headers& aHeaders, std::string_view aName)
+HasHeader(const Headers& aHeaders, std::string_view aName)
 {
   return std::any_of(
     aHeaders.begin(), aHeaders.end(), [aName](const auto& aHeader) {
-      return SameName(aHeader.first, aName);
+      return IsSameHeaderName(aHeader.first, aName);
     });
 }
 
 Headers
-EndToEnd(const http::fields& aFields)
+EndToEndHeaders(const http::fields& aFields)
 {
   std::vector<std::string> named;
   const auto connections = aFields.equal_range(http::field::connection);
@@ -64,7 +64,7 @@
     const std::string name(field.name_string());
     const bool listed =
       std::any_of(named.begin(), named.end(), [&](const std::string& aNamed) {
-        return SameName(aNamed, name);
+        return IsSameHeaderName(aNamed, name);
       });
     if (!listed) {
       headers.emplace_back(name, std::string(field.value()));
--- a/src/libtrefoilgate/httpfields.h
+++ b/src/libtrefoilgate/httpfields.h
@@ -13,15 +13,15 @@
 
 /** Whether two header names are the same, whatever their case. */
 bool
-SameName(std::string_view aLeft, std::string_view aRight);
+IsSameHeaderName(std::string_view aLeft, std::string_view aRight);
 
 /** The first value of that name, or an empty text. */
 std::string_view
-ValueOf(const Headers& aHeaders, std::string_view aName);
+HeaderValue(const Headers& aHeaders, std::string_view aName);
 
 /** Whether there is a header of that name. */
 bool
-Has(const Headers& aHeaders, std::string_view aName);
+HasHeader(const Headers& aHeaders, std::string_view aName);
 
 /**
  * The headers that travel end to end: without those that concern only one
@@ -29,7 +29,7 @@
  * (Content-Length, Transfer-Encoding) and Expect are left out as well.
  */
 Headers
-EndToEnd(const boost::beast::http::fields& aFields);
+EndToEndHeaders(const boost::beast::http::fields& aFields);
 
 /** Appends `Name: value` and a line end. */
 void
--- a/src/libtrefoilgate/peerdatagram.cpp
+++ b/src/libtrefoilgate/peerdatagram.cpp
@@ -88,7 +88,7 @@
                           load.mRunning,
                           load.mWaiting,
                           load.mSlots,
-                          MillisWithin(each.mAge, kMostAgeMs) });
+                          ClampedMillis(each.mAge, kMostAgeMs) });
     }
   }
   return reports;
@@ -127,7 +127,7 @@
   for (const SilentUpstream& each : aNotes.mSilent) {
     if (silent.size() < kMostSilent) {
       silent.push_back(
-        { each.mUpstream, MillisWithin(each.mSilence, kMostAgeMs) });
+        { each.mUpstream, ClampedMillis(each.mSilence, kMostAgeMs) });
     }
   }
   return silent;
@@ -169,7 +169,7 @@
   }
   const StoreServingInterval& run = *aNotes.mStoreServing;
   return { static_cast<uint64_t>(run.mUntil.Count()),
-           MillisWithin(run.mUntil - run.mSince, kMostRunMs) };
+           ClampedMillis(run.mUntil - run.mSince, kMostRunMs) };
 }
 
 Json
@@ -203,7 +203,7 @@
 {
   return aValue.is_array() && aValue.size() == 3 && aValue[0].is_string() &&
          aValue[1].is_array() && aValue[1].size() <= kMostParts &&
-         std::all_of(aValue[1].begin(), aValue[1].end(), IsCount) &&
+         std::all_of(aValue[1].begin(), aValue[1].end(), IsUnsigned) &&
          IsTokens(aValue[2]);
 }
 
@@ -236,7 +236,7 @@
 IsTable(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 3 &&
-         IsAtMost(aValue[0], UINT8_MAX) && IsCount(aValue[1]) &&
+         IsAtMost(aValue[0], UINT8_MAX) && IsUnsigned(aValue[1]) &&
          IsAtMost(aValue[2], kLatestReading);
 }
 
@@ -253,16 +253,17 @@
 IsRow(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 4 && aValue[0].is_string() &&
-         aValue[1].is_binary() && aValue[2].is_boolean() && IsCount(aValue[3]);
+         aValue[1].is_binary() && aValue[2].is_boolean() &&
+         IsUnsigned(aValue[3]);
 }
 
 bool
 IsNews(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 7 && aValue[0] == kNewsFormat &&
-         IsAtMost(aValue[1], UINT8_MAX) && IsCount(aValue[2]) &&
-         IsAtMost(aValue[3], kLatestReading) && IsCount(aValue[4]) &&
-         IsCount(aValue[5]) && aValue[6].is_array() &&
+         IsAtMost(aValue[1], UINT8_MAX) && IsUnsigned(aValue[2]) &&
+         IsAtMost(aValue[3], kLatestReading) && IsUnsigned(aValue[4]) &&
+         IsUnsigned(aValue[5]) && aValue[6].is_array() &&
          std::all_of(aValue[6].begin(), aValue[6].end(), IsRow);
 }
 
@@ -270,8 +271,8 @@
 AreNotes(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 13 && aValue[0] == kFormat &&
-         aValue[1].is_string() && IsCount(aValue[2]) && IsCount(aValue[3]) &&
-         aValue[4].is_array() &&
+         aValue[1].is_string() && IsUnsigned(aValue[2]) &&
+         IsUnsigned(aValue[3]) && aValue[4].is_array() &&
          std::all_of(aValue[4].begin(), aValue[4].end(), IsPending) &&
          aValue[5].is_array() &&
          std::all_of(aValue[5].begin(), aValue[5].end(), IsSent) &&
@@ -294,7 +295,7 @@
 } // namespace
 
 std::vector<uint8_t>
-EncodeNotes(const PeerUpdate& aNotes)
+EncodePeerUpdate(const PeerUpdate& aNotes)
 {
   return Json::to_msgpack(Json::array({ kFormat,
                                         aNotes.mFrom,
@@ -312,7 +313,7 @@
 }
 
 std::optional<PeerUpdate>
-DecodeNotes(const std::vector<uint8_t>& aBytes)
+DecodePeerUpdate(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
   if (!AreNotes(json)) {
@@ -371,13 +372,13 @@
                             .mUntil = until };
   }
   for (const Json& each : json[12]) {
-    notes.mLimits.push_back(LimitFrom(each));
+    notes.mLimits.push_back(LimitFromJson(each));
   }
   return notes;
 }
 
 std::vector<uint8_t>
-EncodeNews(const TableUpdate& aNews)
+EncodeTableUpdate(const TableUpdate& aNews)
 {
   Json rows = Json::array();
   for (const TableRow& row : aNews.mRows) {
@@ -396,15 +397,15 @@
                   aNews.mUpTo,
                   std::move(rows) });
   std::vector<uint8_t> bytes = Json::to_msgpack(news);
-  if (bytes.size() > kMostDatagramBytes && !aNews.mRows.empty()) {
-    return EncodeNews(
+  if (bytes.size() > kMaxDatagramBytes && !aNews.mRows.empty()) {
+    return EncodeTableUpdate(
       { .mTable = aNews.mTable, .mCheckpoint = aNews.mCheckpoint });
   }
   return bytes;
 }
 
 std::optional<TableUpdate>
-DecodeNews(const std::vector<uint8_t>& aBytes)
+DecodeTableUpdate(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
   if (!IsNews(json)) {
--- a/src/libtrefoilgate/peerdatagram.h
+++ b/src/libtrefoilgate/peerdatagram.h
@@ -11,24 +11,24 @@
 namespace trefoilgate {
 
 /** What an entry reads of one datagram. */
-constexpr size_t kMostDatagramBytes = 4096;
+constexpr size_t kMaxDatagramBytes = 4096;
 
 /** Notes as one datagram between entries: MessagePack, arrays without names.
  * Prompts that find no room in it are left out. */
 std::vector<uint8_t>
-EncodeNotes(const trefoilarch::PeerUpdate& aNotes);
+EncodePeerUpdate(const trefoilarch::PeerUpdate& aNotes);
 
 /** News of a table as one datagram, without its rows where they find no room
  * in it: whoever lacks them asks the store. */
 std::vector<uint8_t>
-EncodeNews(const trefoilarch::TableUpdate& aNews);
+EncodeTableUpdate(const trefoilarch::TableUpdate& aNews);
 
 /** Empty where the bytes are no news. */
 std::optional<trefoilarch::TableUpdate>
-DecodeNews(const std::vector<uint8_t>& aBytes);
+DecodeTableUpdate(const std::vector<uint8_t>& aBytes);
 
 /** Empty where the bytes are no notes. */
 std::optional<trefoilarch::PeerUpdate>
-DecodeNotes(const std::vector<uint8_t>& aBytes);
+DecodePeerUpdate(const std::vector<uint8_t>& aBytes);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/peerlink.cpp
+++ b/src/libtrefoilgate/peerlink.cpp
@@ -57,7 +57,7 @@
   if (mAddress.empty()) {
     return;
   }
-  const auto endpoint = EndpointOf(mAddress);
+  const auto endpoint = ParseEndpoint(mAddress);
   const Udp::endpoint own(endpoint.address(), endpoint.port());
   mSocket.open(own.protocol());
   mSocket.bind(own);
@@ -80,7 +80,7 @@
   mListed.clear();
   mTold.clear();
   for (const std::string& each : aAddresses) {
-    const auto endpoint = EndpointOf(each);
+    const auto endpoint = ParseEndpoint(each);
     if (endpoint.port() == 0 || each == Address()) {
       continue;
     }
@@ -128,14 +128,14 @@
   }
   const std::vector<uint8_t> bytes(
     mBuffer.begin(), mBuffer.begin() + static_cast<std::ptrdiff_t>(aBytes));
-  if (const auto notes = DecodeNotes(bytes)) {
+  if (const auto notes = DecodePeerUpdate(bytes)) {
     mHeard++;
-    mHooks.mOnNotes(*notes);
-  } else if (const auto news = DecodeNews(bytes)) {
-    mHooks.mOnNews(*news);
-  } else if (const auto crashNews = DecodeCrashNews(bytes)) {
+    mHooks.mOnPeerUpdate(*notes);
+  } else if (const auto news = DecodeTableUpdate(bytes)) {
+    mHooks.mOnTableUpdate(*news);
+  } else if (const auto crashNews = DecodeCrashUpdate(bytes)) {
     mHooks.mOnCrashUpdate(*crashNews);
-  } else if (const auto ask = DecodePermitAsk(bytes)) {
+  } else if (const auto ask = DecodePermitRequest(bytes)) {
     OnPermitRequest(*ask);
   } else if (const auto reply = DecodePermitReply(bytes)) {
     mHooks.mOnPermitReply(*reply);
@@ -152,18 +152,18 @@
 }
 
 void
-PeerLink::Ask(const std::string& aAddress,
-              const trefoilarch::PermitRequest& aAsk)
+PeerLink::RequestPermit(const std::string& aAddress,
+                        const trefoilarch::PermitRequest& aAsk)
 {
-  const auto endpoint = EndpointOf(aAddress);
-  SendTo({ endpoint.address(), endpoint.port() }, EncodePermitAsk(aAsk));
+  const auto endpoint = ParseEndpoint(aAddress);
+  SendTo({ endpoint.address(), endpoint.port() }, EncodePermitRequest(aAsk));
 }
 
 void
 PeerLink::Tick()
 {
   const Millis now = BootNow();
-  const bool due = mHooks.mHasNotes() || now - mToldAt >= kHeartbeat;
+  const bool due = mHooks.mHasPeerUpdate() || now - mToldAt >= kHeartbeat;
   if (due && !mTold.empty()) {
     TellNotes();
     mToldAt = now;
@@ -174,19 +174,19 @@
 void
 PeerLink::TellNotes()
 {
-  Send(EncodeNotes(mHooks.mTakeNotes()));
+  Send(EncodePeerUpdate(mHooks.mTakePeerUpdate()));
 }
 
 void
-PeerLink::Tell(const trefoilarch::TableUpdate& aNews)
+PeerLink::SendUpdate(const trefoilarch::TableUpdate& aNews)
 {
-  Send(EncodeNews(aNews));
+  Send(EncodeTableUpdate(aNews));
 }
 
 void
-PeerLink::Tell(const trefoilarch::CrashUpdate& aNews)
+PeerLink::SendUpdate(const trefoilarch::CrashUpdate& aNews)
 {
-  Send(EncodeCrashNews(aNews));
+  Send(EncodeCrashUpdate(aNews));
 }
 
 void
--- a/src/libtrefoilgate/peerlink.h
+++ b/src/libtrefoilgate/peerlink.h
@@ -24,10 +24,10 @@
 struct PeerHooks
 {
   /** Whether there is something new to be told. */
-  std::function<bool()> mHasNotes;
-  std::function<trefoilarch::PeerUpdate()> mTakeNotes;
-  std::function<void(const trefoilarch::PeerUpdate&)> mOnNotes;
-  std::function<void(const trefoilarch::TableUpdate&)> mOnNews;
+  std::function<bool()> mHasPeerUpdate;
+  std::function<trefoilarch::PeerUpdate()> mTakePeerUpdate;
+  std::function<void(const trefoilarch::PeerUpdate&)> mOnPeerUpdate;
+  std::function<void(const trefoilarch::TableUpdate&)> mOnTableUpdate;
   std::function<void(const trefoilarch::CrashUpdate&)> mOnCrashUpdate;
   /** Another entry, at that address, asks for a permit; empty: no answer. */
   std::function<std::optional<trefoilarch::PermitReply>(
@@ -56,19 +56,20 @@
   void SetPeers(const std::vector<std::string>& aAddresses);
 
   /** Tells what can't wait for the next notes. */
-  void Tell(const trefoilarch::TableUpdate& aNews);
-  void Tell(const trefoilarch::CrashUpdate& aNews);
+  void SendUpdate(const trefoilarch::TableUpdate& aNews);
+  void SendUpdate(const trefoilarch::CrashUpdate& aNews);
   /** Asks the entry at that address. */
-  void Ask(const std::string& aAddress, const trefoilarch::PermitRequest& aAsk);
+  void RequestPermit(const std::string& aAddress,
+                     const trefoilarch::PermitRequest& aAsk);
 
   /** Where it listens; empty where it does not. */
   std::string Address() const;
   /** Other entries that are known. */
-  size_t Listed() const { return mListed.size(); }
+  size_t ListedCount() const { return mListed.size(); }
   /** Some of them are not told by this one. */
-  bool TellsSome() const { return mTold.size() < mListed.size(); }
-  uint64_t Sent() const { return mSent; }
-  uint64_t Heard() const { return mHeard; }
+  bool SendsToSubset() const { return mTold.size() < mListed.size(); }
+  uint64_t SentCount() const { return mSent; }
+  uint64_t ReceivedCount() const { return mHeard; }
 
 private:
   using Udp = boost::asio::ip::udp;
@@ -90,7 +91,7 @@
   boost::asio::steady_timer mTimer;
   std::set<Udp::endpoint> mListed;
   std::vector<Udp::endpoint> mTold;
-  std::array<uint8_t, kMostDatagramBytes> mBuffer{};
+  std::array<uint8_t, kMaxDatagramBytes> mBuffer{};
   Udp::endpoint mSender;
   Millis mToldAt;
   uint64_t mSent = 0;
--- a/src/libtrefoilgate/permitdatagram.cpp
+++ b/src/libtrefoilgate/permitdatagram.cpp
@@ -42,7 +42,7 @@
 {
   return { aLimit.mUpstream,
            aLimit.mPerSecond.value_or(kNoLimit),
-           MillisWithin(aLimit.mAge, kMostMillis) };
+           ClampedMillis(aLimit.mAge, kMostMillis) };
 }
 
 bool
@@ -53,7 +53,7 @@
 }
 
 LimitReport
-LimitFrom(const Json& aValue)
+LimitFromJson(const Json& aValue)
 {
   LimitReport limit{ .mUpstream = aValue[0].get<std::string>(),
                      .mAge = Millis(aValue[2].get<int64_t>()) };
@@ -65,7 +65,7 @@
 }
 
 std::vector<uint8_t>
-EncodePermitAsk(const PermitRequest& aAsk)
+EncodePermitRequest(const PermitRequest& aAsk)
 {
   return Json::to_msgpack(Json::array({ kAskFormat,
                                         aAsk.mNumber,
@@ -78,19 +78,20 @@
 std::vector<uint8_t>
 EncodePermitReply(const PermitReply& aReply)
 {
-  return Json::to_msgpack(Json::array({ kReplyFormat,
-                                        aReply.mNumber,
-                                        aReply.mGranted,
-                                        MillisWithin(aReply.mWait, kMostMillis),
-                                        aReply.mFromUrgency }));
+  return Json::to_msgpack(
+    Json::array({ kReplyFormat,
+                  aReply.mNumber,
+                  aReply.mGranted,
+                  ClampedMillis(aReply.mWait, kMostMillis),
+                  aReply.mFromUrgency }));
 }
 
 std::optional<PermitRequest>
-DecodePermitAsk(const std::vector<uint8_t>& aBytes)
+DecodePermitRequest(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
   const bool isAsk = json.is_array() && json.size() == 6 &&
-                     json[0] == kAskFormat && IsCount(json[1]) &&
+                     json[0] == kAskFormat && IsUnsigned(json[1]) &&
                      IsLimitJson(json[2]) && IsAtMost(json[3], kMostPermits) &&
                      IsAtMost(json[4], UINT8_MAX) &&
                      IsAtMost(json[5], UINT16_MAX);
@@ -98,7 +99,7 @@
     return std::nullopt;
   }
   return PermitRequest{ .mNumber = json[1].get<uint64_t>(),
-                        .mLimit = LimitFrom(json[2]),
+                        .mLimit = LimitFromJson(json[2]),
                         .mCount = json[3].get<uint32_t>(),
                         .mUrgency = json[4].get<uint8_t>(),
                         .mRank = json[5].get<uint32_t>() };
@@ -110,7 +111,7 @@
   const Json json = Json::from_msgpack(aBytes, true, false);
   const bool isReply =
     json.is_array() && json.size() == 5 && json[0] == kReplyFormat &&
-    IsCount(json[1]) && IsAtMost(json[2], kMostPermits) &&
+    IsUnsigned(json[1]) && IsAtMost(json[2], kMostPermits) &&
     IsAtMost(json[3], kMostMillis) && IsAtMost(json[4], UINT8_MAX);
   if (!isReply) {
     return std::nullopt;
--- a/src/libtrefoilgate/permitdatagram.h
+++ b/src/libtrefoilgate/permitdatagram.h
@@ -16,16 +16,16 @@
 IsLimitJson(const nlohmann::json& aValue);
 /** Of a value that IsLimitJson(). */
 trefoilarch::LimitReport
-LimitFrom(const nlohmann::json& aValue);
+LimitFromJson(const nlohmann::json& aValue);
 
 std::vector<uint8_t>
-EncodePermitAsk(const trefoilarch::PermitRequest& aAsk);
+EncodePermitRequest(const trefoilarch::PermitRequest& aAsk);
 std::vector<uint8_t>
 EncodePermitReply(const trefoilarch::PermitReply& aReply);
 
 /** Empty where the bytes are no ask. */
 std::optional<trefoilarch::PermitRequest>
-DecodePermitAsk(const std::vector<uint8_t>& aBytes);
+DecodePermitRequest(const std::vector<uint8_t>& aBytes);
 /** Empty where the bytes are no reply. */
 std::optional<trefoilarch::PermitReply>
 DecodePermitReply(const std::vector<uint8_t>& aBytes);
--- a/src/libtrefoilgate/refusalanswer.cpp
+++ b/src/libtrefoilgate/refusalanswer.cpp
@@ -24,11 +24,11 @@
 
 } // namespace
 
-AnswerHeadOut
+AnswerHead
 RefusalHead(const Refusal& aRefusal)
 {
-  AnswerHeadOut head{ .mStatus = AnswerFor(aRefusal.mKind).mHttpStatus,
-                      .mHeaders = { { "Content-Type", "application/json" } } };
+  AnswerHead head{ .mStatus = AnswerFor(aRefusal.mKind).mHttpStatus,
+                   .mHeaders = { { "Content-Type", "application/json" } } };
   if (aRefusal.mRetryAfter > Millis(0)) {
     head.mHeaders.emplace_back("Retry-After",
                                SecondsText(aRefusal.mRetryAfter));
--- a/src/libtrefoilgate/refusalanswer.h
+++ b/src/libtrefoilgate/refusalanswer.h
@@ -9,7 +9,7 @@
 namespace trefoilgate {
 
 /** The head of an answer that refuses: status, and when to come back. */
-AnswerHeadOut
+AnswerHead
 RefusalHead(const trefoilarch::Refusal& aRefusal);
 
 /** Its body: the error's kind, and whether the request may have run. */
--- a/src/libtrefoilgate/socketoptions.cpp
+++ b/src/libtrefoilgate/socketoptions.cpp
@@ -18,19 +18,19 @@
 } // namespace
 
 void
-SetOptions(boost::asio::ip::tcp::socket& aSocket,
-           const SilenceOptions& aSilence)
+SetSocketOptions(boost::asio::ip::tcp::socket& aSocket,
+                 const KeepaliveOptions& aSilence)
 {
   const int handle = aSocket.native_handle();
   SetNumber(handle, IPPROTO_TCP, TCP_NODELAY, 1);
   SetNumber(handle,
             IPPROTO_TCP,
             TCP_USER_TIMEOUT,
-            static_cast<int>(aSilence.mUnacknowledged.Count()));
+            static_cast<int>(aSilence.mUserTimeout.Count()));
   SetNumber(handle, SOL_SOCKET, SO_KEEPALIVE, 1);
-  SetNumber(handle, IPPROTO_TCP, TCP_KEEPIDLE, aSilence.mProbeAfterSeconds);
+  SetNumber(handle, IPPROTO_TCP, TCP_KEEPIDLE, aSilence.mKeepaliveIdleSeconds);
   SetNumber(handle, IPPROTO_TCP, TCP_KEEPINTVL, 1);
-  SetNumber(handle, IPPROTO_TCP, TCP_KEEPCNT, aSilence.mProbes);
+  SetNumber(handle, IPPROTO_TCP, TCP_KEEPCNT, aSilence.mKeepaliveProbes);
 }
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/socketoptions.h
+++ b/src/libtrefoilgate/socketoptions.h
@@ -7,19 +7,19 @@
 namespace trefoilgate {
 
 /** How soon a peer that has gone silent is noticed by the kernel. */
-struct SilenceOptions
+struct KeepaliveOptions
 {
   /** Unacknowledged bytes for this long break the connection. */
-  trefoilarch::Millis mUnacknowledged{ 2000 };
+  trefoilarch::Millis mUserTimeout{ 2000 };
   /** Nothing heard for this long: the kernel asks... */
-  int mProbeAfterSeconds = 1;
+  int mKeepaliveIdleSeconds = 1;
   /** ...once a second, this many times, and then breaks it. */
-  int mProbes = 3;
+  int mKeepaliveProbes = 3;
 };
 
 /** Sends small writes at once and watches for silence. */
 void
-SetOptions(boost::asio::ip::tcp::socket& aSocket,
-           const SilenceOptions& aSilence);
+SetSocketOptions(boost::asio::ip::tcp::socket& aSocket,
+                 const KeepaliveOptions& aSilence);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/upstreamanswer.h
+++ b/src/libtrefoilgate/upstreamanswer.h
@@ -19,7 +19,7 @@
   /** Nothing but the end of the connection tells that it is whole. */
   bool mEndsWithConnection = false;
   /** How long the upstream keeps an idle connection, if it says so. */
-  std::optional<trefoilarch::Millis> mIdleSpan;
+  std::optional<trefoilarch::Millis> mIdleTimeout;
 };
 
 } // namespace trefoilgate
--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -202,7 +202,7 @@
   cr_expect(values["large"] == large);
   cr_expect(!values.contains("other-part"));
   cr_expect(read->mVersion == 12 && !read->mHasMore);
-  cr_expect(read->mNow == Millis(99));
+  cr_expect(read->mStoreTime == Millis(99));
 }
 
 Test(adapter, what_is_no_answer_is_told_as_such)
@@ -250,7 +250,7 @@
     }
     std::string why;
     if (const auto upstream = ReadUpstream("i-1", text, why)) {
-      cr_assert(EndpointOf(upstream->mAddress).port() != 0);
+      cr_assert(ParseEndpoint(upstream->mAddress).port() != 0);
       cr_assert(!upstream->mService.empty());
       cr_assert(upstream->mColdFor >= Millis(0));
     }
@@ -293,8 +293,8 @@
     .mStoreServing =
       StoreServingInterval{ .mSince = Millis(90000), .mUntil = Millis(98765) }
   };
-  const std::vector<uint8_t> bytes = EncodeNotes(notes);
-  const auto read = DecodeNotes(bytes);
+  const std::vector<uint8_t> bytes = EncodePeerUpdate(notes);
+  const auto read = DecodePeerUpdate(bytes);
   cr_assert(read.has_value());
   cr_expect(*read == notes);
   std::mt19937_64 random(7);
@@ -302,7 +302,7 @@
     std::vector<uint8_t> spoilt = bytes;
     spoilt[random() % spoilt.size()] = static_cast<uint8_t>(random());
     spoilt.resize(random() % 3 == 0 ? random() % bytes.size() : bytes.size());
-    DecodeNotes(spoilt);
+    DecodePeerUpdate(spoilt);
   }
 }
 
@@ -316,17 +316,17 @@
     .mRows = { { .mKey = "i-1", .mValue = "{\"a\":\xff}", .mVersion = 11 },
                { .mKey = "i-2", .mRemoved = true, .mVersion = 12 } }
   };
-  const std::vector<uint8_t> bytes = EncodeNews(news);
-  const auto read = DecodeNews(bytes);
+  const std::vector<uint8_t> bytes = EncodeTableUpdate(news);
+  const auto read = DecodeTableUpdate(bytes);
   cr_assert(read.has_value());
   cr_expect(*read == news);
-  cr_expect(!DecodeNotes(bytes).has_value());
+  cr_expect(!DecodePeerUpdate(bytes).has_value());
   std::mt19937_64 random(7);
   for (size_t each = 0; each < 20000; ++each) {
     std::vector<uint8_t> spoilt = bytes;
     spoilt[random() % spoilt.size()] = static_cast<uint8_t>(random());
     spoilt.resize(random() % 3 == 0 ? random() % bytes.size() : bytes.size());
-    DecodeNews(spoilt);
+    DecodeTableUpdate(spoilt);
   }
 }
 
@@ -341,9 +341,9 @@
                            .mValue = std::string(100, 'v'),
                            .mVersion = each });
   }
-  const std::vector<uint8_t> bytes = EncodeNews(news);
-  cr_expect(bytes.size() <= kMostDatagramBytes);
-  const auto read = DecodeNews(bytes);
+  const std::vector<uint8_t> bytes = EncodeTableUpdate(news);
+  cr_expect(bytes.size() <= kMaxDatagramBytes);
+  const auto read = DecodeTableUpdate(bytes);
   cr_assert(read.has_value());
   cr_expect(read->mCheckpoint == news.mCheckpoint);
   cr_expect(read->mRows.empty());
@@ -365,7 +365,7 @@
     notes.mDemands.push_back(
       { .mService = "llm", .mRoute = "route-" + std::to_string(each) });
   }
-  cr_expect(EncodeNotes(notes).size() < 2000);
+  cr_expect(EncodePeerUpdate(notes).size() < 2000);
 }
 
 /** One upstream's word must not make others drop all that an entry tells. */
@@ -377,7 +377,7 @@
                                         { .mUpstream = "i-2",
                                           .mLoad = { .mRunning = 3 },
                                           .mAge = Millis(-5) } } };
-  const auto read = DecodeNotes(EncodeNotes(notes));
+  const auto read = DecodePeerUpdate(EncodePeerUpdate(notes));
   cr_assert(read.has_value());
   cr_assert(read->mReports.size() == 1);
   cr_expect(read->mReports[0].mUpstream == "i-2");
@@ -391,7 +391,7 @@
   const auto rankOf = [&](uint8_t aWorkspace, uint8_t aRoute) {
     const Headers headers = dialect.mOutgoing(
       CallerRequest{}, { .mPriority = aWorkspace, .mRoutePriority = aRoute });
-    return std::stoi(std::string(ValueOf(headers, "X-Request-Priority")));
+    return std::stoi(std::string(HeaderValue(headers, "X-Request-Priority")));
   };
   cr_expect(rankOf(1, 0) < rankOf(0, 1));
   cr_expect(rankOf(2, 0) < rankOf(0, 2));
@@ -411,7 +411,7 @@
                   { "X-Token-Usage", "1460,80" },
                   { "X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4:250" } }
   };
-  const RequestAttributes facts = dialect.mFacts(request);
+  const RequestAttributes facts = dialect.mRequestAttributes(request);
   cr_expect(facts.mCallerTimeout == Millis(1200));
   cr_expect(facts.mKey == "a");
   cr_expect(facts.mPrompt.mPromptTokens == 1460);
@@ -428,7 +428,7 @@
                                  { "X-Deadline-Ms", "soon" },
                                  { "X-Token-Usage", "a,b,c" },
                                  { "X-Prompt-Prefix", ",:,x:y" } } };
-  const RequestAttributes facts = dialect.mFacts(request);
+  const RequestAttributes facts = dialect.mRequestAttributes(request);
   cr_expect(!facts.mCallerTimeout.has_value());
   cr_expect(facts.mPrompt.mPromptTokens == 0);
   cr_expect(facts.mPrompt.mSegments.size() == 3);
@@ -450,15 +450,15 @@
                                           .mPriority = 1,
                                           .mRoutePriority = 2,
                                           .mTimeLeft = Millis(900) });
-  cr_expect(ValueOf(out, "X-Tenant") == "t1");
-  cr_expect(ValueOf(out, "X-Expect-Instance") == "i-1");
-  cr_expect(ValueOf(out, "X-Request-Priority") == "7");
-  cr_expect(ValueOf(out, "X-Deadline-Ms") == "900");
-  cr_expect(ValueOf(out, "X-Other") == "kept");
-  cr_expect(ValueOf(out, "Last-Event-Id") == "4");
+  cr_expect(HeaderValue(out, "X-Tenant") == "t1");
+  cr_expect(HeaderValue(out, "X-Expect-Instance") == "i-1");
+  cr_expect(HeaderValue(out, "X-Request-Priority") == "7");
+  cr_expect(HeaderValue(out, "X-Deadline-Ms") == "900");
+  cr_expect(HeaderValue(out, "X-Other") == "kept");
+  cr_expect(HeaderValue(out, "Last-Event-Id") == "4");
   for (const char* name :
        { "X-Credential", "X-Pin-Ms", "Kv-From", "X-Kv-Backup" }) {
-    cr_expect(!Has(out, name), "%s", name);
+    cr_expect(!HasHeader(out, name), "%s", name);
   }
 }
 
@@ -466,17 +466,17 @@
 {
   const Dialect dialect = PlatformDialect();
   const auto meaning = [&](const UpstreamAnswer& aAnswer) {
-    return dialect.mMeaning(aAnswer, "id");
+    return dialect.mClassify(aAnswer, "id");
   };
   cr_expect(meaning(Answer(200, { { "X-Response-Seal", "s" } })) ==
-            AnswerMeaning::Genuine);
-  cr_expect(meaning(Answer(200, {})) == AnswerMeaning::Unsealed);
+            AnswerValidity::Genuine);
+  cr_expect(meaning(Answer(200, {})) == AnswerValidity::Unsealed);
   cr_expect(meaning(Answer(503, { { "X-Not-Executed", "1" } })) ==
-            AnswerMeaning::NotRun);
-  cr_expect(meaning(Answer(503, {})) == AnswerMeaning::Genuine);
-  cr_expect(meaning(Answer(421, {})) == AnswerMeaning::NotRun);
+            AnswerValidity::NotRun);
+  cr_expect(meaning(Answer(503, {})) == AnswerValidity::Genuine);
+  cr_expect(meaning(Answer(421, {})) == AnswerValidity::NotRun);
   cr_expect(meaning(Answer(200, { { "X-Request-Id", "x" } })) ==
-            AnswerMeaning::NotOurs);
+            AnswerValidity::Mismatched);
 }
 
 Test(adapter, a_settings_file_is_read_by_lines)
@@ -506,9 +506,9 @@
   EventTracker events;
   cr_expect(events.Add("id: 1\ndata: a\n").empty());
   cr_expect(events.Add("\nid: 2\nda") == "id: 1\ndata: a\n\n");
-  cr_expect(events.LastId() == "1");
+  cr_expect(events.LastEventId() == "1");
   cr_expect(events.Add("ta: b\n\nid: 3") == "id: 2\ndata: b\n\n");
-  cr_expect(events.Rest() == "id: 3");
+  cr_expect(events.Remainder() == "id: 3");
   cr_expect(events.Events() == 2);
 }
 
@@ -518,10 +518,10 @@
   events.Add("id: 1\n\nid: 2\n\nid: 3\nhalf");
   events.BeginNextRun();
   cr_expect(events.Add("id: 2\n\nid: 3\n\nid: 4\n\n") == "id: 3\n\nid: 4\n\n");
-  cr_expect(!events.Gap());
+  cr_expect(!events.HasGap());
   events.BeginNextRun();
   events.Add("id: 7\n\n");
-  cr_expect(events.Gap());
+  cr_expect(events.HasGap());
 }
 
 Test(adapter, a_policy_is_checked_before_it_is_put)
--- a/tests/platform/callcounter.cpp
+++ b/tests/platform/callcounter.cpp
@@ -27,7 +27,7 @@
 namespace platformtest {
 
 CallCounts
-CountsOfThisThread()
+ThreadCallCounts()
 {
   return sCounts;
 }
--- a/tests/platform/callcounter.h
+++ b/tests/platform/callcounter.h
@@ -17,6 +17,6 @@
  * libraries' and count; link callcounter.cpp to have them.
  */
 CallCounts
-CountsOfThisThread();
+ThreadCallCounts();
 
 } // namespace platformtest
--- a/tests/platform/costtest.cpp
+++ b/tests/platform/costtest.cpp
@@ -133,7 +133,7 @@
     trefoilgate::DecisionLog log(
       { .mProcess = "g", .mRing = kLines, .mOthersPerSecond = kLines * 10 });
     for (int each = 0; each < kLines; ++each) {
-      log.Write(trefoilgate::LineKind::Trouble,
+      log.Write(trefoilgate::LineKind::Failure,
                 "request_ended",
                 { { "id", "5f3c1a9be2d47" },
                   { "outcome", "deadline_exceeded" },
--- a/tests/platform/crashdatagramtest.cpp
+++ b/tests/platform/crashdatagramtest.cpp
@@ -19,7 +19,7 @@
                     .mAge = Millis(12) },
                   { .mIncarnation = { .mUpstream = "i-2" } } },
     .mCleared = { { .mRequest = { 3, 4 }, .mAge = Millis(5) } },
-    .mProbes = { { 5, 6 } },
+    .mKeepaliveProbes = { { 5, 6 } },
     .mQuarantined = { { .mRequest = { 7, 8 },
                         .mSuspectFor = Millis(90),
                         .mIdleFor = Millis(30) } }
@@ -30,7 +30,7 @@
 
 Test(crashdatagram, is_read_back_as_it_was_written)
 {
-  const auto news = DecodeCrashNews(EncodeCrashNews(SomeNews()));
+  const auto news = DecodeCrashUpdate(EncodeCrashUpdate(SomeNews()));
   cr_assert(news.has_value());
   cr_expect(*news == SomeNews());
 }
@@ -38,14 +38,14 @@
 /** Entries of two versions run side by side while a fleet is upgraded. */
 Test(crashdatagram, is_nothing_else_to_an_entry_that_does_not_know_it)
 {
-  const auto bytes = EncodeCrashNews(SomeNews());
-  cr_expect(!DecodeNotes(bytes).has_value());
-  cr_expect(!DecodeNews(bytes).has_value());
+  const auto bytes = EncodeCrashUpdate(SomeNews());
+  cr_expect(!DecodePeerUpdate(bytes).has_value());
+  cr_expect(!DecodeTableUpdate(bytes).has_value());
 }
 
 Test(crashdatagram, other_bytes_are_none)
 {
-  const auto bytes = EncodeCrashNews(SomeNews());
+  const auto bytes = EncodeCrashUpdate(SomeNews());
   std::mt19937 random(1);
   for (int each = 0; each < 20000; ++each) {
     auto wrong = bytes;
@@ -53,12 +53,12 @@
     if (!wrong.empty()) {
       wrong[random() % wrong.size()] = static_cast<uint8_t>(random());
     }
-    const auto news = DecodeCrashNews(wrong);
+    const auto news = DecodeCrashUpdate(wrong);
     if (news) {
       cr_expect(news->mReports.size() <= 256);
     }
   }
-  cr_expect(!DecodeCrashNews({}).has_value());
+  cr_expect(!DecodeCrashUpdate({}).has_value());
 }
 
 /** The longest message that is made finds room in what is read. */
@@ -72,5 +72,5 @@
     report.mSuspects.push_back({ UINT64_MAX - each, UINT64_MAX });
   }
   news.mReports.push_back(report);
-  cr_expect(EncodeCrashNews(news).size() < 1400);
+  cr_expect(EncodeCrashUpdate(news).size() < 1400);
 }
--- a/tests/platform/crashingupstreams.cpp
+++ b/tests/platform/crashingupstreams.cpp
@@ -119,8 +119,8 @@
     mCrashes.push_back(CrashOf(line));
   }
   aSlot.mProcess.reset();
-  std::uniform_int_distribution<int> away(mOptions.mLeastAwayMs,
-                                          mOptions.mMostAwayMs);
+  std::uniform_int_distribution<int> away(mOptions.mMinDownMs,
+                                          mOptions.mMaxDownMs);
   aSlot.mBackAtMs = NowMs() + away(mRandom);
   if (!mOptions.mSameId) {
     mLapses.push_back({ .mId = aSlot.mId, .mAtMs = NowMs() + kLapseMs });
--- a/tests/platform/crashingupstreams.h
+++ b/tests/platform/crashingupstreams.h
@@ -19,8 +19,8 @@
   size_t mUpstreams = 12;
   uint64_t mSeed = 1;
   /** An upstream that has ended is back after a drawn time between these. */
-  int mLeastAwayMs = 600;
-  int mMostAwayMs = 1800;
+  int mMinDownMs = 600;
+  int mMaxDownMs = 1800;
   /** Whether one that is back has the id that it had. */
   bool mSameId = false;
 };
--- a/tests/platform/gatesettingstest.cpp
+++ b/tests/platform/gatesettingstest.cpp
@@ -159,10 +159,10 @@
             "an outage is seen no later");
   cr_expect(SettingsWith("TREFOILARCH_MOST_DESCRIPTORS", "4100.9") == plain,
             "no descriptor more");
-  cr_expect(SettingsWith("TREFOILARCH_STOP_SECONDS", "8.0009").mStopSpan ==
-            plain.mStopSpan);
-  cr_expect(SettingsWith("TREFOILARCH_STOP_SECONDS", "8.5").mStopSpan ==
-            plain.mStopSpan + Millis(500));
+  cr_expect(SettingsWith("TREFOILARCH_STOP_SECONDS", "8.0009").mStopTimeout ==
+            plain.mStopTimeout);
+  cr_expect(SettingsWith("TREFOILARCH_STOP_SECONDS", "8.5").mStopTimeout ==
+            plain.mStopTimeout + Millis(500));
   cr_expect(SettingsWith("TREFOILARCH_MEMORY_MB", "110.5").mMaxBodyBytes >
             plain.mMaxBodyBytes);
 }
--- a/tests/platform/loopcosttest.cpp
+++ b/tests/platform/loopcosttest.cpp
@@ -59,8 +59,8 @@
                                      .mListen = kListen,
                                      .mOperatorListen = kListen,
                                      .mKeyPolicyMaxAge = Millis(4500),
-                                     .mStopSpan = Millis(1000),
-                                     .mMostDescriptors = 4096,
+                                     .mStopTimeout = Millis(1000),
+                                     .mMaxDescriptors = 4096,
                                      .mMaxBodyBytes = 1 << 24 },
                       .mDialect = trefoilplatform::PlatformDialect() });
     mGateway->SetPolicy(OpenPolicy());
@@ -92,7 +92,7 @@
   {
     std::promise<CallCounts> counts;
     boost::asio::post(mLoop,
-                      [&counts] { counts.set_value(CountsOfThisThread()); });
+                      [&counts] { counts.set_value(ThreadCallCounts()); });
     return counts.get_future().get();
   }
 
--- a/tests/platform/peertabletest.cpp
+++ b/tests/platform/peertabletest.cpp
@@ -67,13 +67,13 @@
     { .mStore = aStore.Address(),
       .mName = NameOf(0),
       .mAddress = "127.0.0.1:20000",
-      .mSilentSpan = Millis(300) },
+      .mSilenceTimeout = Millis(300) },
     [](const std::vector<std::string>&) {},
     [&](const std::string& aName) {
       return aHeard.contains(aName) ? BootNow() : Millis(0);
     },
-    { .mOnStoreRead = [](const trefoilarch::TableCheckpoint&) {},
-      .mOnNews = [](const trefoilarch::TableUpdate&) {} });
+    { .mOnCheckpoint = [](const trefoilarch::TableCheckpoint&) {},
+      .mOnTableUpdate = [](const trefoilarch::TableUpdate&) {} });
   table.Start();
   loop.run_for(std::chrono::milliseconds(5000));
 }
--- a/tests/platform/poisondaystest.cpp
+++ b/tests/platform/poisondaystest.cpp
@@ -94,10 +94,10 @@
     fleet,
     { .mUpstreams = static_cast<size_t>(draw.Between(6, 14)),
       .mSeed = aSeed,
-      .mLeastAwayMs = away,
-      .mMostAwayMs = away + draw.Between(0, 1500),
+      .mMinDownMs = away,
+      .mMaxDownMs = away + draw.Between(0, 1500),
       .mSameId = draw.Coin() });
-  std::vector<Repeater> repeaters = { InnocentAt(draw.Between(5, 20)) };
+  std::vector<Repeater> repeaters = { HarmlessAt(draw.Between(5, 20)) };
   const int poisons = draw.Between(1, 4);
   for (int each = 0; each < poisons; ++each) {
     repeaters.push_back(PoisonAt(kPaths[each % kRoutes] + std::to_string(each),
@@ -110,11 +110,11 @@
   if (replaces) {
     const auto gate =
       static_cast<size_t>(draw.Between(0, static_cast<int>(gates) - 1));
-    load.LeaveOut(gate);
+    load.ExcludeGate(gate);
     Sleep(300);
     fleet.RestartGate(gate);
     fleet.AwaitReady();
-    load.LeaveOut(SIZE_MAX);
+    load.ExcludeGate(SIZE_MAX);
   }
   Sleep(6000);
   const int64_t settled = trefoilio::MonotonicNow().Count();
@@ -129,7 +129,7 @@
               crashes);
   }
   for (const char* path : { "/safe/often", "/safe/other" }) {
-    const auto all = load.Of(path, settled);
+    const auto all = load.OutcomesOf(path, settled);
     cr_expect(CountServed(all) == all.size(),
               "seed %d: %s: %zu of %zu served",
               static_cast<int>(aSeed),
--- a/tests/platform/poisonrequesttest.cpp
+++ b/tests/platform/poisonrequesttest.cpp
@@ -100,7 +100,7 @@
                   { PoisonAt("/safe/poison", 8),
                     PoisonAt("/resume/poison", 6),
                     PoisonAt("/once/poison", 4),
-                    InnocentAt(15) },
+                    HarmlessAt(15) },
                   40,
                   7);
   Pause(12);
@@ -113,12 +113,12 @@
               path.c_str(),
               crashes);
   }
-  const auto others = load.Of("/safe/other", settled);
+  const auto others = load.OutcomesOf("/safe/other", settled);
   cr_expect(CountServed(others) == others.size(),
             "%zu of %zu others served",
             CountServed(others),
             others.size());
-  const auto often = load.Of("/safe/often", settled);
+  const auto often = load.OutcomesOf("/safe/often", settled);
   cr_expect(CountServed(often) == often.size(),
             "%zu of %zu alike served",
             CountServed(often),
@@ -147,7 +147,7 @@
   const PlatformFleet fleet(FourGates());
   cr_assert(fleet.AwaitPeers());
   CrashingUpstreams upstreams(fleet, { .mUpstreams = 12, .mSeed = 9 });
-  RepeatLoad load(fleet, kGates, { InnocentAt(30) }, 20, 13);
+  RepeatLoad load(fleet, kGates, { HarmlessAt(30) }, 20, 13);
   Pause(2);
   for (size_t rack = 0; rack < 12; rack += 3) {
     upstreams.KillAtOnce(rack, 3);
@@ -158,7 +158,7 @@
   Pause(3);
   load.Stop();
   for (const char* path : { "/safe/often", "/safe/other" }) {
-    const auto all = load.Of(path, settled);
+    const auto all = load.OutcomesOf(path, settled);
     cr_expect(CountServed(all) == all.size(),
               "%s: %zu of %zu",
               path,
--- a/tests/platform/repeatload.cpp
+++ b/tests/platform/repeatload.cpp
@@ -19,7 +19,7 @@
 }
 
 Repeater
-InnocentAt(double aPerSecond)
+HarmlessAt(double aPerSecond)
 {
   return { .mCall = { .mMethod = "POST",
                       .mPath = "/safe/often",
@@ -72,7 +72,7 @@
 }
 
 std::vector<CallOutcome>
-RepeatLoad::Of(const std::string& aPath, int64_t aSince) const
+RepeatLoad::OutcomesOf(const std::string& aPath, int64_t aSince) const
 {
   const std::lock_guard lock(mMutex);
   std::vector<CallOutcome> all;
--- a/tests/platform/repeatload.h
+++ b/tests/platform/repeatload.h
@@ -35,7 +35,7 @@
 
 /** One that many callers send alike. */
 Repeater
-InnocentAt(double aPerSecond);
+HarmlessAt(double aPerSecond);
 
 /** Sends the repeaters' requests to gates drawn by chance, and others of
  * which each is asked once, until it is told to stop. */
@@ -53,9 +53,9 @@
 
   void Stop();
   /** A gate that is not called for now. */
-  void LeaveOut(size_t aGate) { mLeftOut = aGate; }
-  std::vector<CallOutcome> Of(const std::string& aPath,
-                              int64_t aSince = 0) const;
+  void ExcludeGate(size_t aGate) { mLeftOut = aGate; }
+  std::vector<CallOutcome> OutcomesOf(const std::string& aPath,
+                                      int64_t aSince = 0) const;
 
 private:
   void Send(double aPerSecond,
--- a/tests/unit/listlapsetest.cpp
+++ b/tests/unit/listlapsetest.cpp
@@ -205,7 +205,7 @@
             const std::vector<ListedUpstream>& aRows,
             Millis aReading)
   {
-    aEntry.mDirectory.OnStoreAnswer(aReading);
+    aEntry.mDirectory.OnStoreResponse(aReading);
     aEntry.mDirectory.OnListConfirmed(aReading);
     aEntry.mDirectory.ReplaceAll(aRows, mNow);
     aEntry.mDirectory.Expire();
--- a/tests/unit/requestplantest.cpp
+++ b/tests/unit/requestplantest.cpp
@@ -227,7 +227,7 @@
     }
   }
   played.mAttempts = plan.Attempts();
-  played.mCut = std::holds_alternative<CutAnswer>(step);
+  played.mCut = std::holds_alternative<AbortAnswer>(step);
   played.mAnswered = std::holds_alternative<ForwardAnswer>(step);
   if (const auto* refusal = std::get_if<AnswerRefusal>(&step)) {
     const int status = AnswerFor(refusal->mRefusal.mKind).mHttpStatus;
@@ -487,7 +487,7 @@
   const PlanStep copy = single.OnBroken(true, Millis(2));
   cr_assert(std::holds_alternative<SendRequest>(copy));
   const PlanStep after = single.OnUnreachable(Millis(3));
-  cr_expect(std::holds_alternative<CutAnswer>(after));
+  cr_expect(std::holds_alternative<AbortAnswer>(after));
 }
 
 namespace {
--- a/tests/unit/upstreamdirectorytest.cpp
+++ b/tests/unit/upstreamdirectorytest.cpp
@@ -42,7 +42,7 @@
 void
 Answer(UpstreamDirectory& aDirectory, Millis aNow)
 {
-  aDirectory.OnStoreAnswer(ReadingAt(aNow));
+  aDirectory.OnStoreResponse(ReadingAt(aNow));
   aDirectory.OnListConfirmed(ReadingAt(aNow));
 }
 
@@ -172,7 +172,7 @@
   directory.Remove("a", Millis(1000));
   // The list is confirmed by the same answer that ends the outage, first.
   directory.OnListConfirmed(ReadingAt(Millis(20000)));
-  directory.OnStoreAnswer(ReadingAt(Millis(20000)));
+  directory.OnStoreResponse(ReadingAt(Millis(20000)));
   cr_expect(!directory.Expire());
   Serve(directory, 20500, 21999);
   cr_expect(!directory.Expire());
