--- a/src/libtrefoilarch/admission.cpp
+++ b/src/libtrefoilarch/admission.cpp
@@ -1,7 +1,7 @@
 #include "admission.h"
-#include "room.h"
 #include "schedule.h"
 #include "servicerate.h"
+#include "upstreamcapacity.h"
 
 #include <algorithm>
 
--- a/src/libtrefoilarch/crashdetector.h
+++ b/src/libtrefoilarch/crashdetector.h
@@ -2,7 +2,7 @@
 
 #include "millis.h"
 #include "requestfingerprint.h"
-#include "upstreamstart.h"
+#include "upstreamincarnation.h"
 
 #include <map>
 #include <vector>
--- a/src/libtrefoilarch/crashnewsparts.cpp
+++ b/src/libtrefoilarch/crashupdateparts.cpp
@@ -1,4 +1,4 @@
-#include "crashnewsparts.h"
+#include "crashupdateparts.h"
 
 #include <utility>
 
--- a/src/libtrefoilarch/crashnewsparts.h
+++ b/src/libtrefoilarch/crashupdateparts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "crashnews.h"
+#include "crashupdate.h"
 
 #include <cstddef>
 #include <vector>
--- a/src/libtrefoilarch/lanes.cpp
+++ b/src/libtrefoilarch/dedicatedpools.cpp
@@ -1,4 +1,4 @@
-#include "lanes.h"
+#include "dedicatedpools.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/libtrefoilarch/peernotes.h
+++ b/src/libtrefoilarch/peerupdate.h
@@ -2,10 +2,10 @@
 
 #include "ids.h"
 #include "millis.h"
-#include "pendingreads.h"
+#include "pendingprefill.h"
 #include "routedemand.h"
-#include "servedrun.h"
-#include "tableword.h"
+#include "storeservinginterval.h"
+#include "tablecheckpoint.h"
 #include "upstreamlimits.h"
 #include "upstreamwork.h"
 
--- a/src/libtrefoilarch/peerwork.h
+++ b/src/libtrefoilarch/peerwork.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "millis.h"
-#include "peernotes.h"
+#include "peerupdate.h"
 
 #include <cstdint>
 #include <map>
--- a/src/libtrefoilarch/permitasker.cpp
+++ b/src/libtrefoilarch/permitrequester.cpp
@@ -1,4 +1,4 @@
-#include "permitasker.h"
+#include "permitrequester.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libtrefoilarch/placementcandidate.h
+++ b/src/libtrefoilarch/placementcandidate.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "lanes.h"
+#include "dedicatedpools.h"
 #include "upstreamdirectory.h"
 #include "upstreamwork.h"
 
--- a/src/libtrefoilarch/policyreading.cpp
+++ b/src/libtrefoilarch/policydecoding.cpp
@@ -1,7 +1,7 @@
 #include "policycodec.h"
 
 #include "jsonfields.h"
-#include "operatornames.h"
+#include "requirementoperatornames.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/libtrefoilarch/policywriting.cpp
+++ b/src/libtrefoilarch/policyencoding.cpp
@@ -1,6 +1,6 @@
 #include "policycodec.h"
 
-#include "operatornames.h"
+#include "requirementoperatornames.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/libtrefoilarch/prefixmemory.cpp
+++ b/src/libtrefoilarch/prefixcachetracker.cpp
@@ -1,4 +1,4 @@
-#include "prefixmemory.h"
+#include "prefixcachetracker.h"
 
 #include <algorithm>
 
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "answermemory.h"
 #include "crashevidence.h"
-#include "crashnews.h"
+#include "crashupdate.h"
 #include "millis.h"
+#include "recentanswers.h"
 #include "requestfingerprint.h"
 
 #include <cstdint>
--- a/src/libtrefoilarch/quarantinenews.cpp
+++ b/src/libtrefoilarch/quarantineupdates.cpp
@@ -1,6 +1,6 @@
 #include "quarantine.h"
 
-#include "crashnewsparts.h"
+#include "crashupdateparts.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libtrefoilarch/answermemory.cpp
+++ b/src/libtrefoilarch/recentanswers.cpp
@@ -1,4 +1,4 @@
-#include "answermemory.h"
+#include "recentanswers.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libtrefoilarch/policyfaults.cpp
+++ b/src/libtrefoilarch/routepolicyvalidation.cpp
@@ -1,4 +1,4 @@
-#include "policyfaults.h"
+#include "routepolicyvalidation.h"
 
 #include <map>
 
--- a/src/libtrefoilarch/sharedparts.cpp
+++ b/src/libtrefoilarch/sharedsegmentdetector.cpp
@@ -1,4 +1,4 @@
-#include "sharedparts.h"
+#include "sharedsegmentdetector.h"
 
 namespace trefoilarch {
 
--- a/src/libtrefoilarch/sidecarattempt.h
+++ b/src/libtrefoilarch/sidecarattempt.h
@@ -5,7 +5,7 @@
 #include "ledger.h"
 #include "messages.h"
 #include "millis.h"
-#include "room.h"
+#include "upstreamcapacity.h"
 
 #include <cstdint>
 
--- a/src/libtrefoilarch/sidecarimpl.h
+++ b/src/libtrefoilarch/sidecarimpl.h
@@ -3,13 +3,13 @@
 #include "admission.h"
 #include "ledger.h"
 #include "preemptionorder.h"
-#include "room.h"
 #include "schedule.h"
 #include "servicerate.h"
 #include "sidecarattempt.h"
 #include "sidecarcore.h"
 #include "strictesttarget.h"
 #include "timers.h"
+#include "upstreamcapacity.h"
 
 #include <cstdint>
 #include <unordered_map>
--- a/src/libtrefoilarch/storeuptime.h
+++ b/src/libtrefoilarch/storeuptime.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "millis.h"
-#include "servedrun.h"
+#include "storeservinginterval.h"
 
 #include <optional>
 
--- a/src/libtrefoilarch/tablenews.h
+++ b/src/libtrefoilarch/tableupdate.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tableword.h"
+#include "tablecheckpoint.h"
 
 #include <cstdint>
 #include <string>
--- a/src/libtrefoilarch/tablewatch.h
+++ b/src/libtrefoilarch/tablewatch.h
@@ -2,7 +2,7 @@
 
 #include "freshness.h"
 #include "millis.h"
-#include "tableword.h"
+#include "tablecheckpoint.h"
 
 #include <cstdint>
 #include <functional>
--- a/src/libtrefoilarch/room.cpp
+++ b/src/libtrefoilarch/upstreamcapacity.cpp
@@ -1,4 +1,4 @@
-#include "room.h"
+#include "upstreamcapacity.h"
 
 #include <algorithm>
 #include <array>
--- a/src/libtrefoilarch/upstreamwork.h
+++ b/src/libtrefoilarch/upstreamwork.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "millis.h"
-#include "pendingreads.h"
+#include "pendingprefill.h"
 
 #include <cstdint>
 #include <deque>
--- a/src/libtrefoilarch/workplacement.h
+++ b/src/libtrefoilarch/workplacement.h
@@ -3,7 +3,7 @@
 #include "enginemodel.h"
 #include "millis.h"
 #include "placementcandidate.h"
-#include "prefixmemory.h"
+#include "prefixcachetracker.h"
 #include "prompt.h"
 #include "upstreamwork.h"
 
--- a/src/libtrefoilgate/crashdatagram.h
+++ b/src/libtrefoilgate/crashdatagram.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libtrefoilarch/crashnews.h"
+#include "libtrefoilarch/crashupdate.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -3,7 +3,7 @@
 #include "bootclock.h"
 #include "refusalanswer.h"
 
-#include "libtrefoilarch/policyfaults.h"
+#include "libtrefoilarch/routepolicyvalidation.h"
 #include "libtrefoilarch/tablewatch.h"
 
 #include <algorithm>
--- a/src/libtrefoilgate/peerdatagram.h
+++ b/src/libtrefoilgate/peerdatagram.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "libtrefoilarch/peernotes.h"
-#include "libtrefoilarch/tablenews.h"
+#include "libtrefoilarch/peerupdate.h"
+#include "libtrefoilarch/tableupdate.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/libtrefoilgate/peerlink.h
+++ b/src/libtrefoilgate/peerlink.h
@@ -2,9 +2,9 @@
 
 #include "peerdatagram.h"
 
-#include "libtrefoilarch/crashnews.h"
+#include "libtrefoilarch/crashupdate.h"
 #include "libtrefoilarch/millis.h"
-#include "libtrefoilarch/peernotes.h"
+#include "libtrefoilarch/peerupdate.h"
 #include "libtrefoilarch/permit.h"
 
 #include <boost/asio/ip/udp.hpp>
--- a/tests/unit/leasetest.cpp
+++ b/tests/unit/leasetest.cpp
@@ -1,6 +1,6 @@
 #include "libtrefoilarch/lease.h"
 
-#include "modelchance.h"
+#include "modelrandom.h"
 
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
--- a/tests/unit/pauserecordtest.cpp
+++ b/tests/unit/pauserecordtest.cpp
@@ -1,5 +1,5 @@
 #include "libtrefoilarch/pauserecord.h"
-#include "libtrefoilarch/lanes.h"
+#include "libtrefoilarch/dedicatedpools.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/unit/permittest.cpp
+++ b/tests/unit/permittest.cpp
@@ -1,8 +1,8 @@
-#include "modelchance.h"
 #include "modelevents.h"
+#include "modelrandom.h"
 
-#include "libtrefoilarch/permitasker.h"
 #include "libtrefoilarch/permitissuer.h"
+#include "libtrefoilarch/permitrequester.h"
 
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
--- a/tests/unit/policyfleet.h
+++ b/tests/unit/policyfleet.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "modelchance.h"
+#include "modelrandom.h"
 
 #include "libtrefoilarch/policylog.h"
 
--- a/tests/unit/policyfaultstest.cpp
+++ b/tests/unit/routepolicyvalidationtest.cpp
@@ -1,4 +1,4 @@
-#include "libtrefoilarch/policyfaults.h"
+#include "libtrefoilarch/routepolicyvalidation.h"
 
 #include <algorithm>
 #include <criterion/criterion.h>
--- a/tests/unit/tablewatchtest.cpp
+++ b/tests/unit/tablewatchtest.cpp
@@ -1,5 +1,5 @@
-#include "modelchance.h"
 #include "modelevents.h"
+#include "modelrandom.h"
 
 #include "libtrefoilarch/tablewatch.h"
 
--- a/tests/unit/roomtest.cpp
+++ b/tests/unit/upstreamcapacitytest.cpp
@@ -1,4 +1,4 @@
-#include "libtrefoilarch/room.h"
+#include "libtrefoilarch/upstreamcapacity.h"
 
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
--- a/tests/unit/workplacementtest.cpp
+++ b/tests/unit/workplacementtest.cpp
@@ -1,6 +1,6 @@
 #include "libtrefoilarch/workplacement.h"
-#include "libtrefoilarch/lanes.h"
-#include "libtrefoilarch/sharedparts.h"
+#include "libtrefoilarch/dedicatedpools.h"
+#include "libtrefoilarch/sharedsegmentdetector.h"
 
 #include <algorithm>
 #include <criterion/criterion.h>
