--- a/src/libtrefoilarch/crashdetector.cpp
+++ b/src/libtrefoilarch/crashdetector.cpp
@@ -7,50 +7,50 @@
 
 namespace {
 
-/** An upstream that says nothing is off the list within three heartbeats of
- * some seconds. */
-constexpr Millis kExplainedWithin{ 15000 };
+/** A silent upstream is unlisted within three heartbeats of a few seconds. */
+constexpr Millis kExplanationWindow{ 15000 };
 
-/** All connections of a process end at the same moment; what broke earlier
- * broke for another reason. */
-constexpr Millis kSameMoment{ 500 };
+/** All connections of a process end at the same moment. One that broke earlier
+ * had another cause. */
+constexpr Millis kSimultaneousWindow{ 500 };
 
-/** What an upstream runs at a time, and more. */
-constexpr size_t kMostLosses = 256;
+/** More than the number of concurrent requests of an upstream. */
+constexpr size_t kMaxLostConnections = 256;
 
 } // namespace
 
 bool
-CrashDetector::OnConnectionLost(const UpstreamIncarnation& aStart,
+CrashDetector::OnConnectionLost(const UpstreamIncarnation& aIncarnation,
                                 const RequestFingerprint& aRequest,
                                 Millis aNow)
 {
-  Watched& watched = mWatched[aStart];
-  watched.mChangedAt = aNow;
-  if (watched.mEnded) {
+  IncarnationState& state = mStates[aIncarnation];
+  state.mChangedAt = aNow;
+  if (state.mEnded) {
     return true;
   }
-  watched.mListens = false;
-  if (watched.mLosses.size() < kMostLosses) {
-    watched.mLosses.push_back({ .mRequest = aRequest, .mAt = aNow });
+  state.mIsListening = false;
+  if (state.mLostConnections.size() < kMaxLostConnections) {
+    state.mLostConnections.push_back({ .mRequest = aRequest, .mLostAt = aNow });
   }
   return false;
 }
 
 CrashDetector::Suspects
-CrashDetector::OnEnded(const UpstreamIncarnation& aStart, Millis aNow)
+CrashDetector::OnEnded(const UpstreamIncarnation& aIncarnation, Millis aNow)
 {
-  const auto place = mWatched.find(aStart);
-  if (place == mWatched.end() || place->second.mEnded) {
+  const auto place = mStates.find(aIncarnation);
+  if (place == mStates.end() || place->second.mEnded) {
     return {};
   }
-  Watched& watched = place->second;
-  watched.mEnded = true;
-  watched.mChangedAt = aNow;
-  const std::vector<Loss> losses = std::exchange(watched.mLosses, {});
+  IncarnationState& state = place->second;
+  state.mEnded = true;
+  state.mChangedAt = aNow;
+  const std::vector<LostConnection> lostConnections =
+    std::exchange(state.mLostConnections, {});
   Suspects suspects;
-  for (const Loss& each : losses) {
-    if (losses.back().mAt - each.mAt <= kSameMoment) {
+  for (const LostConnection& each : lostConnections) {
+    if (lostConnections.back().mLostAt - each.mLostAt <= kSimultaneousWindow) {
       suspects.push_back(each.mRequest);
     }
   }
@@ -60,33 +60,33 @@
 }
 
 void
-CrashDetector::OnLeaving(const UpstreamIncarnation& aStart)
+CrashDetector::OnLeaving(const UpstreamIncarnation& aIncarnation)
 {
-  mWatched.erase(aStart);
+  mStates.erase(aIncarnation);
 }
 
 void
-CrashDetector::OnListening(const UpstreamIncarnation& aStart)
+CrashDetector::OnListening(const UpstreamIncarnation& aIncarnation)
 {
-  const auto place = mWatched.find(aStart);
-  if (place != mWatched.end()) {
-    place->second.mListens = true;
+  const auto place = mStates.find(aIncarnation);
+  if (place != mStates.end()) {
+    place->second.mIsListening = true;
   }
 }
 
 bool
-CrashDetector::IsCrashSuspected(const UpstreamIncarnation& aStart) const
+CrashDetector::IsCrashSuspected(const UpstreamIncarnation& aIncarnation) const
 {
-  const auto place = mWatched.find(aStart);
-  return place != mWatched.end() && !place->second.mEnded &&
-         !place->second.mListens;
+  const auto place = mStates.find(aIncarnation);
+  return place != mStates.end() && !place->second.mEnded &&
+         !place->second.mIsListening;
 }
 
 void
 CrashDetector::Expire(Millis aNow)
 {
-  std::erase_if(mWatched, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.mChangedAt > kExplainedWithin;
+  std::erase_if(mStates, [aNow](const auto& aEntry) {
+    return aNow - aEntry.second.mChangedAt > kExplanationWindow;
   });
 }
 
--- a/src/libtrefoilarch/crashdetector.h
+++ b/src/libtrefoilarch/crashdetector.h
@@ -10,11 +10,11 @@
 namespace trefoilarch {
 
 /**
- * Tells an upstream's crash from a connection that broke. A connection breaks
- * for many reasons; a process that has ended refuses new ones, or is replaced
- * or taken off the list within seconds. The requests whose connections broke
- * with it are suspects. An upstream that was leaving is to end: whoever asks
- * leaves it out.
+ * Distinguishes the crash of an upstream from a broken connection. A connection
+ * breaks for many reasons. A process that has ended refuses new connections, or
+ * is replaced or unlisted within seconds. The requests whose connections broke
+ * when it ended are suspects. The caller must not report the end of an upstream
+ * that was leaving.
  */
 class CrashDetector
 {
@@ -22,47 +22,47 @@
   using Suspects = std::vector<RequestFingerprint>;
 
   /**
-   * The request's connection to the upstream broke before its answer was
-   * whole. True where that start of the upstream is known to have crashed: the
-   * request is one more suspect.
+   * The connection to the upstream broke before the response was complete.
+   * Returns true if that incarnation is already known to have crashed, so that
+   * the request is another suspect.
    */
-  bool OnConnectionLost(const UpstreamIncarnation& aStart,
+  bool OnConnectionLost(const UpstreamIncarnation& aIncarnation,
                         const RequestFingerprint& aRequest,
                         Millis aNow);
 
   /**
-   * That start of the upstream is over. Returns the suspects, none where
-   * nothing broke there lately.
+   * The incarnation has ended. Returns the suspects; empty if no connection to
+   * it broke recently.
    */
-  Suspects OnEnded(const UpstreamIncarnation& aStart, Millis aNow);
+  Suspects OnEnded(const UpstreamIncarnation& aIncarnation, Millis aNow);
 
-  /** It was told to leave: its end says nothing. */
-  void OnLeaving(const UpstreamIncarnation& aStart);
+  /** The upstream is being drained, so its end is no crash. */
+  void OnLeaving(const UpstreamIncarnation& aIncarnation);
 
-  /** Somebody listens at its address: it may be another process by now. */
-  void OnListening(const UpstreamIncarnation& aStart);
+  /** A process accepts connections at its address, possibly another one. */
+  void OnListening(const UpstreamIncarnation& aIncarnation);
 
-  /** Whether a connection broke there, and it is being found out why. */
-  bool IsCrashSuspected(const UpstreamIncarnation& aStart) const;
+  /** Whether a connection to it broke and the cause is not known yet. */
+  bool IsCrashSuspected(const UpstreamIncarnation& aIncarnation) const;
 
-  /** Forgets what is too old to explain an end. */
+  /** Removes connection losses that are too old to explain an end. */
   void Expire(Millis aNow);
 
 private:
-  struct Loss
+  struct LostConnection
   {
     RequestFingerprint mRequest;
-    Millis mAt;
+    Millis mLostAt;
   };
-  struct Watched
+  struct IncarnationState
   {
-    std::vector<Loss> mLosses;
+    std::vector<LostConnection> mLostConnections;
     bool mEnded = false;
-    bool mListens = false;
+    bool mIsListening = false;
     Millis mChangedAt;
   };
 
-  std::map<UpstreamIncarnation, Watched> mWatched;
+  std::map<UpstreamIncarnation, IncarnationState> mStates;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/crashevidence.cpp
+++ b/src/libtrefoilarch/crashevidence.cpp
@@ -10,21 +10,22 @@
 }
 
 bool
-CrashEvidence::Add(const UpstreamIncarnation& aStart,
+CrashEvidence::Add(const UpstreamIncarnation& aIncarnation,
                    const RequestFingerprint& aRequest,
                    Millis aAt)
 {
   Suspect& suspect = mSuspects[aRequest];
-  if (aAt <= suspect.mClearedAt || suspect.mCrashes.contains(aStart)) {
+  if (aAt <= suspect.mClearedAt || suspect.mCrashes.contains(aIncarnation)) {
     return false;
   }
-  suspect.mCrashes[aStart] = aAt;
-  const auto [crash, fresh] = mCrashes.try_emplace(aStart);
+  suspect.mCrashes[aIncarnation] = aAt;
+  const auto [crash, inserted] = mCrashes.try_emplace(aIncarnation);
   crash->second.mSuspects.insert(aRequest);
-  crash->second.mAt = fresh ? aAt : std::min(crash->second.mAt, aAt);
-  mPairs++;
-  while (mPairs > mOptions.mMaxPairs && mCrashes.size() > 1) {
-    DropOldest();
+  crash->second.mCrashedAt =
+    inserted ? aAt : std::min(crash->second.mCrashedAt, aAt);
+  mPairCount++;
+  while (mPairCount > mOptions.mMaxPairs && mCrashes.size() > 1) {
+    RemoveOldestCrash();
   }
   return true;
 }
@@ -39,51 +40,51 @@
   Suspect& suspect = place->second;
   suspect.mClearedAt = std::max(suspect.mClearedAt, aAt);
   std::erase_if(suspect.mCrashes, [&](const auto& aEntry) {
-    const auto& [start, at] = aEntry;
+    const auto& [incarnation, at] = aEntry;
     if (at > aAt) {
       return false;
     }
-    const auto crash = mCrashes.find(start);
+    const auto crash = mCrashes.find(incarnation);
     crash->second.mSuspects.erase(aRequest);
     if (crash->second.mSuspects.empty()) {
       mCrashes.erase(crash);
     }
-    mPairs--;
+    mPairCount--;
     return true;
   });
 }
 
 size_t
 CrashEvidence::UnexplainedCrashes(const RequestFingerprint& aRequest,
-                                  const IsExplanation& aExplains) const
+                                  const IsExplanation& aIsExplanation) const
 {
   const auto place = mSuspects.find(aRequest);
   if (place == mSuspects.end()) {
     return 0;
   }
-  const auto counts = [&](const auto& aEntry) {
+  const auto isUnexplained = [&](const auto& aEntry) {
     const auto& suspects = mCrashes.at(aEntry.first).mSuspects;
     return std::none_of(
       suspects.begin(), suspects.end(), [&](const RequestFingerprint& aOther) {
-        return aOther != aRequest && aExplains(aOther);
+        return aOther != aRequest && aIsExplanation(aOther);
       });
   };
   const auto& crashes = place->second.mCrashes;
   return static_cast<size_t>(
-    std::count_if(crashes.begin(), crashes.end(), counts));
+    std::count_if(crashes.begin(), crashes.end(), isUnexplained));
 }
 
 std::vector<UpstreamIncarnation>
 CrashEvidence::IncarnationsOf(const RequestFingerprint& aRequest) const
 {
-  std::vector<UpstreamIncarnation> starts;
+  std::vector<UpstreamIncarnation> incarnations;
   const auto place = mSuspects.find(aRequest);
   if (place != mSuspects.end()) {
-    for (const auto& [start, at] : place->second.mCrashes) {
-      starts.push_back(start);
+    for (const auto& [incarnation, at] : place->second.mCrashes) {
+      incarnations.push_back(incarnation);
     }
   }
-  return starts;
+  return incarnations;
 }
 
 Millis
@@ -105,14 +106,14 @@
 void
 CrashEvidence::Expire(Millis aNow)
 {
-  std::vector<UpstreamIncarnation> old;
-  for (const auto& [start, crash] : mCrashes) {
-    if (aNow - crash.mAt > mOptions.mRetention) {
-      old.push_back(start);
+  std::vector<UpstreamIncarnation> expired;
+  for (const auto& [incarnation, crash] : mCrashes) {
+    if (aNow - crash.mCrashedAt > mOptions.mRetention) {
+      expired.push_back(incarnation);
     }
   }
-  for (const UpstreamIncarnation& each : old) {
-    Drop(each);
+  for (const UpstreamIncarnation& each : expired) {
+    RemoveCrash(each);
   }
   std::erase_if(mSuspects, [&](const auto& aEntry) {
     const Suspect& suspect = aEntry.second;
@@ -129,13 +130,13 @@
 }
 
 void
-CrashEvidence::Drop(const UpstreamIncarnation& aStart)
+CrashEvidence::RemoveCrash(const UpstreamIncarnation& aIncarnation)
 {
-  const auto crash = mCrashes.find(aStart);
+  const auto crash = mCrashes.find(aIncarnation);
   for (const RequestFingerprint& each : crash->second.mSuspects) {
     const auto suspect = mSuspects.find(each);
-    suspect->second.mCrashes.erase(aStart);
-    mPairs--;
+    suspect->second.mCrashes.erase(aIncarnation);
+    mPairCount--;
     if (suspect->second.mCrashes.empty() &&
         suspect->second.mClearedAt == Millis(0)) {
       mSuspects.erase(suspect);
@@ -145,13 +146,13 @@
 }
 
 void
-CrashEvidence::DropOldest()
+CrashEvidence::RemoveOldestCrash()
 {
   const auto oldest = std::min_element(
     mCrashes.begin(), mCrashes.end(), [](const auto& aOne, const auto& aTwo) {
-      return aOne.second.mAt < aTwo.second.mAt;
+      return aOne.second.mCrashedAt < aTwo.second.mCrashedAt;
     });
-  Drop(UpstreamIncarnation(oldest->first));
+  RemoveCrash(UpstreamIncarnation(oldest->first));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/crashevidence.h
+++ b/src/libtrefoilarch/crashevidence.h
@@ -13,44 +13,43 @@
 
 namespace trefoilarch {
 
-/** How much is remembered. */
+/** Limits of the stored evidence. */
 struct CrashEvidenceOptions
 {
-  /** A crash counts for so long. */
+  /** How long a crash counts. */
   Millis mRetention{ 3600000 };
-  /** Pairs of request and crash; the oldest go first. */
+  /** Maximum number of pairs of a request and a crash; the oldest go first. */
   size_t mMaxPairs = 4096;
 };
 
 /**
- * Which requests were at which crashes. It is a set of pairs of a request and
- * one start of an upstream, so that the same crash told twice counts once, in
- * any order. A whole answer to a request voids all crashes that it was at
- * before.
+ * Records which requests were running at which crashes, as pairs of a request
+ * and an upstream incarnation. A crash that is reported twice counts once, in
+ * any order. A complete response to a request voids all its earlier crashes.
  */
 class CrashEvidence
 {
 public:
   explicit CrashEvidence(CrashEvidenceOptions aOptions = {});
 
-  /** True where that was not known. */
-  bool Add(const UpstreamIncarnation& aStart,
+  /** Returns true if the pair is new. */
+  bool Add(const UpstreamIncarnation& aIncarnation,
            const RequestFingerprint& aRequest,
            Millis aAt);
-  /** The request got a whole answer at that instant. */
+  /** The request got a complete response at that time. */
   void Clear(const RequestFingerprint& aRequest, Millis aAt);
 
-  /** Crashes that the request was at. */
+  /** Number of crashes while it was running. */
   size_t TotalCrashes(const RequestFingerprint& aRequest) const;
   using IsExplanation = std::function<bool(const RequestFingerprint&)>;
-  /** Those at which no other request was that explains them. */
+  /** Number of these that no other suspect explains. */
   size_t UnexplainedCrashes(const RequestFingerprint& aRequest,
-                            const IsExplanation& aExplains) const;
-  /** The upstreams that crashed while the request was there. */
+                            const IsExplanation& aIsExplanation) const;
+  /** Incarnations that crashed while it was running. */
   std::vector<UpstreamIncarnation> IncarnationsOf(
     const RequestFingerprint& aRequest) const;
 
-  /** The first of them all; 0 for none. */
+  /** Time of the first crash, or 0 if there is none. */
   Millis FirstCrashAt(const RequestFingerprint& aRequest) const;
 
   void Expire(Millis aNow);
@@ -59,22 +58,22 @@
   struct Suspect
   {
     std::map<UpstreamIncarnation, Millis> mCrashes;
-    /** What is told later of crashes before that is void. */
+    /** Reports of crashes up to this time are ignored. */
     Millis mClearedAt;
   };
   struct Crash
   {
     std::set<RequestFingerprint> mSuspects;
-    Millis mAt;
+    Millis mCrashedAt;
   };
 
-  void Drop(const UpstreamIncarnation& aStart);
-  void DropOldest();
+  void RemoveCrash(const UpstreamIncarnation& aIncarnation);
+  void RemoveOldestCrash();
 
   CrashEvidenceOptions mOptions;
   std::unordered_map<RequestFingerprint, Suspect> mSuspects;
   std::map<UpstreamIncarnation, Crash> mCrashes;
-  size_t mPairs = 0;
+  size_t mPairCount = 0;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/crashupdate.h
+++ b/src/libtrefoilarch/crashupdate.h
@@ -9,18 +9,18 @@
 
 namespace trefoilarch {
 
-/** An upstream's crash and requests that broke with it at one entry. */
+/** An upstream's crash and the requests that failed with it at one entry. */
 struct CrashReport
 {
   UpstreamIncarnation mIncarnation;
   std::vector<RequestFingerprint> mSuspects;
-  /** Since the crash. */
+  /** Time since the crash. */
   Millis mAge;
 
   bool operator==(const CrashReport&) const = default;
 };
 
-/** A request of which something happened so long ago. */
+/** A request and the time since an event concerning it. */
 struct AgedRequest
 {
   RequestFingerprint mRequest;
@@ -29,26 +29,26 @@
   bool operator==(const AgedRequest&) const = default;
 };
 
-/** A request in quarantine. */
+/** A quarantined request at an entry. */
 struct QuarantineReport
 {
   RequestFingerprint mRequest;
-  /** Since the first of the crashes that speak against it. */
+  /** Time since the first crash attributed to it. */
   Millis mSuspectFor;
-  /** Since a caller last sent it. */
+  /** Time since a caller last sent it. */
   Millis mIdleFor;
 
   bool operator==(const QuarantineReport&) const = default;
 };
 
-/** What entries tell each other of requests that may crash upstreams. Each
- * part may be lost, doubled or late. */
+/** Information that entries exchange about requests that may crash upstreams.
+ * Messages may be lost, duplicated or delayed. */
 struct CrashUpdate
 {
   std::vector<CrashReport> mReports;
-  /** Got a whole answer, or were let go by an operator. */
+  /** Requests that got a complete response or were released by an operator. */
   std::vector<AgedRequest> mCleared;
-  /** Suspects that have just been sent to an upstream. */
+  /** Suspects that were just sent to an upstream. */
   std::vector<RequestFingerprint> mKeepaliveProbes;
   std::vector<QuarantineReport> mQuarantined;
 
@@ -57,7 +57,7 @@
     return mReports.empty() && mCleared.empty() && mKeepaliveProbes.empty() &&
            mQuarantined.empty();
   }
-  /** Requests that are named in it, for its size as a message. */
+  /** Number of requests in the update, as a measure of the message size. */
   size_t Size() const
   {
     size_t size =
--- a/src/libtrefoilarch/crashupdateparts.cpp
+++ b/src/libtrefoilarch/crashupdateparts.cpp
@@ -6,51 +6,51 @@
 
 namespace {
 
-/** Requests that one message names. */
-constexpr size_t kMostNamed = 40;
+/** Maximum number of requests in a message. */
+constexpr size_t kMaxRequests = 40;
 
-/** What an upstream's name takes in a message, in requests. */
-constexpr size_t kNameSize = 2;
+/** Size of an incarnation in a message, in requests. */
+constexpr size_t kIncarnationSize = 2;
 
 } // namespace
 
-CrashUpdateParts::CrashUpdateParts(CrashUpdate aNews)
+CrashUpdateParts::CrashUpdateParts(CrashUpdate aUpdate)
 {
-  for (const RequestFingerprint& each : aNews.mKeepaliveProbes) {
-    Room(1).mKeepaliveProbes.push_back(each);
+  for (const RequestFingerprint& each : aUpdate.mKeepaliveProbes) {
+    PartFor(1).mKeepaliveProbes.push_back(each);
   }
-  for (const AgedRequest& each : aNews.mCleared) {
-    Room(1).mCleared.push_back(each);
+  for (const AgedRequest& each : aUpdate.mCleared) {
+    PartFor(1).mCleared.push_back(each);
   }
-  for (const QuarantineReport& each : aNews.mQuarantined) {
-    Room(1).mQuarantined.push_back(each);
+  for (const QuarantineReport& each : aUpdate.mQuarantined) {
+    PartFor(1).mQuarantined.push_back(each);
   }
-  for (CrashReport& each : aNews.mReports) {
-    Add(std::move(each));
+  for (CrashReport& each : aUpdate.mReports) {
+    AddReport(std::move(each));
   }
 }
 
 void
-CrashUpdateParts::Add(CrashReport aReport)
+CrashUpdateParts::AddReport(CrashReport aReport)
 {
   const auto suspects = std::exchange(aReport.mSuspects, {});
   CrashReport part = aReport;
   for (const RequestFingerprint& each : suspects) {
     part.mSuspects.push_back(each);
-    if (part.mSuspects.size() + kNameSize == kMostNamed) {
-      Room(kMostNamed).mReports.push_back(std::exchange(part, aReport));
+    if (part.mSuspects.size() + kIncarnationSize == kMaxRequests) {
+      PartFor(kMaxRequests).mReports.push_back(std::exchange(part, aReport));
     }
   }
   if (!part.mSuspects.empty()) {
-    const size_t size = part.mSuspects.size() + kNameSize;
-    Room(size).mReports.push_back(std::move(part));
+    const size_t size = part.mSuspects.size() + kIncarnationSize;
+    PartFor(size).mReports.push_back(std::move(part));
   }
 }
 
 CrashUpdate&
-CrashUpdateParts::Room(size_t aSize)
+CrashUpdateParts::PartFor(size_t aSize)
 {
-  if (mParts.empty() || mParts.back().Size() + aSize > kMostNamed) {
+  if (mParts.empty() || mParts.back().Size() + aSize > kMaxRequests) {
     mParts.emplace_back();
   }
   return mParts.back();
--- a/src/libtrefoilarch/crashupdateparts.h
+++ b/src/libtrefoilarch/crashupdateparts.h
@@ -7,18 +7,18 @@
 
 namespace trefoilarch {
 
-/** Puts what is to be told into messages of which each fits a datagram. */
+/** Splits an update into messages that each fit a datagram. */
 class CrashUpdateParts
 {
 public:
-  explicit CrashUpdateParts(CrashUpdate aNews);
+  explicit CrashUpdateParts(CrashUpdate aUpdate);
 
   std::vector<CrashUpdate> Take() { return std::move(mParts); }
 
 private:
-  void Add(CrashReport aReport);
-  /** A part that has room for so many requests. */
-  CrashUpdate& Room(size_t aSize);
+  void AddReport(CrashReport aReport);
+  /** Returns a message with capacity for that many more requests. */
+  CrashUpdate& PartFor(size_t aSize);
 
   std::vector<CrashUpdate> mParts;
 };
--- a/src/libtrefoilarch/directcrashes.cpp
+++ b/src/libtrefoilarch/directcrashes.cpp
@@ -2,8 +2,7 @@
 
 #include <utility>
 
-/** What DirectRouter learns of upstreams that crash, and of requests that
- * crash them. */
+/** Handling of upstream crashes, and of requests that cause them. */
 namespace trefoilarch {
 
 void
@@ -19,13 +18,14 @@
 DirectRouter::OnConnectionLost(const PlacedAttempt& aAttempt, Millis aNow)
 {
   const TrackedUpstream* tracked = FindTracked(aAttempt);
-  const bool named = aAttempt.mFingerprint != RequestFingerprint{};
-  if (!named || tracked == nullptr || !TakesWork(aAttempt)) {
+  const bool hasFingerprint = aAttempt.mFingerprint != RequestFingerprint{};
+  if (!hasFingerprint || tracked == nullptr || !TakesWork(aAttempt)) {
     return false;
   }
-  const UpstreamIncarnation& start = tracked->mIncarnation;
-  if (mCrashDetector.OnConnectionLost(start, aAttempt.mFingerprint, aNow)) {
-    TakeCrash({ .mIncarnation = start,
+  const UpstreamIncarnation& incarnation = tracked->mIncarnation;
+  if (mCrashDetector.OnConnectionLost(
+        incarnation, aAttempt.mFingerprint, aNow)) {
+    TakeCrash({ .mIncarnation = incarnation,
                 .mReason = "known",
                 .mSuspects = { aAttempt.mFingerprint } },
               aNow);
@@ -63,15 +63,15 @@
 }
 
 void
-DirectRouter::OnIncarnationEnded(const UpstreamIncarnation& aStart,
-                                 const char* aWhy,
+DirectRouter::OnIncarnationEnded(const UpstreamIncarnation& aIncarnation,
+                                 const char* aReason,
                                  Millis aNow)
 {
-  auto suspects = mCrashDetector.OnEnded(aStart, aNow);
+  auto suspects = mCrashDetector.OnEnded(aIncarnation, aNow);
   if (!suspects.empty()) {
     mCrashCount++;
-    TakeCrash({ .mIncarnation = aStart,
-                .mReason = aWhy,
+    TakeCrash({ .mIncarnation = aIncarnation,
+                .mReason = aReason,
                 .mSuspects = std::move(suspects) },
               aNow);
   }
@@ -86,10 +86,10 @@
 }
 
 void
-DirectRouter::OnCrashUpdate(const CrashUpdate& aNews, Millis aNow)
+DirectRouter::OnCrashUpdate(const CrashUpdate& aUpdate, Millis aNow)
 {
-  mQuarantine.OnUpdate(aNews, aNow);
-  for (const CrashReport& each : aNews.mReports) {
+  mQuarantine.OnUpdate(aUpdate, aNow);
+  for (const CrashReport& each : aUpdate.mReports) {
     OnIncarnationEnded(each.mIncarnation, "told", aNow);
   }
   if (mQuarantine.HasUpdate()) {
--- a/src/libtrefoilarch/quarantine.cpp
+++ b/src/libtrefoilarch/quarantine.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/** Each crash has many suspects, and a large fleet is told only of those that
- * were at another one before. */
-constexpr size_t kRepeatedly = 2;
+/** Each crash has many suspects. A large fleet receives reports only of those
+ * with at least this many crashes. */
+constexpr size_t kMinRelayedCrashes = 2;
 
-/** Reports that are told again at the most. */
-constexpr size_t kMostRecent = 64;
+/** Maximum number of reports that are sent again. */
+constexpr size_t kMaxRecentReports = 64;
 
 } // namespace
 
@@ -30,10 +30,10 @@
   const auto held = mHeld.find(aRequest);
   if (held != mHeld.end()) {
     held->second.mLastSent = aNow;
-    return TakesTrial(held->second, aNow) ? QuarantineVerdict::Run
-                                          : QuarantineVerdict::Refuse;
+    return StartsProbe(held->second, aNow) ? QuarantineVerdict::Run
+                                           : QuarantineVerdict::Refuse;
   }
-  const size_t crashes = CrashesOf(aRequest);
+  const size_t crashes = AttributedCrashes(aRequest);
   if (crashes == 0) {
     return QuarantineVerdict::Run;
   }
@@ -41,15 +41,16 @@
     mSettling.try_emplace(aRequest, aNow);
     return QuarantineVerdict::Wait;
   }
-  const bool patient = crashes > 1 || aWaited < mOptions.mFirstProbeTimeout;
-  return patient && IsOnItsWay(aRequest, aNow) ? QuarantineVerdict::Wait
-                                               : QuarantineVerdict::Run;
+  const bool mayWait = crashes > 1 || aWaited < mOptions.mFirstProbeTimeout;
+  return mayWait && IsProbeRunning(aRequest, aNow) ? QuarantineVerdict::Wait
+                                                   : QuarantineVerdict::Run;
 }
 
 bool
-Quarantine::TakesTrial(QuarantinedRequest& aHeld, Millis aNow) const
+Quarantine::StartsProbe(QuarantinedRequest& aHeld, Millis aNow) const
 {
-  if (aNow < aHeld.mProbeAt || aNow - mCrashAt < mOptions.mCrashFreeInterval) {
+  if (aNow < aHeld.mProbeAt ||
+      aNow - mLastCrashAt < mOptions.mCrashFreeInterval) {
     return false;
   }
   aHeld.mProbeAt = Millis::Never();
@@ -61,16 +62,17 @@
 }
 
 bool
-Quarantine::IsOnItsWay(const RequestFingerprint& aRequest, Millis aNow) const
+Quarantine::IsProbeRunning(const RequestFingerprint& aRequest,
+                           Millis aNow) const
 {
-  const auto open = mOpen.find(aRequest);
-  if (open != mOpen.end() &&
-      aNow - open->second.mLastSent < mOptions.mProbeTimeout) {
+  const auto attempts = mOpenAttempts.find(aRequest);
+  if (attempts != mOpenAttempts.end() &&
+      aNow - attempts->second.mLastSent < mOptions.mProbeTimeout) {
     return true;
   }
-  const auto trial = mKeepaliveProbes.find(aRequest);
-  return trial != mKeepaliveProbes.end() &&
-         aNow - trial->second < mOptions.mProbeTimeout;
+  const auto probe = mKeepaliveProbes.find(aRequest);
+  return probe != mKeepaliveProbes.end() &&
+         aNow - probe->second < mOptions.mProbeTimeout;
 }
 
 void
@@ -79,20 +81,20 @@
   if (aRequest == RequestFingerprint{}) {
     return;
   }
-  Open& open = mOpen[aRequest];
-  open.mCount++;
-  open.mLastSent = aNow;
-  if (IsWorthTelling(aRequest)) {
-    mNews.mKeepaliveProbes.push_back(aRequest);
+  OpenAttempts& attempts = mOpenAttempts[aRequest];
+  attempts.mCount++;
+  attempts.mLastSent = aNow;
+  if (IsWorthReporting(aRequest)) {
+    mPendingUpdate.mKeepaliveProbes.push_back(aRequest);
   }
 }
 
 void
 Quarantine::OnAttemptEnded(const RequestFingerprint& aRequest)
 {
-  const auto open = mOpen.find(aRequest);
-  if (open != mOpen.end() && --open->second.mCount == 0) {
-    mOpen.erase(open);
+  const auto attempts = mOpenAttempts.find(aRequest);
+  if (attempts != mOpenAttempts.end() && --attempts->second.mCount == 0) {
+    mOpenAttempts.erase(attempts);
   }
 }
 
@@ -103,15 +105,15 @@
     return;
   }
   mAnswers.Record(aRequest, aNow, aNow);
-  const bool suspected = IsWorthTelling(aRequest) || mHeld.contains(aRequest);
+  const bool suspected = IsWorthReporting(aRequest) || mHeld.contains(aRequest);
   Clear(aRequest, aNow, "answered");
   if (suspected) {
-    mNews.mCleared.push_back({ .mRequest = aRequest });
+    mPendingUpdate.mCleared.push_back({ .mRequest = aRequest });
   }
 }
 
 Millis
-Quarantine::InnocentAt(const RequestFingerprint& aRequest) const
+Quarantine::LastClearedAt(const RequestFingerprint& aRequest) const
 {
   const auto cleared = mCleared.find(aRequest);
   const Millis at = mAnswers.At(aRequest);
@@ -119,28 +121,30 @@
 }
 
 void
-Quarantine::OnCrash(const UpstreamIncarnation& aStart,
+Quarantine::OnCrash(const UpstreamIncarnation& aIncarnation,
                     const std::vector<RequestFingerprint>& aSuspects,
                     Millis aNow)
 {
   if (aSuspects.empty()) {
     return;
   }
-  const CrashReport report{ .mIncarnation = aStart, .mSuspects = aSuspects };
+  const CrashReport report{ .mIncarnation = aIncarnation,
+                            .mSuspects = aSuspects };
   AddEvidence(report, aNow, aNow);
-  mNews.mReports.push_back(report);
-  if (mRecent.size() == kMostRecent) {
-    mRecent.erase(mRecent.begin());
+  mPendingUpdate.mReports.push_back(report);
+  if (mRecentReports.size() == kMaxRecentReports) {
+    mRecentReports.erase(mRecentReports.begin());
   }
-  mRecent.push_back({ .mReport = report, .mAt = aNow });
+  mRecentReports.push_back({ .mReport = report, .mCrashedAt = aNow });
 }
 
 void
 Quarantine::OnStoreHold(const RequestFingerprint& aRequest, Millis aNow)
 {
-  if (InnocentAt(aRequest) == Millis(0)) {
-    Put({ .mRequest = aRequest, .mSuspectSince = aNow, .mLastSent = aNow },
-        "read in the store");
+  if (LastClearedAt(aRequest) == Millis(0)) {
+    AddToQuarantine(
+      { .mRequest = aRequest, .mSuspectSince = aNow, .mLastSent = aNow },
+      "read in the store");
   }
 }
 
@@ -155,7 +159,7 @@
 bool
 Quarantine::IsReleased(const RequestFingerprint& aRequest) const
 {
-  return !IsQuarantined(aRequest) && InnocentAt(aRequest) > Millis(0);
+  return !IsQuarantined(aRequest) && LastClearedAt(aRequest) > Millis(0);
 }
 
 std::vector<RequestFingerprint>
@@ -174,26 +178,26 @@
 {
   Clear(aRequest, aNow, "released");
   mCleared[aRequest] = aNow;
-  mNews.mCleared.push_back({ .mRequest = aRequest });
+  mPendingUpdate.mCleared.push_back({ .mRequest = aRequest });
 }
 
 void
 Quarantine::AddEvidence(const CrashReport& aReport, Millis aAt, Millis aNow)
 {
-  mCrashAt = std::max(mCrashAt, aAt);
+  mLastCrashAt = std::max(mLastCrashAt, aAt);
   for (const RequestFingerprint& each : aReport.mSuspects) {
     mEvidence.Add(aReport.mIncarnation, each, aAt);
   }
   for (const RequestFingerprint& each : aReport.mSuspects) {
-    // The trial has come to its end, if it was not another repeat's.
+    // The crash ends the probe, unless it was another repeat that crashed.
     mKeepaliveProbes.erase(each);
-    if (mOpen.contains(each) && IsWorthTelling(each)) {
-      mNews.mKeepaliveProbes.push_back(each);
+    if (mOpenAttempts.contains(each) && IsWorthReporting(each)) {
+      mPendingUpdate.mKeepaliveProbes.push_back(each);
     }
     const auto held = mHeld.find(each);
     if (held != mHeld.end()) {
-      // Who still runs it has not heard.
-      mNews.mQuarantined.push_back(ReportOf(held->second, aNow));
+      // An entry that still sends it missed the quarantine.
+      mPendingUpdate.mQuarantined.push_back(ReportOf(held->second, aNow));
     } else if (IsCulprit(each)) {
       mSettling[each] = aNow;
     }
@@ -203,29 +207,30 @@
 void
 Quarantine::Clear(const RequestFingerprint& aRequest,
                   Millis aAt,
-                  const char* aWhy)
+                  const char* aReason)
 {
   mEvidence.Clear(aRequest, aAt);
   mSettling.erase(aRequest);
   mKeepaliveProbes.erase(aRequest);
   if (mHeld.erase(aRequest) > 0) {
     mCleared[aRequest] = aAt;
-    mChanges.push_back({ .mRequest = aRequest, .mReason = aWhy });
+    mChanges.push_back({ .mRequest = aRequest, .mReason = aReason });
   }
 }
 
 void
-Quarantine::Put(const QuarantinedRequest& aHeld, const char* aWhy)
+Quarantine::AddToQuarantine(const QuarantinedRequest& aHeld,
+                            const char* aReason)
 {
   mSettling.erase(aHeld.mRequest);
-  const auto [held, fresh] = mHeld.try_emplace(aHeld.mRequest, aHeld);
-  if (!fresh) {
+  const auto [held, inserted] = mHeld.try_emplace(aHeld.mRequest, aHeld);
+  if (!inserted) {
     return;
   }
   held->second.mCrashes = mEvidence.IncarnationsOf(aHeld.mRequest);
   mChanges.push_back({ .mRequest = aHeld.mRequest,
                        .mHeld = true,
-                       .mReason = aWhy,
+                       .mReason = aReason,
                        .mCrashes = held->second.mCrashes });
   if (mHeld.size() > mOptions.mMaxHeld) {
     const auto oldest = std::min_element(
@@ -250,16 +255,16 @@
                                    .mLastSent = aNow,
                                    .mProbeAt =
                                      aNow + mOptions.mUncertainProbeDelay };
-    Put(held, "crashes");
-    mNews.mQuarantined.push_back(ReportOf(held, aNow));
+    AddToQuarantine(held, "crashes");
+    mPendingUpdate.mQuarantined.push_back(ReportOf(held, aNow));
   }
   std::erase_if(mKeepaliveProbes, [&](const auto& aEntry) {
     return aNow - aEntry.second > mOptions.mProbeTimeout;
   });
-  std::erase_if(mClearedToldAt, [&](const auto& aEntry) {
+  std::erase_if(mClearedReportedAt, [&](const auto& aEntry) {
     return aNow - aEntry.second > mOptions.mSettleDelay;
   });
-  DropIdle(aNow);
+  ReleaseIdle(aNow);
   std::erase_if(mCleared, [&](const auto& aEntry) {
     return aNow - aEntry.second > mOptions.mIdleTimeout;
   });
@@ -273,21 +278,21 @@
   std::erase_if(mSettling, [&](const auto& aEntry) {
     const bool due = aNow - aEntry.second >= mOptions.mSettleDelay;
     if (due) {
-      settled.emplace_back(CrashesAlone(aEntry.first), aEntry.first);
+      settled.emplace_back(UnambiguousCrashes(aEntry.first), aEntry.first);
     }
     return due;
   });
   std::sort(settled.rbegin(), settled.rend());
   std::vector<RequestFingerprint> requests;
   requests.reserve(settled.size());
-  for (const auto& [alone, request] : settled) {
+  for (const auto& [unambiguous, request] : settled) {
     requests.push_back(request);
   }
   return requests;
 }
 
 void
-Quarantine::DropIdle(Millis aNow)
+Quarantine::ReleaseIdle(Millis aNow)
 {
   std::vector<RequestFingerprint> idle;
   for (const auto& [request, held] : mHeld) {
@@ -317,20 +322,20 @@
 }
 
 bool
-Quarantine::IsWorthTelling(const RequestFingerprint& aRequest) const
+Quarantine::IsWorthReporting(const RequestFingerprint& aRequest) const
 {
-  const size_t least = mRelays ? kRepeatedly : 1;
-  return CrashesOf(aRequest) >= least;
+  const size_t minCrashes = mRelays ? kMinRelayedCrashes : 1;
+  return AttributedCrashes(aRequest) >= minCrashes;
 }
 
 bool
 Quarantine::IsSuspect(const RequestFingerprint& aRequest) const
 {
-  return CrashesOf(aRequest) > 0;
+  return AttributedCrashes(aRequest) > 0;
 }
 
 size_t
-Quarantine::CrashesOf(const RequestFingerprint& aRequest) const
+Quarantine::AttributedCrashes(const RequestFingerprint& aRequest) const
 {
   const size_t total = mEvidence.TotalCrashes(aRequest);
   return mEvidence.UnexplainedCrashes(
@@ -340,7 +345,7 @@
 }
 
 size_t
-Quarantine::CrashesAlone(const RequestFingerprint& aRequest) const
+Quarantine::UnambiguousCrashes(const RequestFingerprint& aRequest) const
 {
   const size_t total = mEvidence.TotalCrashes(aRequest);
   return mEvidence.UnexplainedCrashes(
@@ -352,11 +357,12 @@
 bool
 Quarantine::IsCulprit(const RequestFingerprint& aRequest) const
 {
-  const size_t crashes = CrashesOf(aRequest);
-  const size_t most = mAnswers.At(aRequest) > Millis(0)
-                        ? mOptions.mAnsweredCrashThreshold
-                        : mOptions.mCrashThreshold;
-  return crashes > most || (crashes == most && CrashesAlone(aRequest) > 0);
+  const size_t crashes = AttributedCrashes(aRequest);
+  const size_t threshold = mAnswers.At(aRequest) > Millis(0)
+                             ? mOptions.mAnsweredCrashThreshold
+                             : mOptions.mCrashThreshold;
+  return crashes > threshold ||
+         (crashes == threshold && UnambiguousCrashes(aRequest) > 0);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -15,57 +15,58 @@
 
 namespace trefoilarch {
 
-/** When a request is held back. */
+/** Conditions under which a request is quarantined. */
 struct QuarantineOptions
 {
-  /** Upstreams that crashed under it. */
+  /** Crashed upstreams from which it is quarantined. */
   size_t mCrashThreshold = 3;
-  /** The same for one that had whole answers lately: one that is asked often
-   * is at many crashes that it is not the cause of. */
+  /** The same for a request with recent complete responses. A frequent request
+   * is present at many crashes that it did not cause. */
   size_t mAnsweredCrashThreshold = 6;
-  /** What other entries saw of the last crash has come by then: another
-   * request may explain it. */
+  /** The reports of other entries on the last crash arrive within this time.
+   * They may show that another request explains it. */
   Millis mSettleDelay{ 300 };
-  /** A suspect that is on its way keeps its repeats waiting for so long: the
-   * first after one crash, which many requests are at by chance. */
+  /** Repeats of a suspect wait at most this long for an attempt in progress.
+   * The first value applies after one crash, at which many requests are present
+   * at random. */
   Millis mFirstProbeTimeout{ 1000 };
   Millis mProbeTimeout{ 1500 };
-  /** One whose crashes may have been another such request's is tried once more,
-   * after so long and when no upstream has crashed for so long. */
+  /** A request whose crashes may be due to another quarantined one is probed
+   * once more: after this delay, and if no upstream has crashed during the
+   * interval. */
   Millis mUncertainProbeDelay{ 1000 };
   Millis mCrashFreeInterval{ 700 };
-  /** It is let go when no caller has sent it for so long. */
+  /** It is released if no caller has sent it for this long. */
   Millis mIdleTimeout{ 3600000 };
-  /** Requests that are held back at most; the one that was sent the longest
-   * ago goes first. */
+  /** Maximum number of quarantined requests. The one least recently sent is
+   * released first. */
   size_t mMaxHeld = 1024;
   CrashEvidenceOptions mEvidence;
 };
 
-/** What may become of a request now. */
+/** Decision on a request. */
 enum class QuarantineVerdict : uint8_t
 {
   Run,
-  /** It is like a suspect that is on its way, whose fate is awaited. */
+  /** The same request is a suspect in progress; wait for its outcome. */
   Wait,
-  /** It is not run. */
   Refuse,
 };
 
-/** A request that is held back. */
+/** A quarantined request. */
 struct QuarantinedRequest
 {
   RequestFingerprint mRequest;
-  /** The first crash that speaks against it. */
+  /** Time of the first crash attributed to it. */
   Millis mSuspectSince;
   Millis mLastSent;
-  /** When it may be tried once more. */
+  /** When it may be probed once more. */
   Millis mProbeAt = Millis::Never();
-  /** Under which it crashed; empty where other entries found it. */
+  /** Incarnations that it crashed. Empty if other entries quarantined it. */
   std::vector<UpstreamIncarnation> mCrashes;
 };
 
-/** A change in what is held back, for the log. */
+/** A quarantined or released request, for the log. */
 struct QuarantineChange
 {
   RequestFingerprint mRequest;
@@ -76,133 +77,137 @@
 
 /**
  * Keeps requests that crash every upstream that runs them ("poison requests")
- * from the fleet. A request is a suspect while a crash counts against it: its
- * repeats then run one at a time, as each may cost an upstream. After
- * mCrashThreshold it is in quarantine. What one entry learns all others hear,
- * and any of it may be lost: nothing waits for another entry's word.
+ * from the fleet. A request is a suspect while a crash is attributed to it. Its
+ * repeats then run one at a time, since each may cost an upstream. After
+ * mCrashThreshold crashes it is quarantined. Entries report their findings to
+ * each other. Any report may be lost, and no entry waits for another one's
+ * report.
  */
 class Quarantine
 {
 public:
   explicit Quarantine(QuarantineOptions aOptions = {});
 
-  /** The request has waited for so long already. */
+  /** aWaited is how long the request has waited already. */
   QuarantineVerdict Admit(const RequestFingerprint& aRequest,
                           Millis aWaited,
                           Millis aNow);
 
-  /** An attempt goes out; each is ended by OnAttemptEnded. */
+  /** An attempt was sent. OnAttemptEnded must follow. */
   void OnSent(const RequestFingerprint& aRequest, Millis aNow);
   void OnAttemptEnded(const RequestFingerprint& aRequest);
-  /** Its answer is whole: it does not crash who runs it. */
+  /** It got a complete response, so it does not crash upstreams. */
   void OnAnswered(const RequestFingerprint& aRequest, Millis aNow);
-  /** An upstream crashed, and these requests broke with it here. */
-  void OnCrash(const UpstreamIncarnation& aStart,
+  /** An upstream crashed, and these requests failed with it at this entry. */
+  void OnCrash(const UpstreamIncarnation& aIncarnation,
                const std::vector<RequestFingerprint>& aSuspects,
                Millis aNow);
 
-  /** Holds it back on the word of the fleet's store. */
+  /** The store lists the request as quarantined. */
   void OnStoreHold(const RequestFingerprint& aRequest, Millis aNow);
-  /** The store says that it was let go. */
+  /** The store lists the request as released. */
   void OnStoreRelease(const RequestFingerprint& aRequest, Millis aNow);
-  /** An operator lets it go; all that speaks against it is void. */
+  /** An operator releases it. All evidence against it is discarded. */
   void Release(const RequestFingerprint& aRequest, Millis aNow);
 
-  /** Something has to be told at once. */
-  bool HasUpdate() const { return !mNews.IsEmpty(); }
-  /** What is to be told, in messages of a bounded size; what is recent or in
-   * force is told again where aAgain. */
-  std::vector<CrashUpdate> TakeUpdates(bool aAgain, Millis aNow);
-  void OnUpdate(const CrashUpdate& aNews, Millis aNow);
-  /** Passes on what others tell, where not all entries hear each other. */
+  /** Whether there is something to send at once. */
+  bool HasUpdate() const { return !mPendingUpdate.IsEmpty(); }
+  /** Returns what is to be sent, in messages of a bounded size. If aRepeat is
+   * set, recent reports and quarantined requests are included again. */
+  std::vector<CrashUpdate> TakeUpdates(bool aRepeat, Millis aNow);
+  void OnUpdate(const CrashUpdate& aUpdate, Millis aNow);
+  /** Sets whether reports of peers are forwarded, for fleets in which not all
+   * entries send to each other. */
   void SetRelays(bool aRelays) { mRelays = aRelays; }
 
-  /** Decides what has settled and forgets what is old; a few times a second. */
+  /** Takes due decisions and removes old state; to be called a few times a
+   * second. */
   void Tick(Millis aNow);
 
   bool IsQuarantined(const RequestFingerprint& aRequest) const
   {
     return mHeld.contains(aRequest);
   }
-  /** It was held back or suspected, and is innocent as far as is known. */
+  /** Whether it was quarantined or suspected and has been cleared since. */
   bool IsReleased(const RequestFingerprint& aRequest) const;
   std::vector<RequestFingerprint> Requests() const;
-  /** How long it is held back if nobody sends it any more. */
+  /** How long a request stays quarantined if no caller sends it. */
   Millis IdleTimeout() const { return mOptions.mIdleTimeout; }
   std::vector<QuarantinedRequest> Quarantined() const;
   std::vector<QuarantineChange> TakeChanges();
 
 private:
-  struct Open
+  struct OpenAttempts
   {
     uint32_t mCount = 0;
     Millis mLastSent;
   };
-  struct Told
+  struct SentReport
   {
     CrashReport mReport;
-    Millis mAt;
+    Millis mCrashedAt;
   };
 
   bool IsSuspect(const RequestFingerprint& aRequest) const;
-  /** Whether others have to hear of its attempts and answers. */
-  bool IsWorthTelling(const RequestFingerprint& aRequest) const;
-  /** Passes on all crashes of suspects that were at several. */
+  /** Whether its attempts and responses have to be reported to peers. */
+  bool IsWorthReporting(const RequestFingerprint& aRequest) const;
+  /** Forwards all crashes of suspects with several crashes. */
   void Relay(const std::vector<RequestFingerprint>& aSuspects, Millis aNow);
-  /** When this entry last had a whole answer to it, or let it go; 0 for never
-   * or long ago. */
-  Millis InnocentAt(const RequestFingerprint& aRequest) const;
-  /** Another entry believes what was void here at that instant. */
-  void TellCleared(const RequestFingerprint& aRequest, Millis aNow);
+  /** When this entry last got a complete response to it or released it. 0 if
+   * never or long ago. */
+  Millis LastClearedAt(const RequestFingerprint& aRequest) const;
+  /** Another entry holds evidence that was void here then. */
+  void ReportCleared(const RequestFingerprint& aRequest, Millis aNow);
   /**
-   * Crashes that count against it. Many requests break with a crash and one of
-   * them is its cause: the one that is held back already, or else was at the
-   * most crashes.
+   * Crashes attributed to it. Many requests fail in a crash and one is its
+   * cause: the one already quarantined, or else the one with the most crashes.
    */
-  size_t CrashesOf(const RequestFingerprint& aRequest) const;
-  /** Those of them at which no other was that was at as many. */
-  size_t CrashesAlone(const RequestFingerprint& aRequest) const;
-  /** Enough crashes count against it. */
+  size_t AttributedCrashes(const RequestFingerprint& aRequest) const;
+  /** Those of them without another request that has as many. */
+  size_t UnambiguousCrashes(const RequestFingerprint& aRequest) const;
+  /** Whether enough crashes are attributed to it. */
   bool IsCulprit(const RequestFingerprint& aRequest) const;
   void AddEvidence(const CrashReport& aReport, Millis aAt, Millis aNow);
   void TakeReport(const CrashReport& aReport, Millis aNow);
   void TakeCleared(const AgedRequest& aCleared, Millis aNow);
-  void TakeTrial(const RequestFingerprint& aRequest, Millis aNow);
-  void TakeHeld(const QuarantineReport& aHeld, Millis aNow);
-  /** Whether a held one is tried once more now, by this entry. */
-  bool TakesTrial(QuarantinedRequest& aHeld, Millis aNow) const;
-  bool IsOnItsWay(const RequestFingerprint& aRequest, Millis aNow) const;
+  void TakeProbe(const RequestFingerprint& aRequest, Millis aNow);
+  void TakeQuarantined(const QuarantineReport& aHeld, Millis aNow);
+  /** Whether this entry probes a quarantined request now. */
+  bool StartsProbe(QuarantinedRequest& aHeld, Millis aNow) const;
+  bool IsProbeRunning(const RequestFingerprint& aRequest, Millis aNow) const;
   QuarantineReport ReportOf(const QuarantinedRequest& aHeld, Millis aNow) const;
-  void Clear(const RequestFingerprint& aRequest, Millis aAt, const char* aWhy);
-  /** The times are those of the word, if it is another entry's. */
-  void Put(const QuarantinedRequest& aHeld, const char* aWhy);
-  /** Culprits of which all is known, the surest first. */
+  void Clear(const RequestFingerprint& aRequest,
+             Millis aAt,
+             const char* aReason);
+  /** The times are those of the report if it is another entry's. */
+  void AddToQuarantine(const QuarantinedRequest& aHeld, const char* aReason);
+  /** Culprits whose reports have arrived, the most certain first. */
   std::vector<RequestFingerprint> TakeSettled(Millis aNow);
-  void DropIdle(Millis aNow);
-  void Repeat(Millis aNow);
+  void ReleaseIdle(Millis aNow);
+  void RepeatReports(Millis aNow);
 
   QuarantineOptions mOptions;
   CrashEvidence mEvidence;
-  /** Attempts of this entry that are under way. */
-  std::unordered_map<RequestFingerprint, Open> mOpen;
-  /** When another entry last sent the suspect. */
+  /** Attempts of this entry in progress. */
+  std::unordered_map<RequestFingerprint, OpenAttempts> mOpenAttempts;
+  /** When another entry last sent each suspect. */
   std::unordered_map<RequestFingerprint, Millis> mKeepaliveProbes;
-  /** Culprits, and when the last crash was heard of. */
+  /** Culprits, and when their last crash was reported. */
   std::map<RequestFingerprint, Millis> mSettling;
   std::map<RequestFingerprint, QuarantinedRequest> mHeld;
-  CrashUpdate mNews;
-  /** Reports of this entry that others may have missed. */
-  std::vector<Told> mRecent;
-  /** Requests that were let go, and when: an older word that they are held
-   * back counts no more. */
+  CrashUpdate mPendingUpdate;
+  /** Reports of this entry that peers may have missed. */
+  std::vector<SentReport> mRecentReports;
+  /** Requests that were released, and when. Older reports that they are
+   * quarantined are ignored. */
   std::unordered_map<RequestFingerprint, Millis> mCleared;
-  /** Here, and at entries that told of it. */
+  /** Responses at this entry and at those that reported one. */
   RecentAnswers mAnswers;
-  std::unordered_map<RequestFingerprint, Millis> mClearedToldAt;
+  std::unordered_map<RequestFingerprint, Millis> mClearedReportedAt;
   std::vector<QuarantineChange> mChanges;
-  Millis mHeldToldAt;
-  /** The newest crash that was heard of. */
-  Millis mCrashAt;
+  Millis mQuarantineReportedAt;
+  /** Time of the latest known crash. */
+  Millis mLastCrashAt;
   bool mRelays = false;
 };
 
--- a/src/libtrefoilarch/quarantineupdates.cpp
+++ b/src/libtrefoilarch/quarantineupdates.cpp
@@ -5,66 +5,67 @@
 #include <algorithm>
 #include <utility>
 
-/** What entries tell each other of requests that crash upstreams. */
+/** Exchange of information on crashing requests between entries. */
 namespace trefoilarch {
 
 namespace {
 
-/** Datagrams may be lost: what is so recent is told again. */
-constexpr Millis kRecent{ 3000 };
+/** Datagrams may be lost, so reports are repeated for this long. */
+constexpr Millis kRepeatWindow{ 3000 };
 
-/** Reports come from many entries and are told again: one answer to all. */
-constexpr Millis kClearedPause{ 50 };
+/** Reports come repeatedly from many entries; one reply serves all of them. */
+constexpr Millis kClearedReportInterval{ 50 };
 
-/** What is in force is told this often, for entries that have heard nothing
- * of it: they started later or were cut off. */
-constexpr Millis kHeldPause{ 2000 };
+/** Interval at which the quarantined requests are sent to entries that were
+ * started later or isolated and missed them. */
+constexpr Millis kQuarantineReportInterval{ 2000 };
 
-/** The youngest or last sent ones that are told; an entry that has to know of
- * more reads them in the store. */
-constexpr size_t kMostHeldTold = 64;
+/** Maximum number of reported requests, the most recently sent ones. Entries
+ * read the others from the store. */
+constexpr size_t kMaxReportedRequests = 64;
 
 } // namespace
 
 void
-Quarantine::TellCleared(const RequestFingerprint& aRequest, Millis aNow)
+Quarantine::ReportCleared(const RequestFingerprint& aRequest, Millis aNow)
 {
-  const auto [told, first] = mClearedToldAt.try_emplace(aRequest, aNow);
-  if (!first && aNow - told->second < kClearedPause) {
+  const auto [reported, first] = mClearedReportedAt.try_emplace(aRequest, aNow);
+  if (!first && aNow - reported->second < kClearedReportInterval) {
     return;
   }
-  told->second = aNow;
-  mNews.mCleared.push_back(
-    { .mRequest = aRequest, .mAge = aNow - InnocentAt(aRequest) });
+  reported->second = aNow;
+  mPendingUpdate.mCleared.push_back(
+    { .mRequest = aRequest, .mAge = aNow - LastClearedAt(aRequest) });
 }
 
 std::vector<CrashUpdate>
-Quarantine::TakeUpdates(bool aAgain, Millis aNow)
+Quarantine::TakeUpdates(bool aRepeat, Millis aNow)
 {
-  if (aAgain) {
-    Repeat(aNow);
+  if (aRepeat) {
+    RepeatReports(aNow);
   }
-  return CrashUpdateParts(std::exchange(mNews, {})).Take();
+  return CrashUpdateParts(std::exchange(mPendingUpdate, {})).Take();
 }
 
 void
-Quarantine::Repeat(Millis aNow)
+Quarantine::RepeatReports(Millis aNow)
 {
-  std::erase_if(mRecent,
-                [&](const Told& aTold) { return aNow - aTold.mAt > kRecent; });
+  std::erase_if(mRecentReports, [&](const SentReport& aSent) {
+    return aNow - aSent.mCrashedAt > kRepeatWindow;
+  });
   if (mRelays) {
-    // Several entries have passed on what matters.
-    mRecent.clear();
+    // Several entries have forwarded the relevant reports already.
+    mRecentReports.clear();
   }
-  for (const Told& each : mRecent) {
+  for (const SentReport& each : mRecentReports) {
     CrashReport report = each.mReport;
-    report.mAge = aNow - each.mAt;
-    mNews.mReports.push_back(std::move(report));
+    report.mAge = aNow - each.mCrashedAt;
+    mPendingUpdate.mReports.push_back(std::move(report));
   }
-  if (aNow - mHeldToldAt < kHeldPause) {
+  if (aNow - mQuarantineReportedAt < kQuarantineReportInterval) {
     return;
   }
-  mHeldToldAt = aNow;
+  mQuarantineReportedAt = aNow;
   std::vector<QuarantineReport> held;
   for (const auto& [request, each] : mHeld) {
     held.push_back(ReportOf(each, aNow));
@@ -72,24 +73,25 @@
   std::sort(held.begin(), held.end(), [](const auto& aOne, const auto& aTwo) {
     return aOne.mIdleFor < aTwo.mIdleFor;
   });
-  held.resize(std::min(held.size(), kMostHeldTold));
-  mNews.mQuarantined.insert(mNews.mQuarantined.end(), held.begin(), held.end());
+  held.resize(std::min(held.size(), kMaxReportedRequests));
+  mPendingUpdate.mQuarantined.insert(
+    mPendingUpdate.mQuarantined.end(), held.begin(), held.end());
 }
 
 void
-Quarantine::OnUpdate(const CrashUpdate& aNews, Millis aNow)
+Quarantine::OnUpdate(const CrashUpdate& aUpdate, Millis aNow)
 {
-  for (const CrashReport& each : aNews.mReports) {
+  for (const CrashReport& each : aUpdate.mReports) {
     TakeReport(each, aNow);
   }
-  for (const AgedRequest& each : aNews.mCleared) {
+  for (const AgedRequest& each : aUpdate.mCleared) {
     TakeCleared(each, aNow);
   }
-  for (const RequestFingerprint& each : aNews.mKeepaliveProbes) {
-    TakeTrial(each, aNow);
+  for (const RequestFingerprint& each : aUpdate.mKeepaliveProbes) {
+    TakeProbe(each, aNow);
   }
-  for (const QuarantineReport& each : aNews.mQuarantined) {
-    TakeHeld(each, aNow);
+  for (const QuarantineReport& each : aUpdate.mQuarantined) {
+    TakeQuarantined(each, aNow);
   }
 }
 
@@ -101,37 +103,37 @@
   if (held != mHeld.end() && held->second.mSuspectSince >= at) {
     return;
   }
-  const bool news = at > InnocentAt(aCleared.mRequest) &&
-                    (held != mHeld.end() || IsSuspect(aCleared.mRequest));
-  if (!news) {
+  const bool isNew = at > LastClearedAt(aCleared.mRequest) &&
+                     (held != mHeld.end() || IsSuspect(aCleared.mRequest));
+  if (!isNew) {
     return;
   }
   const bool relays =
-    mRelays && (held != mHeld.end() || IsWorthTelling(aCleared.mRequest));
+    mRelays && (held != mHeld.end() || IsWorthReporting(aCleared.mRequest));
   mAnswers.Record(aCleared.mRequest, at, aNow);
   Clear(aCleared.mRequest, at, "let go by another entry");
   if (relays) {
-    mNews.mCleared.push_back(aCleared);
+    mPendingUpdate.mCleared.push_back(aCleared);
   }
 }
 
 void
-Quarantine::TakeTrial(const RequestFingerprint& aRequest, Millis aNow)
+Quarantine::TakeProbe(const RequestFingerprint& aRequest, Millis aNow)
 {
-  const auto [trial, fresh] = mKeepaliveProbes.try_emplace(aRequest, aNow);
+  const auto [probe, inserted] = mKeepaliveProbes.try_emplace(aRequest, aNow);
   const bool known =
-    !fresh && aNow - trial->second < mOptions.mFirstProbeTimeout;
+    !inserted && aNow - probe->second < mOptions.mFirstProbeTimeout;
   if (known) {
     return;
   }
-  trial->second = aNow;
-  if (mRelays && IsWorthTelling(aRequest)) {
-    mNews.mKeepaliveProbes.push_back(aRequest);
+  probe->second = aNow;
+  if (mRelays && IsWorthReporting(aRequest)) {
+    mPendingUpdate.mKeepaliveProbes.push_back(aRequest);
   }
   const auto held = mHeld.find(aRequest);
   if (held != mHeld.end()) {
     held->second.mProbeAt = Millis::Never();
-    mNews.mQuarantined.push_back(ReportOf(held->second, aNow));
+    mPendingUpdate.mQuarantined.push_back(ReportOf(held->second, aNow));
   }
 }
 
@@ -139,25 +141,25 @@
 Quarantine::TakeReport(const CrashReport& aReport, Millis aNow)
 {
   const Millis at = aNow - aReport.mAge;
-  CrashReport fresh{ .mIncarnation = aReport.mIncarnation,
-                     .mAge = aReport.mAge };
+  CrashReport newReport{ .mIncarnation = aReport.mIncarnation,
+                         .mAge = aReport.mAge };
   for (const RequestFingerprint& each : aReport.mSuspects) {
-    const Millis innocentAt = InnocentAt(each);
-    if (innocentAt < at && mEvidence.Add(aReport.mIncarnation, each, at)) {
-      fresh.mSuspects.push_back(each);
-    } else if (innocentAt < at) {
+    const Millis clearedAt = LastClearedAt(each);
+    if (clearedAt < at && mEvidence.Add(aReport.mIncarnation, each, at)) {
+      newReport.mSuspects.push_back(each);
+    } else if (clearedAt < at) {
       continue;
     }
-    if (innocentAt > Millis(0) && !mRelays) {
-      TellCleared(each, aNow);
+    if (clearedAt > Millis(0) && !mRelays) {
+      ReportCleared(each, aNow);
     }
   }
-  if (fresh.mSuspects.empty()) {
+  if (newReport.mSuspects.empty()) {
     return;
   }
-  AddEvidence(fresh, at, aNow);
+  AddEvidence(newReport, at, aNow);
   if (mRelays) {
-    Relay(fresh.mSuspects, aNow);
+    Relay(newReport.mSuspects, aNow);
   }
 }
 
@@ -165,24 +167,25 @@
 Quarantine::Relay(const std::vector<RequestFingerprint>& aSuspects, Millis aNow)
 {
   for (const RequestFingerprint& each : aSuspects) {
-    if (!IsWorthTelling(each)) {
+    if (!IsWorthReporting(each)) {
       continue;
     }
     const Millis age = aNow - mEvidence.FirstCrashAt(each);
-    for (const UpstreamIncarnation& start : mEvidence.IncarnationsOf(each)) {
-      mNews.mReports.push_back(
-        { .mIncarnation = start, .mSuspects = { each }, .mAge = age });
+    for (const UpstreamIncarnation& incarnation :
+         mEvidence.IncarnationsOf(each)) {
+      mPendingUpdate.mReports.push_back(
+        { .mIncarnation = incarnation, .mSuspects = { each }, .mAge = age });
     }
   }
 }
 
 void
-Quarantine::TakeHeld(const QuarantineReport& aHeld, Millis aNow)
+Quarantine::TakeQuarantined(const QuarantineReport& aHeld, Millis aNow)
 {
   const Millis since = aNow - aHeld.mSuspectFor;
   const Millis lastSent = aNow - aHeld.mIdleFor;
-  if (since <= InnocentAt(aHeld.mRequest)) {
-    TellCleared(aHeld.mRequest, aNow);
+  if (since <= LastClearedAt(aHeld.mRequest)) {
+    ReportCleared(aHeld.mRequest, aNow);
     return;
   }
   const auto held = mHeld.find(aHeld.mRequest);
@@ -194,12 +197,12 @@
   if (aHeld.mIdleFor > mOptions.mIdleTimeout) {
     return;
   }
-  Put({ .mRequest = aHeld.mRequest,
-        .mSuspectSince = since,
-        .mLastSent = lastSent },
-      "told by another entry");
+  AddToQuarantine({ .mRequest = aHeld.mRequest,
+                    .mSuspectSince = since,
+                    .mLastSent = lastSent },
+                  "told by another entry");
   if (mRelays) {
-    mNews.mQuarantined.push_back(aHeld);
+    mPendingUpdate.mQuarantined.push_back(aHeld);
   }
 }
 
--- a/src/libtrefoilarch/requestfingerprint.cpp
+++ b/src/libtrefoilarch/requestfingerprint.cpp
@@ -18,8 +18,8 @@
 
 using State = std::unique_ptr<XXH3_state_t, FreeState>;
 
-/** Adds the part with its length before it, so that no two lists of parts
- * read alike. Little-endian on every host. */
+/** Adds the part, preceded by its length so that different lists of parts never
+ * hash alike. Little-endian on every host. */
 void
 Add(const State& aState, std::string_view aPart)
 {
--- a/src/libtrefoilarch/requestfingerprint.h
+++ b/src/libtrefoilarch/requestfingerprint.h
@@ -9,24 +9,24 @@
 
 namespace trefoilarch {
 
-/** What makes two requests the same one. */
+/** The attributes that identify a request. */
 struct RequestIdentity
 {
   std::string_view mMethod;
   std::string_view mHost;
   /** Path and query. */
   std::string_view mTarget;
-  /** The caller: its workspace and not its key, as keys are rotated. Empty on
-   * a public route. */
+  /** The caller's workspace instead of its key, since keys are rotated. Empty
+   * on a public route. */
   std::string_view mWorkspace;
   std::string_view mBody;
 };
 
 /**
- * Names what a caller asks, alike at every entry: a caller's repeat has
- * another request id and the same fingerprint. Part of what entries tell each
- * other and keep in the store, so it must not change between versions. 128
- * bits, since a collision could refuse the request of somebody else.
+ * Identifies a request, alike at every entry. A caller's repeat has another
+ * request id and the same fingerprint. Entries exchange fingerprints and keep
+ * them in the store, so they must not change between versions. 128 bits, since
+ * a collision could reject another caller's request.
  */
 struct RequestFingerprint
 {
@@ -39,7 +39,7 @@
 
   /** 32 lower-case hexadecimal digits. */
   std::string Text() const;
-  /** Reads what Text() wrote; all zero if it is anything else. */
+  /** Parses the output of Text(). Returns all zeros for anything else. */
   static RequestFingerprint FromText(std::string_view aText);
 };
 
--- a/src/libtrefoilarch/upstreamincarnation.h
+++ b/src/libtrefoilarch/upstreamincarnation.h
@@ -7,12 +7,12 @@
 
 namespace trefoilarch {
 
-/** One start of an upstream's process, named alike at every entry. */
+/** One run of an upstream's process, identified alike at every entry. */
 struct UpstreamIncarnation
 {
   UpstreamId mUpstream;
-  /** Unix milliseconds; 0 where the upstream does not tell it: then all starts
-   * under its id are taken for one. */
+  /** Unix milliseconds; 0 if the upstream does not report it. All runs under
+   * its id then count as one. */
   int64_t mStartTime = 0;
 
   auto operator<=>(const UpstreamIncarnation&) const = default;
--- a/tests/unit/crashdetectortest.cpp
+++ b/tests/unit/crashdetectortest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const UpstreamIncarnation kStart{ .mUpstream = "u", .mStartTime = 1 };
+const UpstreamIncarnation kIncarnation{ .mUpstream = "u", .mStartTime = 1 };
 constexpr RequestFingerprint kOne{ 1, 1 };
 constexpr RequestFingerprint kTwo{ 2, 2 };
 
@@ -15,54 +15,54 @@
 Test(crashdetector, a_broken_connection_alone_is_no_crash)
 {
   CrashDetector detector;
-  cr_expect(!detector.OnConnectionLost(kStart, kOne, Millis(1000)));
-  cr_expect(detector.IsCrashSuspected(kStart));
+  cr_expect(!detector.OnConnectionLost(kIncarnation, kOne, Millis(1000)));
+  cr_expect(detector.IsCrashSuspected(kIncarnation));
   detector.Expire(Millis(60000));
-  cr_expect(!detector.IsCrashSuspected(kStart));
-  cr_expect(detector.OnEnded(kStart, Millis(60001)).empty());
+  cr_expect(!detector.IsCrashSuspected(kIncarnation));
+  cr_expect(detector.OnEnded(kIncarnation, Millis(60001)).empty());
 }
 
-Test(crashdetector, the_requests_that_broke_with_the_process_are_suspects)
+Test(crashdetector, requests_that_failed_with_the_process_are_suspects)
 {
   CrashDetector detector;
-  detector.OnConnectionLost(kStart, kOne, Millis(1000));
-  detector.OnConnectionLost(kStart, kTwo, Millis(1003));
-  const auto suspects = detector.OnEnded(kStart, Millis(1005));
+  detector.OnConnectionLost(kIncarnation, kOne, Millis(1000));
+  detector.OnConnectionLost(kIncarnation, kTwo, Millis(1003));
+  const auto suspects = detector.OnEnded(kIncarnation, Millis(1005));
   cr_expect(suspects == CrashDetector::Suspects({ kOne, kTwo }));
-  // The same end seen again, by the list for example.
-  cr_expect(detector.OnEnded(kStart, Millis(3000)).empty());
+  // The same end reported again, for example by the list.
+  cr_expect(detector.OnEnded(kIncarnation, Millis(3000)).empty());
 }
 
-Test(crashdetector, what_broke_long_before_the_end_is_not_one)
+Test(crashdetector, requests_that_failed_long_before_the_end_are_no_suspects)
 {
   CrashDetector detector;
-  detector.OnConnectionLost(kStart, kOne, Millis(1000));
-  detector.OnConnectionLost(kStart, kTwo, Millis(5000));
-  cr_expect(detector.OnEnded(kStart, Millis(5001)) ==
+  detector.OnConnectionLost(kIncarnation, kOne, Millis(1000));
+  detector.OnConnectionLost(kIncarnation, kTwo, Millis(5000));
+  cr_expect(detector.OnEnded(kIncarnation, Millis(5001)) ==
             CrashDetector::Suspects({ kTwo }));
 }
 
-Test(crashdetector, what_is_noticed_late_is_one_at_once)
+Test(crashdetector, a_failure_detected_after_the_end_is_a_suspect_at_once)
 {
   CrashDetector detector;
-  detector.OnConnectionLost(kStart, kOne, Millis(1000));
-  detector.OnEnded(kStart, Millis(1001));
-  cr_expect(detector.OnConnectionLost(kStart, kTwo, Millis(1200)));
+  detector.OnConnectionLost(kIncarnation, kOne, Millis(1000));
+  detector.OnEnded(kIncarnation, Millis(1001));
+  cr_expect(detector.OnConnectionLost(kIncarnation, kTwo, Millis(1200)));
 }
 
-Test(crashdetector, one_that_leaves_does_not_crash)
+Test(crashdetector, the_end_of_a_leaving_upstream_is_no_crash)
 {
   CrashDetector detector;
-  detector.OnConnectionLost(kStart, kOne, Millis(1000));
-  detector.OnLeaving(kStart);
-  cr_expect(detector.OnEnded(kStart, Millis(1100)).empty());
+  detector.OnConnectionLost(kIncarnation, kOne, Millis(1000));
+  detector.OnLeaving(kIncarnation);
+  cr_expect(detector.OnEnded(kIncarnation, Millis(1100)).empty());
 }
 
-Test(crashdetector, starts_of_one_upstream_are_told_apart)
+Test(crashdetector, incarnations_of_one_upstream_are_distinguished)
 {
   CrashDetector detector;
-  detector.OnConnectionLost(kStart, kOne, Millis(1000));
+  detector.OnConnectionLost(kIncarnation, kOne, Millis(1000));
   const UpstreamIncarnation next{ .mUpstream = "u", .mStartTime = 2 };
   cr_expect(detector.OnEnded(next, Millis(1001)).empty());
-  cr_expect(detector.IsCrashSuspected(kStart));
+  cr_expect(detector.IsCrashSuspected(kIncarnation));
 }
--- a/tests/unit/quarantinefleet.cpp
+++ b/tests/unit/quarantinefleet.cpp
@@ -9,36 +9,36 @@
 
 namespace {
 
-constexpr Millis kTickPause{ 500 };
-constexpr Millis kAskAgain{ 50 };
-constexpr Millis kLongestHold{ 2000 };
-constexpr int kMostAttempts = 3;
+constexpr Millis kTickInterval{ 500 };
+constexpr Millis kRetryInterval{ 50 };
+constexpr Millis kMaxHold{ 2000 };
+constexpr int kMaxAttempts = 3;
 constexpr Millis kStableWindow{ 3000 };
 
-/** What broke is noticed within some milliseconds at each entry. */
-constexpr int64_t kNoticeMs = 10;
+/** Each entry detects a broken connection within this time. */
+constexpr int64_t kMaxDetectionMs = 10;
 
 } // namespace
 
 QuarantineFleet::QuarantineFleet(FleetOptions aOptions)
   : mOptions(aOptions)
   , mRandom(aOptions.mSeed)
-  , mEnd(mNow + Millis(aOptions.mSpanMs))
+  , mEnd(mNow + Millis(aOptions.mDurationMs))
   , mEntries(aOptions.mEntries)
   , mStarted(aOptions.mEntries, true)
 {
   for (size_t each = 0; each < mOptions.mUpstreams; ++each) {
     mUpstreams.push_back({});
-    Back(each);
+    Restart(each);
   }
   for (size_t each = 0; each < mOptions.mEntries; ++each) {
-    mEntries[each].SetRelays(mOptions.mEntries > mOptions.mTold + 1);
-    At(mNow + Millis(Below(kTickPause.Count())),
+    mEntries[each].SetRelays(mOptions.mEntries > mOptions.mReceivers + 1);
+    At(mNow + Millis(RandomBelow(kTickInterval.Count())),
        [this, each] { TickEntry(each); });
   }
   if (mOptions.mLateEntry) {
     mStarted[0] = false;
-    mLateEntryAt = mNow + Millis(mOptions.mSpanMs / 2);
+    mLateEntryAt = mNow + Millis(mOptions.mDurationMs / 2);
     At(mLateEntryAt, [this] { mStarted[0] = true; });
   }
   mResult.mCrashes.resize(mOptions.mPoisons);
@@ -52,24 +52,26 @@
   At(mNow + Millis(mOptions.mPoisonsFromMs), [this] {
     for (size_t each = 0; each < mOptions.mPoisons; ++each) {
       Every(mOptions.mPoisonsPerSecond, [this, each] {
-        Arrive({ .mWhat = { 1, each }, .mPoison = static_cast<int>(each) });
+        Arrive(
+          { .mFingerprint = { 1, each }, .mPoison = static_cast<int>(each) });
       });
     }
   });
-  for (size_t each = 0; each < mOptions.mOften; ++each) {
-    Every(mOptions.mOftenPerSecond, [this, each] {
-      Arrive({ .mWhat = { 2, each } });
+  for (size_t each = 0; each < mOptions.mFrequentRequests; ++each) {
+    Every(mOptions.mFrequentPerSecond, [this, each] {
+      Arrive({ .mFingerprint = { 2, each } });
     });
   }
   Every(mOptions.mOthersPerSecond, [this] {
-    Arrive({ .mWhat = { 3, ++mNumbers } });
+    Arrive({ .mFingerprint = { 3, ++mLastNumber } });
   });
   Every(mOptions.mCrashesPerSecond, [this] {
-    Crash(static_cast<size_t>(Below(static_cast<int64_t>(mUpstreams.size()))));
+    Crash(static_cast<size_t>(
+      RandomBelow(static_cast<int64_t>(mUpstreams.size()))));
   });
-  if (mOptions.mRack > 0) {
+  if (mOptions.mRackSize > 0) {
     Every(1.0 / 3, [this] {
-      for (size_t each = 0; each < mOptions.mRack; ++each) {
+      for (size_t each = 0; each < mOptions.mRackSize; ++each) {
         Crash(each);
       }
     });
@@ -109,44 +111,45 @@
 {
   do {
     aRequest.mEntry =
-      static_cast<size_t>(Below(static_cast<int64_t>(mEntries.size())));
+      static_cast<size_t>(RandomBelow(static_cast<int64_t>(mEntries.size())));
   } while (!mStarted[aRequest.mEntry]);
   aRequest.mArrivedAt = mNow;
   aRequest.mHeldSince = mNow;
   mResult.mInnocents += aRequest.mPoison < 0 ? 1 : 0;
-  Place(aRequest);
+  Dispatch(aRequest);
 }
 
 void
-QuarantineFleet::Place(Request aRequest)
+QuarantineFleet::Dispatch(Request aRequest)
 {
   const Millis waited = mNow - aRequest.mHeldSince;
   const QuarantineVerdict verdict =
-    mEntries[aRequest.mEntry].Admit(aRequest.mWhat, waited, mNow);
+    mEntries[aRequest.mEntry].Admit(aRequest.mFingerprint, waited, mNow);
   const bool innocent = aRequest.mPoison < 0;
   if (verdict == QuarantineVerdict::Refuse ||
-      (verdict == QuarantineVerdict::Wait && waited >= kLongestHold)) {
+      (verdict == QuarantineVerdict::Wait && waited >= kMaxHold)) {
     mResult.mRefused += innocent ? 1 : 0;
     return;
   }
   if (verdict == QuarantineVerdict::Wait) {
     mResult.mWaited += innocent && !aRequest.mWaited ? 1 : 0;
     aRequest.mWaited = true;
-    At(mNow + kAskAgain, [this, aRequest] { Place(aRequest); });
+    At(mNow + kRetryInterval, [this, aRequest] { Dispatch(aRequest); });
     return;
   }
   if (innocent) {
-    mResult.mLongestWait = std::max(mResult.mLongestWait, waited);
+    mResult.mMaxWait = std::max(mResult.mMaxWait, waited);
   }
-  std::vector<size_t> up;
+  std::vector<size_t> running;
   for (size_t each = 0; each < mUpstreams.size(); ++each) {
     if (mUpstreams[each].mUp) {
-      up.push_back(each);
+      running.push_back(each);
     }
   }
-  if (!up.empty()) {
+  if (!running.empty()) {
     Start(aRequest,
-          up[static_cast<size_t>(Below(static_cast<int64_t>(up.size())))]);
+          running[static_cast<size_t>(
+            RandomBelow(static_cast<int64_t>(running.size())))]);
   }
 }
 
@@ -155,14 +158,15 @@
 {
   aRequest.mAttempts++;
   CountRetry(aRequest);
-  mEntries[aRequest.mEntry].OnSent(aRequest.mWhat, mNow);
-  Tell(aRequest.mEntry, false);
-  const uint64_t number = ++mNumbers;
-  const int64_t span =
-    aRequest.mPoison < 0 ? 50 + Below(750) : 20 + Below(mOptions.mMostFuseMs);
+  mEntries[aRequest.mEntry].OnSent(aRequest.mFingerprint, mNow);
+  SendUpdates(aRequest.mEntry, false);
+  const uint64_t number = ++mLastNumber;
+  const int64_t duration = aRequest.mPoison < 0
+                             ? 50 + RandomBelow(750)
+                             : 20 + RandomBelow(mOptions.mMaxCrashDelayMs);
   mUpstreams[aUpstream].mRunning.push_back(
     { .mRequest = aRequest, .mNumber = number });
-  At(mNow + Millis(span),
+  At(mNow + Millis(duration),
      [this, aUpstream, number] { Finish(aUpstream, number); });
 }
 
@@ -185,9 +189,9 @@
   const Request request = place->mRequest;
   running.erase(place);
   Quarantine& entry = mEntries[request.mEntry];
-  entry.OnAttemptEnded(request.mWhat);
-  entry.OnAnswered(request.mWhat, mNow);
-  Tell(request.mEntry, false);
+  entry.OnAttemptEnded(request.mFingerprint);
+  entry.OnAnswered(request.mFingerprint, mNow);
+  SendUpdates(request.mEntry, false);
 }
 
 void
@@ -203,30 +207,31 @@
   for (const Running& each : running) {
     byEntry[each.mRequest.mEntry].push_back(each.mRequest);
   }
-  const UpstreamIncarnation start = upstream.mIncarnation;
+  const UpstreamIncarnation incarnation = upstream.mIncarnation;
   for (const auto& [entry, requests] : byEntry) {
-    At(mNow + Millis(1 + Below(kNoticeMs)),
-       [this, entry = entry, requests = requests, start] {
+    At(mNow + Millis(1 + RandomBelow(kMaxDetectionMs)),
+       [this, entry = entry, requests = requests, incarnation] {
          std::vector<RequestFingerprint> suspects;
          for (const Request& each : requests) {
-           mEntries[entry].OnAttemptEnded(each.mWhat);
-           suspects.push_back(each.mWhat);
+           mEntries[entry].OnAttemptEnded(each.mFingerprint);
+           suspects.push_back(each.mFingerprint);
          }
-         mEntries[entry].OnCrash(start, suspects, mNow);
-         Tell(entry, false);
+         mEntries[entry].OnCrash(incarnation, suspects, mNow);
+         SendUpdates(entry, false);
          for (Request each : requests) {
-           if (each.mAttempts < kMostAttempts) {
+           if (each.mAttempts < kMaxAttempts) {
              each.mHeldSince = mNow;
-             Place(each);
+             Dispatch(each);
            }
          }
        });
   }
-  At(mNow + Millis(800 + Below(2000)), [this, aUpstream] { Back(aUpstream); });
+  At(mNow + Millis(800 + RandomBelow(2000)),
+     [this, aUpstream] { Restart(aUpstream); });
 }
 
 void
-QuarantineFleet::Back(size_t aUpstream)
+QuarantineFleet::Restart(size_t aUpstream)
 {
   mUpstreams[aUpstream].mUp = true;
   mUpstreams[aUpstream].mIncarnation = { .mUpstream =
@@ -235,22 +240,23 @@
 }
 
 void
-QuarantineFleet::Tell(size_t aEntry, bool aAgain)
+QuarantineFleet::SendUpdates(size_t aEntry, bool aRepeat)
 {
-  const auto parts = mEntries[aEntry].TakeUpdates(aAgain, mNow);
-  const size_t told = std::min(mOptions.mTold, mEntries.size() - 1);
+  const auto parts = mEntries[aEntry].TakeUpdates(aRepeat, mNow);
+  const size_t receivers = std::min(mOptions.mReceivers, mEntries.size() - 1);
   for (const CrashUpdate& part : parts) {
-    for (size_t each = 1; each <= told; ++each) {
+    for (size_t each = 1; each <= receivers; ++each) {
       const size_t other = (aEntry + each) % mEntries.size();
       mResult.mMessages++;
-      const bool lost = IsCut(aEntry) || IsCut(other) || !mStarted[aEntry] ||
-                        !mStarted[other] || Chance(mOptions.mLoss);
-      const int copies = lost ? 0 : Chance(mOptions.mDoubled) ? 2 : 1;
+      const bool lost = IsIsolated(aEntry) || IsIsolated(other) ||
+                        !mStarted[aEntry] || !mStarted[other] ||
+                        RandomBool(mOptions.mLoss);
+      const int copies = lost ? 0 : RandomBool(mOptions.mDuplicated) ? 2 : 1;
       for (int copy = 0; copy < copies; ++copy) {
-        At(mNow + Millis(1 + Below(mOptions.mMostDelayMs)),
+        At(mNow + Millis(1 + RandomBelow(mOptions.mMaxDelayMs)),
            [this, other, part] {
              mEntries[other].OnUpdate(part, mNow);
-             Tell(other, false);
+             SendUpdates(other, false);
            });
       }
     }
@@ -261,14 +267,14 @@
 QuarantineFleet::TickEntry(size_t aEntry)
 {
   mEntries[aEntry].Tick(mNow);
-  Tell(aEntry, true);
-  At(mNow + kTickPause, [this, aEntry] { TickEntry(aEntry); });
+  SendUpdates(aEntry, true);
+  At(mNow + kTickInterval, [this, aEntry] { TickEntry(aEntry); });
 }
 
 void
 QuarantineFleet::CountRetry(const Request& aRequest)
 {
-  if (aRequest.mPoison < 0 || !IsInTouch(aRequest.mEntry)) {
+  if (aRequest.mPoison < 0 || !IsConnected(aRequest.mEntry)) {
     return;
   }
   const auto poison = static_cast<size_t>(aRequest.mPoison);
@@ -287,34 +293,34 @@
 }
 
 bool
-QuarantineFleet::IsInTouch(size_t aEntry) const
+QuarantineFleet::IsConnected(size_t aEntry) const
 {
-  const Millis third(mOptions.mSpanMs / 3);
-  const bool wasCut = mOptions.mCutEntry && aEntry == 1 && mNow > third &&
-                      mNow < third + third + kStableWindow;
+  const Millis third(mOptions.mDurationMs / 3);
+  const bool wasIsolated = mOptions.mIsolatedEntry && aEntry == 1 &&
+                           mNow > third && mNow < third + third + kStableWindow;
   const bool isNew =
     mOptions.mLateEntry && aEntry == 0 && mNow < mLateEntryAt + kStableWindow;
-  return !wasCut && !isNew;
+  return !wasIsolated && !isNew;
 }
 
 bool
-QuarantineFleet::IsCut(size_t aEntry) const
+QuarantineFleet::IsIsolated(size_t aEntry) const
 {
-  const Millis third(mOptions.mSpanMs / 3);
-  return mOptions.mCutEntry && aEntry == 1 && mNow > third &&
+  const Millis third(mOptions.mDurationMs / 3);
+  return mOptions.mIsolatedEntry && aEntry == 1 && mNow > third &&
          mNow < third + third;
 }
 
 int64_t
-QuarantineFleet::Below(int64_t aMost)
+QuarantineFleet::RandomBelow(int64_t aBound)
 {
-  return std::uniform_int_distribution<int64_t>(0, aMost - 1)(mRandom);
+  return std::uniform_int_distribution<int64_t>(0, aBound - 1)(mRandom);
 }
 
 bool
-QuarantineFleet::Chance(double aShare)
+QuarantineFleet::RandomBool(double aProbability)
 {
-  return std::bernoulli_distribution(aShare)(mRandom);
+  return std::bernoulli_distribution(aProbability)(mRandom);
 }
 
 } // namespace quarantinetest
--- a/tests/unit/quarantinefleet.h
+++ b/tests/unit/quarantinefleet.h
@@ -18,58 +18,60 @@
 using trefoilarch::RequestFingerprint;
 using trefoilarch::UpstreamIncarnation;
 
-/** What a history is drawn from. */
+/** Parameters of a simulation run. */
 struct FleetOptions
 {
   uint64_t mSeed = 1;
   size_t mEntries = 4;
   size_t mUpstreams = 12;
-  /** How many others an entry tells; all where it is that many. */
-  size_t mTold = 40;
-  /** Of the messages between entries. */
+  /** How many others an entry sends to; all, if there are no more. */
+  size_t mReceivers = 40;
+  /** Shares of the messages between entries. */
   double mLoss = 0.03;
-  double mDoubled = 0.03;
-  int64_t mMostDelayMs = 40;
-  /** Entries that start in the middle, and that are cut off for a while. */
+  double mDuplicated = 0.03;
+  int64_t mMaxDelayMs = 40;
+  /** An entry that starts in the middle, and one that is isolated for a
+   * while. */
   bool mLateEntry = false;
-  bool mCutEntry = false;
+  bool mIsolatedEntry = false;
   size_t mPoisons = 1;
   double mPoisonsPerSecond = 8;
-  /** When the first of them comes. */
+  /** When the first of them arrives. */
   int64_t mPoisonsFromMs = 0;
-  /** How long an upstream runs a poison request before it crashes. */
-  int64_t mMostFuseMs = 400;
-  size_t mOften = 1;
-  double mOftenPerSecond = 15;
+  /** Maximum time for which an upstream runs a poison request before it
+   * crashes. */
+  int64_t mMaxCrashDelayMs = 400;
+  size_t mFrequentRequests = 1;
+  double mFrequentPerSecond = 15;
   double mOthersPerSecond = 60;
-  /** Crashes of single upstreams that no request is the cause of. */
+  /** Crashes of single upstreams without a request as the cause. */
   double mCrashesPerSecond = 0;
-  /** Upstreams that crash together every three seconds. */
-  size_t mRack = 0;
-  int64_t mSpanMs = 20000;
+  /** Number of upstreams that crash together every three seconds. */
+  size_t mRackSize = 0;
+  int64_t mDurationMs = 20000;
 };
 
-/** What came of a history. */
+/** Results of a simulation run. */
 struct FleetResult
 {
-  /** Upstreams that each poison request crashed. */
+  /** Number of upstreams that each poison request crashed. */
   std::vector<size_t> mCrashes;
-  /** Attempts of each that were sent later than the stable window after its
-   * third crash, by entries that were in touch for that long. */
+  /** Number of attempts of each that were sent later than the stable window
+   * after its third crash, by entries that were connected for that long. */
   std::vector<size_t> mLateRetries;
   size_t mInnocents = 0;
-  /** Innocent requests that were not run because of the quarantine. */
+  /** Innocent requests that were rejected because of the quarantine. */
   size_t mRefused = 0;
-  /** Innocent requests that waited for a like one. */
+  /** Innocent requests that waited for the outcome of the same request. */
   size_t mWaited = 0;
-  Millis mLongestWait;
+  Millis mMaxWait;
   size_t mMessages = 0;
 };
 
 /**
- * Entries and upstreams in virtual time. Entries decide by a Quarantine each
- * and tell each other over a link that loses, doubles and delays; upstreams
- * are chosen by chance, crash and come back.
+ * Entries and upstreams in virtual time. Entries decide by one Quarantine each
+ * and exchange updates over a network that loses, duplicates and delays
+ * messages. Upstreams are selected at random, crash and restart.
  */
 class QuarantineFleet
 {
@@ -81,8 +83,8 @@
 private:
   struct Request
   {
-    RequestFingerprint mWhat;
-    /** Number of the poison request, or none. */
+    RequestFingerprint mFingerprint;
+    /** Index of the poison request; -1 for an innocent one. */
     int mPoison = -1;
     size_t mEntry = 0;
     Millis mArrivedAt;
@@ -105,19 +107,19 @@
   void At(Millis aTime, std::function<void()> aAction);
   void Every(double aPerSecond, const std::function<void()>& aAction);
   void Arrive(Request aRequest);
-  void Place(Request aRequest);
+  void Dispatch(Request aRequest);
   void Start(Request aRequest, size_t aUpstream);
   void Finish(size_t aUpstream, uint64_t aNumber);
   void Crash(size_t aUpstream);
-  void Back(size_t aUpstream);
-  void Tell(size_t aEntry, bool aAgain);
+  void Restart(size_t aUpstream);
+  void SendUpdates(size_t aEntry, bool aRepeat);
   void TickEntry(size_t aEntry);
   void CountRetry(const Request& aRequest);
   void CountCrash(size_t aPoison);
-  bool IsCut(size_t aEntry) const;
-  bool IsInTouch(size_t aEntry) const;
-  int64_t Below(int64_t aMost);
-  bool Chance(double aShare);
+  bool IsIsolated(size_t aEntry) const;
+  bool IsConnected(size_t aEntry) const;
+  int64_t RandomBelow(int64_t aBound);
+  bool RandomBool(double aProbability);
 
   FleetOptions mOptions;
   std::mt19937_64 mRandom;
@@ -130,7 +132,7 @@
   /** Of each poison request; 0 before it. */
   std::vector<Millis> mThirdCrashAt;
   std::vector<Upstream> mUpstreams;
-  uint64_t mNumbers = 0;
+  uint64_t mLastNumber = 0;
   int64_t mStartTime = 1;
   FleetResult mResult;
 };
--- a/tests/unit/quarantinetest.cpp
+++ b/tests/unit/quarantinetest.cpp
@@ -10,40 +10,41 @@
 
 namespace {
 
-/** Upstreams that one request may crash, and retries beyond them. */
-constexpr size_t kMostCrashes = 3;
-constexpr size_t kMostRetries = 3;
+/** Number of upstreams that one request may crash, and of retries beyond
+ * them. */
+constexpr size_t kMaxCrashes = 3;
+constexpr size_t kMaxRetries = 3;
 
 constexpr RequestFingerprint kPoison{ 1, 1 };
 constexpr RequestFingerprint kOther{ 2, 2 };
 
 UpstreamIncarnation
-StartOf(int aNumber)
+IncarnationOf(int aNumber)
 {
   return { .mUpstream = "u" + std::to_string(aNumber), .mStartTime = 1 };
 }
 
-/** Histories that one test draws; more by hand. */
+/** Simulation runs per test; more by TREFOILARCH_HISTORIES. */
 uint64_t
-Histories()
+RunCount()
 {
   const char* wanted = std::getenv("TREFOILARCH_HISTORIES");
   return wanted == nullptr ? 40 : std::strtoull(wanted, nullptr, 10);
 }
 
-/** Each poison request keeps the bound on late retries in every history, and
- * few upstreams fall on the whole. Of entries that know nothing and have no
- * store to read (aAlone), each may lose three of its own. */
+/** Each poison request keeps the bound on late retries in every run, and few
+ * upstreams crash in total. Of entries that know nothing and have no store to
+ * read (aIsolatedEntries), each may lose three of its own. */
 void
-ExpectBounded(FleetOptions aOptions, size_t aAlone = 0)
+ExpectBounded(FleetOptions aOptions, size_t aIsolatedEntries = 0)
 {
   size_t poisons = 0;
   size_t crashes = 0;
-  for (uint64_t seed = 1; seed <= Histories(); ++seed) {
+  for (uint64_t seed = 1; seed <= RunCount(); ++seed) {
     aOptions.mSeed = seed;
     const FleetResult result = QuarantineFleet(aOptions).Run();
     for (const size_t retries : result.mLateRetries) {
-      cr_expect(retries <= kMostRetries,
+      cr_expect(retries <= kMaxRetries,
                 "seed %d: %zu late retries",
                 static_cast<int>(seed),
                 retries);
@@ -52,19 +53,20 @@
     crashes =
       std::accumulate(result.mCrashes.begin(), result.mCrashes.end(), crashes);
   }
-  cr_expect(crashes <= poisons * (kMostCrashes * (1 + aAlone) + kMostRetries),
+  cr_expect(crashes <=
+              poisons * (kMaxCrashes * (1 + aIsolatedEntries) + kMaxRetries),
             "%zu upstreams by %zu requests",
             crashes,
             poisons);
 }
 
-/** Of all innocent requests of all histories, the refused ones. */
+/** Share of innocent requests that were rejected, over all runs. */
 double
 RefusedShare(FleetOptions aOptions)
 {
   size_t innocents = 0;
   size_t refused = 0;
-  for (uint64_t seed = 1; seed <= Histories(); ++seed) {
+  for (uint64_t seed = 1; seed <= RunCount(); ++seed) {
     aOptions.mSeed = seed;
     const FleetResult result = QuarantineFleet(aOptions).Run();
     innocents += result.mInnocents;
@@ -73,13 +75,13 @@
   return static_cast<double>(refused) / static_cast<double>(innocents);
 }
 
-/** Refused innocents are rare enough to be none in a day of a busy route. */
-constexpr double kNearNothing = 0.0001;
-constexpr double kFew = 0.01;
+/** At this share, a busy route has no rejected innocent request in a day. */
+constexpr double kNegligibleShare = 0.0001;
+constexpr double kSmallShare = 0.01;
 
 } // namespace
 
-Test(quarantine, holds_back_a_request_after_three_crashes)
+Test(quarantine, quarantines_a_request_after_three_crashes)
 {
   Quarantine quarantine;
   Millis now(1000);
@@ -88,7 +90,7 @@
               QuarantineVerdict::Run);
     quarantine.OnSent(kPoison, now);
     quarantine.OnAttemptEnded(kPoison);
-    quarantine.OnCrash(StartOf(each), { kPoison }, now);
+    quarantine.OnCrash(IncarnationOf(each), { kPoison }, now);
     now += Millis(100);
   }
   cr_expect(quarantine.Admit(kPoison, Millis(0), now) ==
@@ -99,24 +101,24 @@
   cr_expect(quarantine.Admit(kOther, Millis(0), now) == QuarantineVerdict::Run);
 }
 
-Test(quarantine, counts_one_crash_once_however_often_it_is_told)
+Test(quarantine, counts_a_repeatedly_reported_crash_once)
 {
   Quarantine quarantine;
-  const CrashUpdate news{ .mReports = { { .mIncarnation = StartOf(1),
-                                          .mSuspects = { kPoison } } } };
+  const CrashUpdate update{ .mReports = { { .mIncarnation = IncarnationOf(1),
+                                            .mSuspects = { kPoison } } } };
   for (int each = 0; each < 5; ++each) {
-    quarantine.OnUpdate(news, Millis(1000 + each));
+    quarantine.OnUpdate(update, Millis(1000 + each));
   }
-  quarantine.OnCrash(StartOf(1), { kPoison }, Millis(1010));
+  quarantine.OnCrash(IncarnationOf(1), { kPoison }, Millis(1010));
   quarantine.Tick(Millis(5000));
   cr_expect(!quarantine.IsQuarantined(kPoison));
 }
 
-Test(quarantine, a_whole_answer_voids_what_was_before_it)
+Test(quarantine, a_complete_response_voids_earlier_crashes)
 {
   Quarantine quarantine;
   for (int each = 0; each < 3; ++each) {
-    quarantine.OnCrash(StartOf(each), { kOther }, Millis(1000 + each));
+    quarantine.OnCrash(IncarnationOf(each), { kOther }, Millis(1000 + each));
     if (each == 1) {
       quarantine.OnAnswered(kOther, Millis(1002));
     }
@@ -125,31 +127,31 @@
   cr_expect(!quarantine.IsQuarantined(kOther));
 }
 
-/** The other was beside it at two of its crashes. */
-Test(quarantine, a_crash_counts_against_the_one_that_was_at_most_of_them)
+/** The other request was present at two of its crashes. */
+Test(quarantine, a_crash_is_attributed_to_the_request_with_the_most_crashes)
 {
   Quarantine quarantine;
-  quarantine.OnCrash(StartOf(1), { kPoison, kOther }, Millis(1000));
-  quarantine.OnCrash(StartOf(2), { kPoison, kOther }, Millis(1001));
-  quarantine.OnCrash(StartOf(3), { kPoison }, Millis(1002));
+  quarantine.OnCrash(IncarnationOf(1), { kPoison, kOther }, Millis(1000));
+  quarantine.OnCrash(IncarnationOf(2), { kPoison, kOther }, Millis(1001));
+  quarantine.OnCrash(IncarnationOf(3), { kPoison }, Millis(1002));
   cr_expect(quarantine.Admit(kOther, Millis(0), Millis(1003)) ==
             QuarantineVerdict::Run);
-  quarantine.OnCrash(StartOf(4), { kPoison }, Millis(1003));
-  quarantine.OnCrash(StartOf(5), { kOther }, Millis(1004));
+  quarantine.OnCrash(IncarnationOf(4), { kPoison }, Millis(1003));
+  quarantine.OnCrash(IncarnationOf(5), { kOther }, Millis(1004));
   quarantine.Tick(Millis(5000));
   cr_expect(quarantine.IsQuarantined(kPoison));
   cr_expect(!quarantine.IsQuarantined(kOther));
 }
 
-/** What another entry saw of the same crash decides, and comes later. */
-Test(quarantine, waits_for_what_other_entries_saw)
+/** Later reports of another entry on the same crashes decide. */
+Test(quarantine, waits_for_the_reports_of_other_entries)
 {
   Quarantine quarantine;
   for (int each = 1; each <= 3; ++each) {
-    quarantine.OnCrash(StartOf(each), { kOther }, Millis(1000 + each));
+    quarantine.OnCrash(IncarnationOf(each), { kOther }, Millis(1000 + each));
   }
   for (int each = 1; each <= 4; ++each) {
-    quarantine.OnUpdate({ .mReports = { { .mIncarnation = StartOf(each),
+    quarantine.OnUpdate({ .mReports = { { .mIncarnation = IncarnationOf(each),
                                           .mSuspects = { kPoison } } } },
                         Millis(1050));
   }
@@ -158,10 +160,10 @@
   cr_expect(!quarantine.IsQuarantined(kOther));
 }
 
-Test(quarantine, a_repeat_of_a_suspect_waits_for_its_fate)
+Test(quarantine, a_repeat_of_a_suspect_waits_for_its_outcome)
 {
   Quarantine quarantine;
-  quarantine.OnCrash(StartOf(1), { kPoison }, Millis(1000));
+  quarantine.OnCrash(IncarnationOf(1), { kPoison }, Millis(1000));
   quarantine.OnSent(kPoison, Millis(1010));
   cr_expect(quarantine.Admit(kPoison, Millis(0), Millis(1020)) ==
             QuarantineVerdict::Wait);
@@ -171,12 +173,12 @@
             QuarantineVerdict::Run);
 }
 
-Test(quarantine, an_operator_lets_it_go_at_all_entries)
+Test(quarantine, a_release_by_an_operator_reaches_all_entries)
 {
   Quarantine here;
   Quarantine there;
   for (int each = 0; each < 3; ++each) {
-    here.OnCrash(StartOf(each), { kPoison }, Millis(1000 + each));
+    here.OnCrash(IncarnationOf(each), { kPoison }, Millis(1000 + each));
   }
   here.Tick(Millis(2000));
   for (const CrashUpdate& each : here.TakeUpdates(true, Millis(2000))) {
@@ -186,7 +188,7 @@
   cr_expect(there.IsQuarantined(kPoison));
   here.Release(kPoison, Millis(3000));
   cr_expect(!here.IsQuarantined(kPoison));
-  // The other has missed it, and says what it knows.
+  // The other entry missed the release and sends its own state.
   here.TakeUpdates(true, Millis(3000));
   for (const CrashUpdate& each : there.TakeUpdates(true, Millis(9000))) {
     here.OnUpdate(each, Millis(9001));
@@ -198,11 +200,11 @@
   cr_expect(!there.IsQuarantined(kPoison));
 }
 
-Test(quarantine, is_let_go_when_nobody_sends_it_for_long)
+Test(quarantine, a_request_that_is_not_sent_for_long_is_released)
 {
   Quarantine quarantine;
   for (int each = 0; each < 3; ++each) {
-    quarantine.OnCrash(StartOf(each), { kPoison }, Millis(1000 + each));
+    quarantine.OnCrash(IncarnationOf(each), { kPoison }, Millis(1000 + each));
   }
   quarantine.Tick(Millis(2000));
   const Millis idle = quarantine.IdleTimeout();
@@ -224,64 +226,71 @@
     for (RequestFingerprint& each : suspects) {
       each = { 7, ++next };
     }
-    quarantine.OnCrash(StartOf(crash), suspects, Millis(1000 + crash));
+    quarantine.OnCrash(IncarnationOf(crash), suspects, Millis(1000 + crash));
   }
   for (const CrashUpdate& part : quarantine.TakeUpdates(true, Millis(1300))) {
     cr_expect(part.Size() <= 40, "%zu", part.Size());
   }
   for (uint64_t each = 0; each < 30; ++each) {
     for (int crash = 0; crash < 3; ++crash) {
-      const int start = 1000 + static_cast<int>(each) * 3 + crash;
-      quarantine.OnCrash(StartOf(start), { { 8, each } }, Millis(2000 + start));
+      const int incarnation = 1000 + static_cast<int>(each) * 3 + crash;
+      quarantine.OnCrash(IncarnationOf(incarnation),
+                         { { 8, each } },
+                         Millis(2000 + incarnation));
     }
     quarantine.Tick(Millis(10000 + static_cast<int64_t>(each)));
   }
   cr_expect(quarantine.Quarantined().size() <= 10);
 }
 
-Test(quarantine, few_upstreams_fall_however_often_it_comes, .timeout = 120)
+Test(quarantine,
+     few_upstreams_crash_at_any_rate_of_poison_requests,
+     .timeout = 120)
 {
   ExpectBounded({});
   ExpectBounded({ .mEntries = 8, .mPoisons = 3, .mPoisonsPerSecond = 6 });
-  ExpectBounded({ .mLoss = 0.1, .mPoisonsPerSecond = 4, .mMostFuseMs = 800 });
+  ExpectBounded(
+    { .mLoss = 0.1, .mPoisonsPerSecond = 4, .mMaxCrashDelayMs = 800 });
 }
 
-Test(quarantine,
-     entries_that_start_late_or_are_cut_off_hold_it_too,
-     .timeout = 120)
+Test(quarantine, late_and_isolated_entries_keep_the_bound, .timeout = 120)
 {
   ExpectBounded({ .mLateEntry = true, .mPoisons = 2 }, 1);
-  ExpectBounded({ .mCutEntry = true, .mPoisonsPerSecond = 3 });
+  ExpectBounded({ .mIsolatedEntry = true, .mPoisonsPerSecond = 3 });
 }
 
-Test(quarantine, a_fleet_in_which_each_tells_some_holds_it_too, .timeout = 120)
+Test(quarantine, a_fleet_with_partial_exchange_keeps_the_bound, .timeout = 120)
 {
-  FleetOptions options{ .mEntries = 60, .mUpstreams = 100, .mTold = 20 };
-  options.mSpanMs = 8000;
+  FleetOptions options{ .mEntries = 60, .mUpstreams = 100, .mReceivers = 20 };
+  options.mDurationMs = 8000;
   ExpectBounded(options);
 }
 
-Test(quarantine, innocent_requests_are_run_beside_poison_ones, .timeout = 120)
+Test(quarantine,
+     innocent_requests_are_accepted_beside_poison_ones,
+     .timeout = 120)
 {
   const double share = RefusedShare({ .mPoisons = 3,
                                       .mPoisonsPerSecond = 6,
                                       .mPoisonsFromMs = 3000,
-                                      .mOften = 3 });
-  cr_expect(share <= kNearNothing, "%g", share);
+                                      .mFrequentRequests = 3 });
+  cr_expect(share <= kNegligibleShare, "%g", share);
 }
 
-/** Nobody had an answer before all upstreams crash within a second: what is
- * then held back for nothing is let go within seconds. */
-Test(quarantine, innocent_requests_are_let_go_soon, .timeout = 120)
+/** There are no responses before all upstreams crash within a second. Requests
+ * that are quarantined wrongly then are released within seconds. */
+Test(quarantine, innocent_requests_are_released_soon, .timeout = 120)
 {
-  const double share =
-    RefusedShare({ .mPoisons = 3, .mPoisonsPerSecond = 6, .mOften = 3 });
-  cr_expect(share <= kFew, "%g", share);
+  const double share = RefusedShare(
+    { .mPoisons = 3, .mPoisonsPerSecond = 6, .mFrequentRequests = 3 });
+  cr_expect(share <= kSmallShare, "%g", share);
 }
 
-Test(quarantine, innocent_requests_are_run_beside_crashes, .timeout = 120)
+Test(quarantine, innocent_requests_are_accepted_despite_crashes, .timeout = 120)
 {
-  const double share = RefusedShare(
-    { .mPoisons = 0, .mOften = 4, .mCrashesPerSecond = 1, .mRack = 4 });
-  cr_expect(share <= kNearNothing, "%g", share);
+  const double share = RefusedShare({ .mPoisons = 0,
+                                      .mFrequentRequests = 4,
+                                      .mCrashesPerSecond = 1,
+                                      .mRackSize = 4 });
+  cr_expect(share <= kNegligibleShare, "%g", share);
 }
--- a/tests/unit/requestfingerprinttest.cpp
+++ b/tests/unit/requestfingerprinttest.cpp
@@ -16,34 +16,35 @@
 
 } // namespace
 
-/** Entries of all versions have to agree, so the value itself is pinned. */
+/** Entries of all versions have to calculate the same value, so the value
+ * itself is tested. */
 Test(requestfingerprint, is_the_same_in_every_version)
 {
   const std::string text = RequestFingerprint::Of(kRequest).Text();
   cr_expect(text == "2e931a5e89f733e06676b2a47668df30", "%s", text.c_str());
 }
 
-Test(requestfingerprint, differs_with_each_part_of_the_request)
+Test(requestfingerprint, differs_with_each_attribute_of_the_request)
 {
-  const RequestFingerprint whole = RequestFingerprint::Of(kRequest);
+  const RequestFingerprint fingerprint = RequestFingerprint::Of(kRequest);
   RequestIdentity other = kRequest;
   other.mMethod = "PUT";
-  cr_expect(RequestFingerprint::Of(other) != whole);
+  cr_expect(RequestFingerprint::Of(other) != fingerprint);
   other = kRequest;
   other.mHost = "other.example";
-  cr_expect(RequestFingerprint::Of(other) != whole);
+  cr_expect(RequestFingerprint::Of(other) != fingerprint);
   other = kRequest;
   other.mTarget = "/safe/x?y=2";
-  cr_expect(RequestFingerprint::Of(other) != whole);
+  cr_expect(RequestFingerprint::Of(other) != fingerprint);
   other = kRequest;
   other.mWorkspace = "public";
-  cr_expect(RequestFingerprint::Of(other) != whole);
+  cr_expect(RequestFingerprint::Of(other) != fingerprint);
   other = kRequest;
   other.mBody = "";
-  cr_expect(RequestFingerprint::Of(other) != whole);
+  cr_expect(RequestFingerprint::Of(other) != fingerprint);
 }
 
-Test(requestfingerprint, is_not_misled_by_where_one_part_ends)
+Test(requestfingerprint, depends_on_the_boundaries_between_parts)
 {
   RequestIdentity one = kRequest;
   one.mWorkspace = "de";
@@ -51,17 +52,17 @@
   cr_expect(RequestFingerprint::Of(one) != RequestFingerprint::Of(kRequest));
 }
 
-Test(requestfingerprint, takes_a_host_in_any_case_as_the_same)
+Test(requestfingerprint, ignores_the_case_of_the_host)
 {
   RequestIdentity other = kRequest;
   other.mHost = "SVC.example";
   cr_expect(RequestFingerprint::Of(other) == RequestFingerprint::Of(kRequest));
 }
 
-Test(requestfingerprint, is_read_back_from_its_text)
+Test(requestfingerprint, is_parsed_from_its_text)
 {
-  const RequestFingerprint whole = RequestFingerprint::Of(kRequest);
-  cr_expect(RequestFingerprint::FromText(whole.Text()) == whole);
+  const RequestFingerprint fingerprint = RequestFingerprint::Of(kRequest);
+  cr_expect(RequestFingerprint::FromText(fingerprint.Text()) == fingerprint);
   cr_expect(RequestFingerprint::FromText("no fingerprint") ==
             RequestFingerprint{});
 }
