--- a/src/libtrefoilarch/directlimits.cpp
+++ b/src/libtrefoilarch/directlimits.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-/** How DirectRouter keeps to the rate limits that upstreams name. */
+/** Enforcement of the rate limits that upstreams announce. */
 namespace trefoilarch {
 
 namespace {
 
-/** Where it is not known when there is room. */
-constexpr Millis kLeastReturn{ 100 };
+/** Used if the time of the next free capacity is unknown. */
+constexpr Millis kMinReturnDelay{ 100 };
 
 } // namespace
 
@@ -35,17 +35,18 @@
 
 std::optional<PermitReply>
 DirectRouter::OnPermitRequest(const std::string& aFrom,
-                              const PermitRequest& aAsk,
+                              const PermitRequest& aRequest,
                               Millis aNow)
 {
-  mLimits.OnPeerReport(aAsk.mLimit, aNow);
+  mLimits.OnPeerReport(aRequest.mLimit, aNow);
   ReportLimitChanges();
-  const auto perSecond = mLimits.Of(aAsk.mLimit.mUpstream);
+  const auto perSecond = mLimits.Of(aRequest.mLimit.mUpstream);
   if (!perSecond) {
-    // The limit has ended, and the other entry will hear of it.
-    return PermitReply{ .mNumber = aAsk.mNumber, .mGranted = aAsk.mCount };
+    // The limit has ended, and the other entry will receive a report of that.
+    return PermitReply{ .mNumber = aRequest.mNumber,
+                        .mGranted = aRequest.mCount };
   }
-  return mIssuer.OnRequest(aFrom, aAsk, *perSecond, aNow);
+  return mIssuer.OnRequest(aFrom, aRequest, *perSecond, aNow);
 }
 
 void
@@ -53,13 +54,13 @@
                                 uint8_t aUrgency,
                                 Millis aNow)
 {
-  const AddressedPermitRequest ask =
+  const AddressedPermitRequest request =
     mPermits.MakeRequest(mLimits.ReportOf(aUpstream, aNow), aUrgency, aNow);
-  if (ask.mTo != mPermits.Own()) {
-    mOptions.mOnPermitRequest(ask);
+  if (request.mTo != mPermits.Own()) {
+    mOptions.mOnPermitRequest(request);
     return;
   }
-  if (const auto reply = OnPermitRequest(ask.mTo, ask.mRequest, aNow)) {
+  if (const auto reply = OnPermitRequest(request.mTo, request.mRequest, aNow)) {
     mPermits.OnReply(*reply, aNow);
   }
 }
@@ -78,7 +79,7 @@
       return aWait.mMayRequest;
     case PermitState::Requested:
       if (aWait.mUpstream != aUpstream && aWait.mMayRequest) {
-        mPermits.NoteMissed(aUpstream);
+        mPermits.CountMissed(aUpstream);
       }
       return aWait.mUpstream == aUpstream;
     case PermitState::Granted:
@@ -113,20 +114,20 @@
                          const std::set<UpstreamId>& aTried,
                          Millis aNow)
 {
-  std::optional<Millis> room;
+  std::optional<Millis> capacityIn;
   for (const ListedUpstream* each : mDirectory.OfService(aRequest.mService)) {
     const bool limited = mLimits.Of(each->mId).has_value();
     if (limited && !each->mLeaving && !aTried.contains(each->mId)) {
       const Millis wait =
         mPermits.WaitFor(each->mId, aRequest.mRoutePriority, aNow);
-      room = std::min(room.value_or(wait), wait);
+      capacityIn = std::min(capacityIn.value_or(wait), wait);
     }
   }
-  if (!room) {
+  if (!capacityIn) {
     return std::nullopt;
   }
-  const Millis least = std::max(*room, kLeastReturn);
-  return ReturnIn(aRequest, least, least);
+  const Millis minDelay = std::max(*capacityIn, kMinReturnDelay);
+  return ReturnIn(aRequest, minDelay, minDelay);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/peerring.cpp
+++ b/src/libtrefoilarch/peerring.cpp
@@ -6,22 +6,21 @@
 
 namespace {
 
-/** Entries that ask the store themselves: so many at the least, and one in so
- * many of a larger fleet, so that each entry is told by three. */
-constexpr size_t kLeastListeners = 3;
-constexpr size_t kEntriesPerListener =
-  PeerRing::kMaxReceivers / kLeastListeners;
+/** Entries that poll the store: at least this many, and in a larger fleet one
+ * in kEntriesPerPoller, so that each entry receives changes from three. */
+constexpr size_t kMinPollers = 3;
+constexpr size_t kEntriesPerPoller = PeerRing::kMaxReceivers / kMinPollers;
 
-/** Whether the entry at that place is one of those, evenly spread. */
+/** Whether the entry at that position polls. The pollers are spread evenly. */
 bool
-ListensAt(size_t aPlace, size_t aEntries)
+PollsAt(size_t aPosition, size_t aEntries)
 {
-  const size_t listeners =
-    std::max(kLeastListeners, aEntries / kEntriesPerListener + 1);
+  const size_t pollers =
+    std::max(kMinPollers, aEntries / kEntriesPerPoller + 1);
   const auto share = [&](size_t aBefore) {
-    return aBefore * listeners / aEntries;
+    return aBefore * pollers / aEntries;
   };
-  return listeners >= aEntries || share(aPlace) != share(aPlace + 1);
+  return pollers >= aEntries || share(aPosition) != share(aPosition + 1);
 }
 
 } // namespace
@@ -33,9 +32,9 @@
   mOthers.assign(next, aNames.end());
   mOthers.insert(mOthers.end(), aNames.begin(), next);
   const bool listed = std::erase(mOthers, aOwn) > 0;
-  const auto place = static_cast<size_t>(next - aNames.begin());
-  // One that nobody knows of yet is told nothing.
-  mListens = !listed || ListensAt(place - 1, aNames.size());
+  const auto position = static_cast<size_t>(next - aNames.begin());
+  // An entry that is not listed yet receives no updates.
+  mPollsStore = !listed || PollsAt(position - 1, aNames.size());
 }
 
 std::vector<std::string>
--- a/src/libtrefoilarch/peerring.h
+++ b/src/libtrefoilarch/peerring.h
@@ -7,33 +7,34 @@
 namespace trefoilarch {
 
 /**
- * Which entries tell which others what they do. Entries stand in a ring by
- * their names, and each tells the next ones: in a fleet of any size each is
- * told by as many as it tells.
+ * Determines which entries send their updates to which others. Entries form a
+ * ring by their names, and each sends to the next ones. In a fleet of any size,
+ * each receives updates from as many as it sends to.
  */
 class PeerRing
 {
 public:
-  /** Entries that each one tells. */
+  /** Maximum number of entries that one sends to. */
   static constexpr size_t kMaxReceivers = 40;
 
-  /** aNames are all entries' names in order; aOwn may be among them. */
+  /** aNames are the sorted names of all entries, possibly including aOwn. */
   PeerRing(const std::string& aOwn, const std::vector<std::string>& aNames);
 
-  /** All others, the next one first: the first kMaxReceivers are told. */
+  /** All others, starting with the next one. The first kMaxReceivers of them
+   * receive updates. */
   const std::vector<std::string>& Others() const { return mOthers; }
   /**
-   * Whether this one asks the store for the changes that it tells the others.
-   * So few do that what the store has to answer for a change hardly grows with
-   * the fleet, and so many that each entry is told by several.
+   * Whether this entry polls the store for changes and forwards them. Few
+   * entries poll, so that the store's work for a change hardly grows with the
+   * fleet, but enough that each entry receives changes from several.
    */
-  bool PollsStore() const { return mListens; }
-  /** Those that tell this one; the rest are never heard here. */
+  bool PollsStore() const { return mPollsStore; }
+  /** Entries that send to this one. The others never do. */
   std::vector<std::string> Senders() const;
 
 private:
   std::vector<std::string> mOthers;
-  bool mListens = true;
+  bool mPollsStore = true;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/peersilence.cpp
+++ b/src/libtrefoilarch/peersilence.cpp
@@ -6,38 +6,40 @@
 
 namespace {
 
-/** An entry tells the whole of what it waits for at least each 0.64 s: what it
- * has not told for three times that is over. */
-constexpr Millis kFreshSpan{ 1900 };
+/** An entry reports all requests it waits for at least every 0.64 s. A silence
+ * missing from three reports in a row has ended. */
+constexpr Millis kReportTimeout{ 1900 };
 
-constexpr size_t kWitnesses = 2;
+constexpr size_t kMinReporters = 2;
 
 } // namespace
 
 void
 PeerSilence::OnPeerReport(const std::string& aFrom, Millis aSince, Millis aNow)
 {
-  std::erase_if(mTold, [&](const Told& aTold) {
-    return aTold.mFrom == aFrom || aNow - aTold.mAt > kFreshSpan;
+  std::erase_if(mReports, [&](const Report& aReport) {
+    return aReport.mFrom == aFrom ||
+           aNow - aReport.mReceivedAt > kReportTimeout;
   });
-  if (mTold.size() >= kWitnesses) {
-    mTold.erase(mTold.begin());
+  if (mReports.size() >= kMinReporters) {
+    mReports.erase(mReports.begin());
   }
-  mTold.push_back({ .mFrom = aFrom, .mSince = aSince, .mAt = aNow });
+  mReports.push_back({ .mFrom = aFrom, .mSince = aSince, .mReceivedAt = aNow });
 }
 
 Millis
 PeerSilence::Silence(Millis aNow) const
 {
-  size_t witnesses = 0;
+  size_t reporters = 0;
   Millis since;
-  for (const Told& each : mTold) {
-    if (aNow - each.mAt <= kFreshSpan) {
-      witnesses++;
+  for (const Report& each : mReports) {
+    if (aNow - each.mReceivedAt <= kReportTimeout) {
+      reporters++;
       since = std::max(since, each.mSince);
     }
   }
-  return witnesses < kWitnesses ? Millis(0) : std::max(Millis(0), aNow - since);
+  return reporters < kMinReporters ? Millis(0)
+                                   : std::max(Millis(0), aNow - since);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/peersilence.h
+++ b/src/libtrefoilarch/peersilence.h
@@ -8,31 +8,33 @@
 namespace trefoilarch {
 
 /**
- * What other entries tell of an upstream that leaves their requests without
- * any answer. One entry alone may be cut off itself: two have to say so, and
- * nobody may have got an answer since.
+ * Reports of other entries that an upstream does not respond to their requests.
+ * A single entry may be isolated itself, so two have to report it, and no entry
+ * may have received a response since.
  */
 class PeerSilence
 {
 public:
-  /** That entry's requests there have been without a byte since aSince. */
+  /** The entry's requests to the upstream have received no byte since
+   * aSince. */
   void OnPeerReport(const std::string& aFrom, Millis aSince, Millis aNow);
-  /** Some entry got an answer. */
-  void OnAnswered() { mTold.clear(); }
+  /** An entry received a response. */
+  void OnAnswered() { mReports.clear(); }
 
-  /** How long the upstream has been silent to others; zero where it is not. */
+  /** How long the upstream has been silent to other entries. Zero if it is
+   * not. */
   Millis Silence(Millis aNow) const;
 
 private:
-  struct Told
+  struct Report
   {
     std::string mFrom;
     Millis mSince;
-    Millis mAt;
+    Millis mReceivedAt;
   };
 
-  /** The last ones, of different entries. */
-  std::vector<Told> mTold;
+  /** The latest reports, of different entries. */
+  std::vector<Report> mReports;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/peerupdate.h
+++ b/src/libtrefoilarch/peerupdate.h
@@ -16,7 +16,7 @@
 
 namespace trefoilarch {
 
-/** Prompt tokens of one entry that an upstream has yet to read. */
+/** Prompt tokens of an entry that an upstream has not prefilled yet. */
 struct UpstreamPendingPrefill
 {
   UpstreamId mUpstream;
@@ -29,37 +29,37 @@
 struct SentPrompt
 {
   UpstreamId mUpstream;
-  /** Ids of the parts that others may share, in the prompt's order. */
+  /** Ids of the segments that other prompts may share, in prompt order. */
   std::vector<uint64_t> mSegments;
-  /** What the request adds to the upstream's memory, prompt and answer. */
+  /** Tokens that prompt and output add to the upstream's cache. */
   uint32_t mTokens = 0;
 
   bool operator==(const SentPrompt&) const = default;
 };
 
-/** An upstream's report of its own load, as an entry got it. */
+/** An upstream's report of its load, as received by an entry. */
 struct ReceivedLoadReport
 {
   UpstreamId mUpstream;
   ReportedLoad mLoad;
-  /** Since it came. */
+  /** Time since the report was received. */
   Millis mAge;
 
   bool operator==(const ReceivedLoadReport&) const = default;
 };
 
-/** An upstream from which an entry waits for an answer in vain. */
+/** An upstream that does not respond to an entry's requests. */
 struct SilentUpstream
 {
   UpstreamId mUpstream;
-  /** Since its last byte, or since the entry began to wait. */
+  /** Time since its last byte, or since the entry began to wait. */
   Millis mSilence;
 
   bool operator==(const SilentUpstream&) const = default;
 };
 
-/** Which of the store's tables a word is of; the numbers are its sender's and
- * its receiver's to agree on. */
+/** A checkpoint of one of the store's tables. The sender and the receiver agree
+ * on the table numbers. */
 struct PeerTableCheckpoint
 {
   uint8_t mTable = 0;
@@ -69,26 +69,27 @@
 };
 
 /**
- * What an entry tells the others. What is pending is told as a whole, so that
- * a lost message is made good by the next one; prompts are told once.
+ * The state that an entry sends its peers. Pending work is sent in full each
+ * time, so that the next message makes up for a lost one. Prompts are sent
+ * once.
  */
 struct PeerUpdate
 {
   std::string mFrom;
-  /** Tells one process of that name from the next. */
+  /** Identifies the process among those of the same name. */
   uint64_t mProcess = 0;
-  /** Rises with each message of a process. */
+  /** Increases with each message of a process. */
   uint64_t mSequence = 0;
   std::vector<UpstreamPendingPrefill> mPending;
   std::vector<SentPrompt> mSent;
   std::vector<ReceivedLoadReport> mReports;
   std::vector<RouteDemand> mDemands;
   std::vector<SilentUpstream> mSilent;
-  /** Upstreams that have answered since the last message. */
+  /** Upstreams that have responded since the last message. */
   std::vector<UpstreamId> mAnswered;
   std::vector<PeerTableCheckpoint> mTables;
   std::vector<LimitReport> mLimits;
-  /** How long the store has served; see StoreUptime. */
+  /** The store's serving interval; see StoreUptime. */
   std::optional<StoreServingInterval> mStoreServing;
 
   bool operator==(const PeerUpdate&) const = default;
--- a/src/libtrefoilarch/peerwork.cpp
+++ b/src/libtrefoilarch/peerwork.cpp
@@ -4,33 +4,34 @@
 
 namespace {
 
-/** Entries say something every half second at the least; three messages in a
- * row are rarely lost. */
-constexpr Millis kSilentSpan{ 1800 };
+/** Entries send a message at least every half second. Three lost messages in a
+ * row are rare. */
+constexpr Millis kSilenceTimeout{ 1800 };
 
-/** Weight of the newest pause between messages. */
-constexpr double kNewestPause = 0.05;
+/** Weight of the latest interval in the mean. */
+constexpr double kNewestIntervalWeight = 0.05;
 
 } // namespace
 
 bool
-PeerWork::Take(const PeerUpdate& aNotes, Millis aNow)
+PeerWork::Take(const PeerUpdate& aUpdate, Millis aNow)
 {
-  Peer& peer = mPeers[aNotes.mFrom];
+  Peer& peer = mPeers[aUpdate.mFrom];
   const bool late =
-    peer.mProcess == aNotes.mProcess && aNotes.mSequence <= peer.mSequence;
+    peer.mProcess == aUpdate.mProcess && aUpdate.mSequence <= peer.mSequence;
   if (late) {
     return false;
   }
-  if (peer.mProcess == aNotes.mProcess) {
-    const auto pause = static_cast<double>((aNow - peer.mHeard).Count());
-    mPauseMs += kNewestPause * (pause - mPauseMs);
+  if (peer.mProcess == aUpdate.mProcess) {
+    const auto interval =
+      static_cast<double>((aNow - peer.mReceivedAt).Count());
+    mMeanIntervalMs += kNewestIntervalWeight * (interval - mMeanIntervalMs);
   }
   Subtract(peer);
-  peer = { .mProcess = aNotes.mProcess,
-           .mSequence = aNotes.mSequence,
-           .mPending = aNotes.mPending,
-           .mHeard = aNow };
+  peer = { .mProcess = aUpdate.mProcess,
+           .mSequence = aUpdate.mSequence,
+           .mPending = aUpdate.mPending,
+           .mReceivedAt = aNow };
   for (const UpstreamPendingPrefill& each : peer.mPending) {
     mPending[each.mUpstream] += each.mPendingPrefill;
   }
@@ -41,7 +42,7 @@
 PeerWork::Expire(Millis aNow)
 {
   std::erase_if(mPeers, [&](const auto& aEntry) {
-    const bool silent = aNow - aEntry.second.mHeard > kSilentSpan;
+    const bool silent = aNow - aEntry.second.mReceivedAt > kSilenceTimeout;
     if (silent) {
       Subtract(aEntry.second);
     }
--- a/src/libtrefoilarch/peerwork.h
+++ b/src/libtrefoilarch/peerwork.h
@@ -12,24 +12,24 @@
 namespace trefoilarch {
 
 /**
- * The prompt tokens that wait at each upstream for the other entries, by
- * their own word. An entry that has not been heard for a while counts as gone
- * and its work as done.
+ * The prompt tokens of other entries that are pending at each upstream, as
+ * reported by these entries. An entry whose updates have stopped is considered
+ * gone, and its work done.
  */
 class PeerWork
 {
 public:
-  /** False for a message that is older than what is known of its sender. */
-  bool Take(const PeerUpdate& aNotes, Millis aNow);
-  /** Forgets entries that have fallen silent. */
+  /** Returns false if the message is older than the last one of its sender. */
+  bool Take(const PeerUpdate& aUpdate, Millis aNow);
+  /** Removes entries whose updates have stopped. */
   void Expire(Millis aNow);
 
-  /** Tokens of all other entries that wait to be read there. */
+  /** Pending tokens of all other entries at the upstream. */
   PendingPrefill Pending(const UpstreamId& aUpstream) const;
-  /** Entries that were heard lately. */
+  /** Number of entries with recent updates. */
   size_t Peers() const { return mPeers.size(); }
   /** Mean time between two messages of an entry, in milliseconds. */
-  double MeanIntervalMs() const { return mPauseMs; }
+  double MeanIntervalMs() const { return mMeanIntervalMs; }
 
 private:
   struct Peer
@@ -37,13 +37,13 @@
     uint64_t mProcess = 0;
     uint64_t mSequence = 0;
     std::vector<UpstreamPendingPrefill> mPending;
-    Millis mHeard;
+    Millis mReceivedAt;
   };
 
   void Subtract(const Peer& aPeer);
 
   std::map<std::string, Peer> mPeers;
-  double mPauseMs = 0;
+  double mMeanIntervalMs = 0;
   std::unordered_map<UpstreamId, PendingPrefill> mPending;
 };
 
--- a/src/libtrefoilarch/permit.h
+++ b/src/libtrefoilarch/permit.h
@@ -7,33 +7,33 @@
 
 namespace trefoilarch {
 
-/** An entry asks the issuer of an upstream's permits for some. */
+/** A request of an entry to the issuer of an upstream's permits. */
 struct PermitRequest
 {
-  /** Tells the entry's asks apart. */
+  /** Identifies the request among those of the entry. */
   uint64_t mNumber = 0;
-  /** The limit as the entry knows it. */
+  /** The limit as known to the entry. */
   LimitReport mLimit;
-  /** How many requests want to go there. */
+  /** Number of requests waiting to be sent to the upstream. */
   uint32_t mCount = 1;
-  /** Of the request that wants to go there; 0 is the most urgent. */
+  /** Urgency of the waiting request; 0 is the most urgent. */
   uint8_t mUrgency = 0;
-  /** How many entries would rather be asked, and gave no answer. */
+  /** Number of preferred issuers that did not reply. */
   uint32_t mRank = 0;
 
   bool operator==(const PermitRequest&) const = default;
 };
 
-/** What the issuer answers. */
+/** The issuer's reply. */
 struct PermitReply
 {
   uint64_t mNumber = 0;
-  /** Permits; 0: denied. */
+  /** Number of permits; 0 if denied. */
   uint32_t mGranted = 0;
-  /** Where it is denied: when to ask again. */
+  /** If denied: delay before the next request. */
   Millis mWait;
-  /** Where it is denied: requests of this urgency, and less urgent ones,
-   * need not ask before. */
+  /** If denied: the delay applies to requests of this urgency and to less
+   * urgent ones. */
   uint8_t mFromUrgency = 0;
 
   bool operator==(const PermitReply&) const = default;
--- a/src/libtrefoilarch/permitissuer.cpp
+++ b/src/libtrefoilarch/permitissuer.cpp
@@ -9,20 +9,20 @@
 
 constexpr double kSecondMs = 1000;
 
-/** Asks within this count as one rush for the next permit. */
-constexpr Millis kAskerSpan{ 2000 };
+/** Entries with a request within this time compete for the next permit. */
+constexpr Millis kRequesterWindow{ 2000 };
 
-/** So many entries may rush for a permit; more are told to come later. */
-constexpr size_t kAskersPerPermit = 4;
+/** Entries that may compete for a permit; more are told to retry later. */
+constexpr size_t kRequestersPerPermit = 4;
 
-constexpr Millis kLongestWait{ 4000 };
+constexpr Millis kMaxWait{ 4000 };
 
-/** Permits that are saved up while nobody asks, at the least. */
-constexpr double kLeastBurst = 2;
+/** Minimum number of permits that accumulate while there are no requests. */
+constexpr double kMinBurst = 2;
 
-/** An entry that some can't reach goes on issuing to the others, beside the
- * one that is asked in its place: the parts of all ranks together are no more
- * than half of the limit beyond it. */
+/** An issuer that some entries can't reach continues to issue to the others,
+ * beside the one that replaces it. The shares of all ranks together exceed the
+ * limit by at most half of it. */
 double
 ShareOfRank(uint32_t aRank)
 {
@@ -38,65 +38,68 @@
 
 std::optional<PermitReply>
 PermitIssuer::OnRequest(const std::string& aFrom,
-                        const PermitRequest& aAsk,
+                        const PermitRequest& aRequest,
                         double aPerSecond,
                         Millis aNow)
 {
   if (aNow < mIssuesFrom) {
     return std::nullopt;
   }
-  Bucket& bucket = BucketFor(aAsk, aNow);
-  bucket.mAskers[aFrom] = aNow;
+  Bucket& bucket = BucketFor(aRequest, aNow);
+  bucket.mRequesters[aFrom] = aNow;
   const double rate =
     std::max(aPerSecond, mOptions.mMinPerSecond) * ShareOfRank(bucket.mRank);
-  Fill(bucket, rate, aNow);
-  const size_t urgency = std::min<size_t>(aAsk.mUrgency, kUrgencies - 1);
+  Refill(bucket, rate, aNow);
+  const size_t urgency = std::min<size_t>(aRequest.mUrgency, kUrgencies - 1);
   const Millis reserved = ReservedFor(bucket, urgency, rate, aNow);
   if (reserved > Millis(0)) {
-    return PermitReply{ .mNumber = aAsk.mNumber,
+    return PermitReply{ .mNumber = aRequest.mNumber,
                         .mWait = reserved,
-                        .mFromUrgency = aAsk.mUrgency };
+                        .mFromUrgency = aRequest.mUrgency };
   }
   if (bucket.mTokens >= 1) {
-    const auto granted = static_cast<uint32_t>(
-      std::min(std::floor(bucket.mTokens), std::max<double>(1, aAsk.mCount)));
+    const auto granted = static_cast<uint32_t>(std::min(
+      std::floor(bucket.mTokens), std::max<double>(1, aRequest.mCount)));
     bucket.mTokens -= granted;
     bucket.mDeniedAt[urgency].reset();
-    return PermitReply{ .mNumber = aAsk.mNumber, .mGranted = granted };
+    return PermitReply{ .mNumber = aRequest.mNumber, .mGranted = granted };
   }
   bucket.mDeniedAt[urgency] = aNow;
-  const double rush =
-    std::max(1.0, static_cast<double>(Askers(bucket, aNow)) / kAskersPerPermit);
-  const double wait = (1 - bucket.mTokens) / rate * kSecondMs * rush;
-  return PermitReply{ .mNumber = aAsk.mNumber,
+  const double contention = std::max(
+    1.0,
+    static_cast<double>(RequesterCount(bucket, aNow)) / kRequestersPerPermit);
+  const double wait = (1 - bucket.mTokens) / rate * kSecondMs * contention;
+  return PermitReply{ .mNumber = aRequest.mNumber,
                       .mWait = std::min(Millis(static_cast<int64_t>(wait) + 1),
-                                        kLongestWait) };
+                                        kMaxWait) };
 }
 
 PermitIssuer::Bucket&
-PermitIssuer::BucketFor(const PermitRequest& aAsk, Millis aNow)
+PermitIssuer::BucketFor(const PermitRequest& aRequest, Millis aNow)
 {
-  const auto [place, fresh] = mBuckets.try_emplace(aAsk.mLimit.mUpstream);
+  const auto [place, inserted] =
+    mBuckets.try_emplace(aRequest.mLimit.mUpstream);
   Bucket& bucket = place->second;
-  if (fresh) {
+  if (inserted) {
     bucket.mFilledAt = aNow;
   }
-  const bool lapsed = aNow - bucket.mRankAt > kAskerSpan;
-  if (fresh || lapsed || aAsk.mRank <= bucket.mRank) {
-    bucket.mRank = aAsk.mRank;
+  const bool expired = aNow - bucket.mRankAt > kRequesterWindow;
+  if (inserted || expired || aRequest.mRank <= bucket.mRank) {
+    bucket.mRank = aRequest.mRank;
     bucket.mRankAt = aNow;
   }
   return bucket;
 }
 
 void
-PermitIssuer::Fill(Bucket& aBucket, double aPerSecond, Millis aNow) const
+PermitIssuer::Refill(Bucket& aBucket, double aPerSecond, Millis aNow) const
 {
   const double perMs = aPerSecond / kSecondMs;
-  const double most = std::max(
-    kLeastBurst, perMs * static_cast<double>(mOptions.mBurstWindow.Count()));
-  const auto span = static_cast<double>((aNow - aBucket.mFilledAt).Count());
-  aBucket.mTokens = std::min(most, aBucket.mTokens + span * perMs);
+  const double maxTokens = std::max(
+    kMinBurst, perMs * static_cast<double>(mOptions.mBurstWindow.Count()));
+  const auto elapsedMs =
+    static_cast<double>((aNow - aBucket.mFilledAt).Count());
+  aBucket.mTokens = std::min(maxTokens, aBucket.mTokens + elapsedMs * perMs);
   aBucket.mFilledAt = aNow;
 }
 
@@ -106,25 +109,25 @@
                           double aPerSecond,
                           Millis aNow) const
 {
-  const Millis span = std::min(
-    mOptions.mReserveWindow,
-    Millis(static_cast<int64_t>(kLeastBurst / aPerSecond * kSecondMs)));
+  const Millis window =
+    std::min(mOptions.mReserveWindow,
+             Millis(static_cast<int64_t>(kMinBurst / aPerSecond * kSecondMs)));
   Millis reserved;
   for (size_t each = 0; each < aUrgency; ++each) {
     if (const auto denied = aBucket.mDeniedAt[each]) {
-      reserved = std::max(reserved, *denied + span - aNow);
+      reserved = std::max(reserved, *denied + window - aNow);
     }
   }
   return reserved;
 }
 
 size_t
-PermitIssuer::Askers(Bucket& aBucket, Millis aNow)
+PermitIssuer::RequesterCount(Bucket& aBucket, Millis aNow)
 {
-  std::erase_if(aBucket.mAskers, [aNow](const auto& aAsker) {
-    return aNow - aAsker.second > kAskerSpan;
+  std::erase_if(aBucket.mRequesters, [aNow](const auto& aEntry) {
+    return aNow - aEntry.second > kRequesterWindow;
   });
-  return aBucket.mAskers.size();
+  return aBucket.mRequesters.size();
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/permitissuer.h
+++ b/src/libtrefoilarch/permitissuer.h
@@ -9,38 +9,40 @@
 
 namespace trefoilarch {
 
-/** How a PermitIssuer issues; times in milliseconds. */
+/** Options of a PermitIssuer; times in milliseconds. */
 struct PermitIssuerOptions
 {
-  /** An upstream with a limit of nothing gets this many requests a second all
-   * the same: its answers alone can tell that the limit has ended. */
+  /** Minimum rate. An upstream with a limit of zero still gets requests at this
+   * rate, since only its responses show that the limit has ended. */
   double mMinPerSecond = 0.25;
-  /** Unused permits are saved up for so long, and two at the least. */
+  /** Unused permits accumulate for this long, but at least two do. */
   Millis mBurstWindow{ 100 };
-  /** Less urgent requests get no permit for so long after a more urgent one
-   * got none, or until there have been two. */
+  /** After a more urgent request was denied, less urgent ones get no permit for
+   * this long, or until there have been two. */
   Millis mReserveWindow{ 500 };
-  /** An entry that has just started issues nothing for so long: others may not
-   * know of it yet, and ask who was there before. */
+  /** A new entry issues nothing for this long: other entries may not know of it
+   * yet and still ask the previous issuer. */
   Millis mJoinDelay{ 4000 };
 };
 
 /**
- * Issues permits to send to upstreams that name a rate limit: a token bucket
- * for each upstream, for all entries together. Which entry issues for which
- * upstream, PermitRequester decides.
+ * Issues permits to send to upstreams with a rate limit, from one token bucket
+ * per upstream for all entries. PermitRequester decides which entry issues for
+ * which upstream.
  */
 class PermitIssuer
 {
 public:
   explicit PermitIssuer(PermitIssuerOptions aOptions = {});
 
-  /** Permits are issued from then on; at once, without this. */
+  /** Delays issuing by mJoinDelay. Without this call, permits are issued at
+   * once. */
   void Join(Millis aNow) { mIssuesFrom = aNow + mOptions.mJoinDelay; }
 
-  /** aPerSecond is the upstream's limit. Empty while nothing is issued. */
+  /** aPerSecond is the upstream's limit. Returns nothing while no permits are
+   * issued. */
   std::optional<PermitReply> OnRequest(const std::string& aFrom,
-                                       const PermitRequest& aAsk,
+                                       const PermitRequest& aRequest,
                                        double aPerSecond,
                                        Millis aNow);
   void Forget(const UpstreamId& aUpstream) { mBuckets.erase(aUpstream); }
@@ -52,23 +54,23 @@
   {
     double mTokens = 0;
     Millis mFilledAt;
-    /** The least rank by which it was asked lately, and when. */
+    /** Lowest rank of recent requests, and when it was last seen. */
     uint32_t mRank = 0;
     Millis mRankAt;
-    /** When a request of that urgency got nothing. */
+    /** When a request of each urgency was last denied. */
     std::array<std::optional<Millis>, kUrgencies> mDeniedAt;
-    /** When each entry asked last. */
-    std::map<std::string, Millis> mAskers;
+    /** When each entry last sent a request. */
+    std::map<std::string, Millis> mRequesters;
   };
 
-  Bucket& BucketFor(const PermitRequest& aAsk, Millis aNow);
-  void Fill(Bucket& aBucket, double aPerSecond, Millis aNow) const;
-  /** How long the next permit is kept for more urgent requests. */
+  Bucket& BucketFor(const PermitRequest& aRequest, Millis aNow);
+  void Refill(Bucket& aBucket, double aPerSecond, Millis aNow) const;
+  /** How long the next permit is reserved for more urgent requests. */
   Millis ReservedFor(const Bucket& aBucket,
                      size_t aUrgency,
                      double aPerSecond,
                      Millis aNow) const;
-  static size_t Askers(Bucket& aBucket, Millis aNow);
+  static size_t RequesterCount(Bucket& aBucket, Millis aNow);
 
   PermitIssuerOptions mOptions;
   Millis mIssuesFrom;
--- a/src/libtrefoilarch/permitrequester.cpp
+++ b/src/libtrefoilarch/permitrequester.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** After an ask that was not answered, the upstream is left alone so long. */
-constexpr Millis kUnansweredPause{ 100 };
+/** Delay before the next request for the upstream if there was no reply. */
+constexpr Millis kUnansweredDelay{ 100 };
 
-/** Requests that one ask makes good for, beside its own. */
-constexpr uint32_t kMostMissed = 31;
+/** Maximum number of missed requests that one permit request covers. */
+constexpr uint32_t kMaxMissed = 31;
 
 uint64_t
 WeightOf(const std::string& aAddress, const UpstreamId& aUpstream)
@@ -40,44 +40,44 @@
                          uint8_t aUrgency,
                          Millis aNow)
 {
-  const auto place = mWanted.find(aUpstream);
-  if (place == mWanted.end()) {
+  const auto place = mUpstreams.find(aUpstream);
+  if (place == mUpstreams.end()) {
     return PermitState::NotRequested;
   }
-  Wanted& wanted = place->second;
-  const bool unanswered = wanted.mState == PermitState::Requested &&
-                          aNow - wanted.mAskedAt >= mOptions.mReplyTimeout;
+  UpstreamPermits& permits = place->second;
+  const bool unanswered = permits.mState == PermitState::Requested &&
+                          aNow - permits.mRequestedAt >= mOptions.mReplyTimeout;
   if (unanswered) {
-    NoteSilence(wanted.mIssuer, aNow);
-    wanted.mState = PermitState::Denied;
-    wanted.mFromUrgency = 0;
-    wanted.mUntil = aNow + kUnansweredPause;
+    RecordSilence(permits.mIssuer, aNow);
+    permits.mState = PermitState::Denied;
+    permits.mFromUrgency = 0;
+    permits.mUntil = aNow + kUnansweredDelay;
   }
-  const bool ends = wanted.mState == PermitState::Granted ||
-                    wanted.mState == PermitState::Denied;
-  if (ends && aNow >= wanted.mUntil) {
-    wanted.mState = PermitState::NotRequested;
+  const bool hasExpiry = permits.mState == PermitState::Granted ||
+                         permits.mState == PermitState::Denied;
+  if (hasExpiry && aNow >= permits.mUntil) {
+    permits.mState = PermitState::NotRequested;
   }
-  const bool mayAsk =
-    wanted.mState == PermitState::Denied && aUrgency < wanted.mFromUrgency;
-  return mayAsk ? PermitState::NotRequested : wanted.mState;
+  const bool mayRequest =
+    permits.mState == PermitState::Denied && aUrgency < permits.mFromUrgency;
+  return mayRequest ? PermitState::NotRequested : permits.mState;
 }
 
 void
-PermitRequester::NoteSilence(const std::string& aIssuer, Millis aNow)
+PermitRequester::RecordSilence(const std::string& aIssuer, Millis aNow)
 {
-  Silence& silence = mSilent[aIssuer];
+  IssuerSilence& silence = mSilent[aIssuer];
   silence.mUnanswered++;
   if (silence.mUnanswered >= mOptions.mMaxUnanswered) {
-    silence.mPassedOverUntil = aNow + mOptions.mBypassDuration;
+    silence.mBypassedUntil = aNow + mOptions.mBypassDuration;
   }
 }
 
 void
-PermitRequester::NoteMissed(const UpstreamId& aUpstream)
+PermitRequester::CountMissed(const UpstreamId& aUpstream)
 {
-  Wanted& wanted = mWanted[aUpstream];
-  wanted.mMissed = std::min(wanted.mMissed + 1, kMostMissed);
+  UpstreamPermits& permits = mUpstreams[aUpstream];
+  permits.mMissedCount = std::min(permits.mMissedCount + 1, kMaxMissed);
 }
 
 AddressedPermitRequest
@@ -85,24 +85,24 @@
                              uint8_t aUrgency,
                              Millis aNow)
 {
-  Wanted& wanted = mWanted[aLimit.mUpstream];
+  UpstreamPermits& permits = mUpstreams[aLimit.mUpstream];
   const std::vector<std::string> issuers = IssuersOf(aLimit.mUpstream);
-  const auto answers = [&](const std::string& aIssuer) {
+  const auto isAvailable = [&](const std::string& aIssuer) {
     const auto silent = mSilent.find(aIssuer);
-    return silent == mSilent.end() || silent->second.mPassedOverUntil <= aNow;
+    return silent == mSilent.end() || silent->second.mBypassedUntil <= aNow;
   };
-  auto issuer = std::find_if(issuers.begin(), issuers.end(), answers);
+  auto issuer = std::find_if(issuers.begin(), issuers.end(), isAvailable);
   if (issuer == issuers.end()) {
     issuer = issuers.begin();
   }
-  wanted.mIssuer = *issuer;
-  wanted.mNumber = ++mAsks;
-  wanted.mState = PermitState::Requested;
-  wanted.mAskedAt = aNow;
-  return { .mTo = wanted.mIssuer,
-           .mRequest = { .mNumber = wanted.mNumber,
+  permits.mIssuer = *issuer;
+  permits.mNumber = ++mLastNumber;
+  permits.mState = PermitState::Requested;
+  permits.mRequestedAt = aNow;
+  return { .mTo = permits.mIssuer,
+           .mRequest = { .mNumber = permits.mNumber,
                          .mLimit = aLimit,
-                         .mCount = 1 + std::exchange(wanted.mMissed, 0),
+                         .mCount = 1 + std::exchange(permits.mMissedCount, 0),
                          .mUrgency = aUrgency,
                          .mRank =
                            static_cast<uint32_t>(issuer - issuers.begin()) } };
@@ -112,31 +112,31 @@
 PermitRequester::OnReply(const PermitReply& aReply, Millis aNow)
 {
   const auto place =
-    std::find_if(mWanted.begin(), mWanted.end(), [&](const auto& aWanted) {
-      return aWanted.second.mNumber == aReply.mNumber &&
-             aWanted.second.mState == PermitState::Requested;
+    std::find_if(mUpstreams.begin(), mUpstreams.end(), [&](const auto& aEntry) {
+      return aEntry.second.mNumber == aReply.mNumber &&
+             aEntry.second.mState == PermitState::Requested;
     });
-  if (place == mWanted.end() ||
-      aNow - place->second.mAskedAt >= mOptions.mReplyTimeout) {
+  if (place == mUpstreams.end() ||
+      aNow - place->second.mRequestedAt >= mOptions.mReplyTimeout) {
     return;
   }
-  Wanted& wanted = place->second;
-  mSilent.erase(wanted.mIssuer);
+  UpstreamPermits& permits = place->second;
+  mSilent.erase(permits.mIssuer);
   const bool granted = aReply.mGranted > 0;
-  wanted.mState = granted ? PermitState::Granted : PermitState::Denied;
-  wanted.mUntil = aNow + (granted ? mOptions.mGrantLifetime : aReply.mWait);
-  wanted.mLeft = aReply.mGranted;
-  wanted.mFromUrgency = aReply.mFromUrgency;
+  permits.mState = granted ? PermitState::Granted : PermitState::Denied;
+  permits.mUntil = aNow + (granted ? mOptions.mGrantLifetime : aReply.mWait);
+  permits.mRemaining = aReply.mGranted;
+  permits.mFromUrgency = aReply.mFromUrgency;
 }
 
 void
 PermitRequester::Use(const UpstreamId& aUpstream)
 {
-  Wanted& wanted = mWanted[aUpstream];
-  wanted.mUsed++;
-  wanted.mLeft = std::max(wanted.mLeft, 1U) - 1;
-  if (wanted.mLeft == 0) {
-    wanted.mState = PermitState::NotRequested;
+  UpstreamPermits& permits = mUpstreams[aUpstream];
+  permits.mUsed++;
+  permits.mRemaining = std::max(permits.mRemaining, 1U) - 1;
+  if (permits.mRemaining == 0) {
+    permits.mState = PermitState::NotRequested;
   }
 }
 
@@ -145,8 +145,8 @@
                          uint8_t aUrgency,
                          Millis aNow) const
 {
-  const auto place = mWanted.find(aUpstream);
-  const bool denied = place != mWanted.end() &&
+  const auto place = mUpstreams.find(aUpstream);
+  const bool denied = place != mUpstreams.end() &&
                       place->second.mState == PermitState::Denied &&
                       aUrgency >= place->second.mFromUrgency;
   return denied ? std::max(Millis(0), place->second.mUntil - aNow) : Millis(0);
@@ -155,23 +155,23 @@
 uint64_t
 PermitRequester::Used(const UpstreamId& aUpstream) const
 {
-  const auto place = mWanted.find(aUpstream);
-  return place == mWanted.end() ? 0 : place->second.mUsed;
+  const auto place = mUpstreams.find(aUpstream);
+  return place == mUpstreams.end() ? 0 : place->second.mUsed;
 }
 
 std::vector<std::string>
 PermitRequester::IssuersOf(const UpstreamId& aUpstream) const
 {
-  std::vector<std::pair<uint64_t, std::string>> weighed;
-  weighed.reserve(mOthers.size() + 1);
-  weighed.emplace_back(WeightOf(mOwn, aUpstream), mOwn);
+  std::vector<std::pair<uint64_t, std::string>> byWeight;
+  byWeight.reserve(mOthers.size() + 1);
+  byWeight.emplace_back(WeightOf(mOwn, aUpstream), mOwn);
   for (const std::string& each : mOthers) {
-    weighed.emplace_back(WeightOf(each, aUpstream), each);
+    byWeight.emplace_back(WeightOf(each, aUpstream), each);
   }
-  std::sort(weighed.begin(), weighed.end(), std::greater<>());
+  std::sort(byWeight.begin(), byWeight.end(), std::greater<>());
   std::vector<std::string> issuers;
-  issuers.reserve(weighed.size());
-  for (auto& [weight, address] : weighed) {
+  issuers.reserve(byWeight.size());
+  for (auto& [weight, address] : byWeight) {
     issuers.push_back(std::move(address));
   }
   return issuers;
--- a/src/libtrefoilarch/permitrequester.h
+++ b/src/libtrefoilarch/permitrequester.h
@@ -9,19 +9,19 @@
 
 namespace trefoilarch {
 
-/** How a PermitRequester asks; times in milliseconds. */
+/** Options of a PermitRequester; times in milliseconds. */
 struct PermitRequesterOptions
 {
-  /** Without an answer for this long there will be none. */
+  /** Time after which no reply is expected. */
   Millis mReplyTimeout{ 40 };
-  /** What was granted and not used is void after this. */
+  /** Time after which unused permits expire. */
   Millis mGrantLifetime{ 300 };
-  /** An issuer that gave no answer so often in a row is passed over. */
+  /** Number of missing replies in a row after which an issuer is bypassed. */
   uint32_t mMaxUnanswered = 2;
   Millis mBypassDuration{ 2000 };
 };
 
-/** Where a request stands that wants to go to an upstream with a limit. */
+/** Permit state of a request to an upstream with a rate limit. */
 enum class PermitState : uint8_t
 {
   NotRequested,
@@ -30,7 +30,7 @@
   Denied,
 };
 
-/** An ask, and the entry that issues that upstream's permits. */
+/** A permit request and the entry that issues the upstream's permits. */
 struct AddressedPermitRequest
 {
   std::string mTo;
@@ -38,76 +38,76 @@
 };
 
 /**
- * Asks for permits to send to upstreams that name a rate limit, with one ask at
- * a time for each upstream. Each upstream's permits are issued by one entry,
- * found by rendezvous hashing over all entries' addresses; where that one gives
- * no answer, by the next one.
+ * Requests permits to send to upstreams with a rate limit, with one request at
+ * a time for each upstream. One entry issues the permits of an upstream. It is
+ * found by rendezvous hashing over all entries' addresses. If it does not
+ * reply, the next one issues them.
  */
 class PermitRequester
 {
 public:
   explicit PermitRequester(PermitRequesterOptions aOptions = {});
 
-  /** Addresses of this entry and the others; alone, it needs none. */
+  /** Sets all entries' addresses. Without others, it issues its own permits. */
   void SetEntries(std::string aOwn, std::vector<std::string> aOthers);
   const std::string& Own() const { return mOwn; }
 
-  /** Notes an ask that was not answered. */
+  /** Also detects a request without a reply. */
   PermitState StateOf(const UpstreamId& aUpstream,
                       uint8_t aUrgency,
                       Millis aNow);
-  /** A request that wants to go there goes elsewhere, as an ask is under way:
-   * the next ask is for one more. */
-  void NoteMissed(const UpstreamId& aUpstream);
-  /** To be sent to that entry, which may be this one. */
+  /** A request was routed elsewhere because a permit request was pending. The
+   * next permit request asks for one more. */
+  void CountMissed(const UpstreamId& aUpstream);
+  /** Returns a request to be sent to the given entry, possibly this one. */
   AddressedPermitRequest MakeRequest(const LimitReport& aLimit,
                                      uint8_t aUrgency,
                                      Millis aNow);
   void OnReply(const PermitReply& aReply, Millis aNow);
-  /** A request goes out by what was granted. */
+  /** A request is sent using a granted permit. */
   void Use(const UpstreamId& aUpstream);
-  void Forget(const UpstreamId& aUpstream) { mWanted.erase(aUpstream); }
+  void Forget(const UpstreamId& aUpstream) { mUpstreams.erase(aUpstream); }
 
-  /** How long a request of that urgency need not ask. */
+  /** How long requests of that urgency need not ask for a permit. */
   Millis WaitFor(const UpstreamId& aUpstream,
                  uint8_t aUrgency,
                  Millis aNow) const;
-  /** Permits that were used since the limit was known. */
+  /** Number of permits used since the limit became known. */
   uint64_t Used(const UpstreamId& aUpstream) const;
 
 private:
-  struct Wanted
+  struct UpstreamPermits
   {
     uint64_t mNumber = 0;
     std::string mIssuer;
     PermitState mState = PermitState::NotRequested;
-    Millis mAskedAt;
-    /** Of a grant: until when it holds; of a denial: until when not to ask. */
+    Millis mRequestedAt;
+    /** End of the validity of a grant, or of the delay after a denial. */
     Millis mUntil;
     uint8_t mFromUrgency = 0;
-    /** Permits that are left. */
-    uint32_t mLeft = 0;
-    uint32_t mMissed = 0;
+    /** Remaining permits. */
+    uint32_t mRemaining = 0;
+    uint32_t mMissedCount = 0;
     uint64_t mUsed = 0;
   };
 
-  struct Silence
+  struct IssuerSilence
   {
     uint32_t mUnanswered = 0;
-    Millis mPassedOverUntil;
+    Millis mBypassedUntil;
   };
 
-  void NoteSilence(const std::string& aIssuer, Millis aNow);
-  /** The entries in the order in which they issue for the upstream. */
+  void RecordSilence(const std::string& aIssuer, Millis aNow);
+  /** The entries in their order of preference as issuers for the upstream. */
   std::vector<std::string> IssuersOf(const UpstreamId& aUpstream) const;
 
   PermitRequesterOptions mOptions;
   std::string mOwn;
   std::vector<std::string> mOthers;
-  std::map<UpstreamId, Wanted> mWanted;
-  /** Issuers that gave no answer. */
-  std::map<std::string, Silence> mSilent;
-  uint64_t mAsks = 0;
+  std::map<UpstreamId, UpstreamPermits> mUpstreams;
+  /** Issuers that did not reply. */
+  std::map<std::string, IssuerSilence> mSilent;
+  uint64_t mLastNumber = 0;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamlimits.cpp
+++ b/src/libtrefoilarch/upstreamlimits.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/** What has not changed is told again this often: a datagram may be lost. */
-constexpr Millis kRepeat{ 2000 };
+/** Interval at which an unchanged limit is reported again, since datagrams may
+ * be lost. */
+constexpr Millis kRepeatInterval{ 2000 };
 
-/** The end of a limit is told for so long. */
-constexpr Millis kEndSpan{ 10000 };
+/** How long the end of a limit is reported. */
+constexpr Millis kEndRetention{ 10000 };
 
-/** A limit that no answer has shown for so long is nobody's to keep: the next
- * answer names it again. */
-constexpr Millis kForgetSpan{ 60000 };
+/** A limit that no response has shown for this long is forgotten. The next
+ * response states it again. */
+constexpr Millis kLimitRetention{ 60000 };
 
 } // namespace
 
@@ -26,91 +27,93 @@
                          Millis aNow)
 {
   if (aLimit && !aLimit->mPerSecond) {
-    Known& known = mKnown[aUpstream];
-    if (!std::exchange(known.mUnreadable, true)) {
+    LimitState& state = mStates[aUpstream];
+    if (!std::exchange(state.mUnreadable, true)) {
       mChanges.push_back({ .mUpstream = aUpstream,
-                           .mBefore = known.mPerSecond,
-                           .mNow = known.mPerSecond,
+                           .mBefore = state.mPerSecond,
+                           .mNow = state.mPerSecond,
                            .mUnreadable = true });
     }
     return;
   }
   if (aLimit) {
     Take(aUpstream, aLimit->mPerSecond, aNow, false, aNow);
-  } else if (mKnown.contains(aUpstream)) {
-    // A request from before the limit may be answered after its first naming.
+  } else if (mStates.contains(aUpstream)) {
+    // The response to a request from before the limit may arrive after the
+    // first response with it.
     Take(aUpstream, std::nullopt, aSentAt, false, aNow);
   }
 }
 
 void
-UpstreamLimits::OnPeerReport(const LimitReport& aWord, Millis aNow)
+UpstreamLimits::OnPeerReport(const LimitReport& aReport, Millis aNow)
 {
-  const bool known = mKnown.contains(aWord.mUpstream);
-  if (aWord.mPerSecond || known) {
-    Take(aWord.mUpstream, aWord.mPerSecond, aNow - aWord.mAge, true, aNow);
+  const bool isKnown = mStates.contains(aReport.mUpstream);
+  if (aReport.mPerSecond || isKnown) {
+    Take(
+      aReport.mUpstream, aReport.mPerSecond, aNow - aReport.mAge, true, aNow);
   }
 }
 
 void
 UpstreamLimits::Take(const UpstreamId& aUpstream,
                      std::optional<double> aPerSecond,
-                     Millis aAt,
-                     bool aTold,
+                     Millis aObservedAt,
+                     bool aFromPeer,
                      Millis aNow)
 {
-  const auto [place, fresh] = mKnown.try_emplace(aUpstream);
-  Known& known = place->second;
-  if (!fresh && aAt <= known.mAt) {
+  const auto [place, inserted] = mStates.try_emplace(aUpstream);
+  LimitState& state = place->second;
+  if (!inserted && aObservedAt <= state.mObservedAt) {
     return;
   }
-  known.mAt = aAt;
-  known.mUnreadable = false;
-  const std::optional<double> before = known.mPerSecond;
+  state.mObservedAt = aObservedAt;
+  state.mUnreadable = false;
+  const std::optional<double> before = state.mPerSecond;
   if (before == aPerSecond) {
     return;
   }
   mChanges.push_back({ .mUpstream = aUpstream,
                        .mBefore = before,
                        .mNow = aPerSecond,
-                       .mFromPeer = aTold,
-                       .mLasted = before ? aNow - known.mSince : Millis(0) });
-  known.mPerSecond = aPerSecond;
-  known.mToldAt.reset();
-  known.mSince = before ? known.mSince : aNow;
-  mHasNews = true;
+                       .mFromPeer = aFromPeer,
+                       .mLasted = before ? aNow - state.mSince : Millis(0) });
+  state.mPerSecond = aPerSecond;
+  state.mReportedAt.reset();
+  state.mSince = before ? state.mSince : aNow;
+  mHasUpdate = true;
 }
 
 void
 UpstreamLimits::Forget(const UpstreamId& aUpstream)
 {
-  mKnown.erase(aUpstream);
+  mStates.erase(aUpstream);
 }
 
 std::optional<double>
 UpstreamLimits::Of(const UpstreamId& aUpstream) const
 {
-  const auto place = mKnown.find(aUpstream);
-  return place == mKnown.end() ? std::nullopt : place->second.mPerSecond;
+  const auto place = mStates.find(aUpstream);
+  return place == mStates.end() ? std::nullopt : place->second.mPerSecond;
 }
 
 LimitReport
 UpstreamLimits::ReportOf(const UpstreamId& aUpstream, Millis aNow) const
 {
-  const auto place = mKnown.find(aUpstream);
-  if (place == mKnown.end()) {
+  const auto place = mStates.find(aUpstream);
+  if (place == mStates.end()) {
     return { .mUpstream = aUpstream };
   }
   return { .mUpstream = aUpstream,
            .mPerSecond = place->second.mPerSecond,
-           .mAge = aNow - place->second.mAt };
+           .mAge = aNow - place->second.mObservedAt };
 }
 
 std::optional<Millis>
 UpstreamLimits::LimitedSince(const UpstreamId& aUpstream) const
 {
-  const auto place = mKnown.find(aUpstream);
-  const bool limited = place != mKnown.end() && place->second.mPerSecond;
+  const auto place = mStates.find(aUpstream);
+  const bool limited = place != mStates.end() && place->second.mPerSecond;
   return limited ? std::optional(place->second.mSince) : std::nullopt;
 }
 
@@ -118,28 +121,30 @@
 UpstreamLimits::Limited() const
 {
   return static_cast<size_t>(
-    std::count_if(mKnown.begin(), mKnown.end(), [](const auto& aKnown) {
-      return aKnown.second.mPerSecond.has_value();
+    std::count_if(mStates.begin(), mStates.end(), [](const auto& aEntry) {
+      return aEntry.second.mPerSecond.has_value();
     }));
 }
 
 std::vector<LimitReport>
 UpstreamLimits::TakeReports(Millis aNow)
 {
-  mHasNews = false;
-  std::erase_if(mKnown, [aNow](const auto& aKnown) {
-    const Known& known = aKnown.second;
-    return aNow - known.mAt > (known.mPerSecond ? kForgetSpan : kEndSpan);
+  mHasUpdate = false;
+  std::erase_if(mStates, [aNow](const auto& aEntry) {
+    const LimitState& state = aEntry.second;
+    return aNow - state.mObservedAt >
+           (state.mPerSecond ? kLimitRetention : kEndRetention);
   });
-  std::vector<LimitReport> words;
-  for (auto& [id, known] : mKnown) {
-    const bool due = !known.mToldAt || aNow - *known.mToldAt >= kRepeat;
-    if (due && words.size() < kMaxReports) {
-      known.mToldAt = aNow;
-      words.push_back(ReportOf(id, aNow));
+  std::vector<LimitReport> reports;
+  for (auto& [id, state] : mStates) {
+    const bool due =
+      !state.mReportedAt || aNow - *state.mReportedAt >= kRepeatInterval;
+    if (due && reports.size() < kMaxReports) {
+      state.mReportedAt = aNow;
+      reports.push_back(ReportOf(id, aNow));
     }
   }
-  return words;
+  return reports;
 }
 
 std::vector<LimitChange>
--- a/src/libtrefoilarch/upstreamlimits.h
+++ b/src/libtrefoilarch/upstreamlimits.h
@@ -11,95 +11,96 @@
 
 namespace trefoilarch {
 
-/** A rate limit as an upstream's answer names it. */
+/** A rate limit as stated in an upstream's response. */
 struct NamedLimit
 {
-  /** Requests a second from all entries together; empty where what the answer
-   * says is no such number. */
+  /** Requests per second from all entries together. Empty if the response
+   * states no such number. */
   std::optional<double> mPerSecond;
 
   bool operator==(const NamedLimit&) const = default;
 };
 
-/** What entries tell each other of an upstream's limit. */
+/** A report of an upstream's limit, exchanged between entries. */
 struct LimitReport
 {
   UpstreamId mUpstream;
-  /** Empty where it has none any more. */
+  /** Empty if it no longer has a limit. */
   std::optional<double> mPerSecond;
-  /** Since the answer that shows it. */
+  /** Time since the response that showed it. */
   Millis mAge;
 
   bool operator==(const LimitReport&) const = default;
 };
 
-/** A limit that began, changed, ended or could not be read, for the log. */
+/** A limit that began, changed, ended or could not be parsed, for the log. */
 struct LimitChange
 {
   UpstreamId mUpstream;
   std::optional<double> mBefore;
   std::optional<double> mNow;
   bool mUnreadable = false;
-  /** Another entry told it. */
+  /** Whether another entry reported it. */
   bool mFromPeer = false;
   /** How long there had been a limit. */
   Millis mLasted;
 };
 
-/** The rate limits that upstreams name in their answers, as far as all entries
- * together know. The newest answer decides, whichever entry had it. */
+/** The rate limits that upstreams state in their responses, as known to all
+ * entries together. The latest response decides, whichever entry got it. */
 class UpstreamLimits
 {
 public:
-  /** The head of an answer to a request that was sent at aSentAt; aLimit is
-   * empty where it names none. */
+  /** The head of a response to a request that was sent at aSentAt. aLimit is
+   * empty if it states no limit. */
   void OnAnswer(const UpstreamId& aUpstream,
                 const std::optional<NamedLimit>& aLimit,
                 Millis aSentAt,
                 Millis aNow);
-  void OnPeerReport(const LimitReport& aWord, Millis aNow);
-  /** Another process has taken the upstream's place, or it is gone. */
+  void OnPeerReport(const LimitReport& aReport, Millis aNow);
+  /** The upstream is gone or was replaced by another process. */
   void Forget(const UpstreamId& aUpstream);
 
-  /** Requests a second; empty where there is no limit. */
+  /** Requests per second; empty if there is no limit. */
   std::optional<double> Of(const UpstreamId& aUpstream) const;
-  /** What is known of the upstream, to be told. */
+  /** Report of what is known of the upstream. */
   LimitReport ReportOf(const UpstreamId& aUpstream, Millis aNow) const;
   /** Since when the upstream has had a limit. */
   std::optional<Millis> LimitedSince(const UpstreamId& aUpstream) const;
-  /** How many upstreams have one. */
+  /** Number of upstreams with a limit. */
   size_t Limited() const;
 
-  /** Reports that TakeReports() gives at a time; the rest comes next. */
+  /** Maximum number of reports per call of TakeReports(). */
   static constexpr size_t kMaxReports = 16;
-  /** What others have to be told now. */
+  /** Returns the reports due to be sent. */
   std::vector<LimitReport> TakeReports(Millis aNow);
-  /** Something is to be told that is new. */
-  bool HasUpdate() const { return mHasNews; }
-  /** Changes since this was last asked. */
+  /** Whether there are new reports to send. */
+  bool HasUpdate() const { return mHasUpdate; }
+  /** Returns the changes since the last call. */
   std::vector<LimitChange> TakeChanges();
 
 private:
-  struct Known
+  struct LimitState
   {
     std::optional<double> mPerSecond;
-    /** Of the answer that shows it, or of the request that got one without. */
-    Millis mAt;
+    /** Time of the response that showed it, or of sending the request whose
+     * response showed none. */
+    Millis mObservedAt;
     Millis mSince;
-    /** Empty before the first time. */
-    std::optional<Millis> mToldAt;
+    /** Empty before the first report. */
+    std::optional<Millis> mReportedAt;
     bool mUnreadable = false;
   };
 
   void Take(const UpstreamId& aUpstream,
             std::optional<double> aPerSecond,
-            Millis aAt,
-            bool aTold,
+            Millis aObservedAt,
+            bool aFromPeer,
             Millis aNow);
 
-  std::map<UpstreamId, Known> mKnown;
+  std::map<UpstreamId, LimitState> mStates;
   std::vector<LimitChange> mChanges;
-  bool mHasNews = false;
+  bool mHasUpdate = false;
 };
 
 } // namespace trefoilarch
--- a/tests/unit/peerringtest.cpp
+++ b/tests/unit/peerringtest.cpp
@@ -19,58 +19,59 @@
 }
 
 bool
-Tells(const std::string& aFrom,
-      const std::string& aTo,
-      const std::vector<std::string>& aNames)
+SendsTo(const std::string& aFrom,
+        const std::string& aTo,
+        const std::vector<std::string>& aNames)
 {
   const PeerRing ring(aFrom, aNames);
   const auto& others = ring.Others();
-  const size_t told = std::min(PeerRing::kMaxReceivers, others.size());
-  const auto end = others.begin() + static_cast<std::ptrdiff_t>(told);
+  const size_t receivers = std::min(PeerRing::kMaxReceivers, others.size());
+  const auto end = others.begin() + static_cast<std::ptrdiff_t>(receivers);
   return std::find(others.begin(), end, aTo) != end;
 }
 
 } // namespace
 
-/** Whoever an entry waits to hear from does tell it, and nobody else. */
-Test(peerring, those_that_are_waited_for_are_those_that_tell)
+/** The senders that an entry expects are exactly those that send to it. */
+Test(peerring, expected_senders_are_the_actual_senders)
 {
   for (const size_t count : { 2, 5, 41, 42, 100 }) {
     const auto names = Names(count);
     for (const std::string& own : names) {
-      const auto tellers = PeerRing(own, names).Senders();
-      cr_expect(tellers.size() == std::min(PeerRing::kMaxReceivers, count - 1));
+      const auto senders = PeerRing(own, names).Senders();
+      cr_expect(senders.size() == std::min(PeerRing::kMaxReceivers, count - 1));
       for (const std::string& other : names) {
-        const bool waited =
-          std::find(tellers.begin(), tellers.end(), other) != tellers.end();
-        cr_expect(other == own || waited == Tells(other, own, names));
+        const bool isSender =
+          std::find(senders.begin(), senders.end(), other) != senders.end();
+        cr_expect(other == own || isSender == SendsTo(other, own, names));
       }
     }
   }
 }
 
-/** Each entry is told of changes by three that ask the store, or all ask. */
-Test(peerring, a_few_listen_for_all)
+/** Each entry receives changes from three that poll the store, or all poll. */
+Test(peerring, each_entry_receives_changes_from_enough_pollers)
 {
   for (const size_t count : { 1, 2, 3, 5, 18, 41, 42, 103, 340 }) {
     const auto names = Names(count);
-    size_t listeners = 0;
+    size_t pollers = 0;
     for (const std::string& own : names) {
       const PeerRing ring(own, names);
-      listeners += ring.PollsStore() ? 1 : 0;
-      size_t heard = ring.PollsStore() ? 1 : 0;
-      for (const std::string& teller : ring.Senders()) {
-        heard += PeerRing(teller, names).PollsStore() ? 1 : 0;
+      pollers += ring.PollsStore() ? 1 : 0;
+      size_t sources = ring.PollsStore() ? 1 : 0;
+      for (const std::string& sender : ring.Senders()) {
+        sources += PeerRing(sender, names).PollsStore() ? 1 : 0;
       }
       cr_expect(
-        heard >= std::min<size_t>(3, count), "%zu of %zu", heard, count);
+        sources >= std::min<size_t>(3, count), "%zu of %zu", sources, count);
     }
-    cr_expect(listeners <= 3 + count / 13, "%zu of %zu", listeners, count);
+    cr_expect(pollers <= 3 + count / 13, "%zu of %zu", pollers, count);
   }
-  cr_expect(PeerRing("new", Names(50)).PollsStore(), "nobody tells it yet");
+  cr_expect(PeerRing("new", Names(50)).PollsStore(),
+            "it receives no updates yet");
 }
 
-Test(peerring, one_that_is_not_listed_yet_has_its_place)
+Test(peerring, an_unlisted_entry_has_its_position)
 {
   const PeerRing ring("gate-1001x", Names(4));
   const std::vector<std::string> others = {
--- a/tests/unit/peersilencetest.cpp
+++ b/tests/unit/peersilencetest.cpp
@@ -4,17 +4,18 @@
 
 using namespace trefoilarch;
 
-Test(peersilence, two_entries_have_to_say_so)
+Test(peersilence, two_entries_have_to_report_it)
 {
   PeerSilence silence;
   silence.OnPeerReport("a", Millis(100), Millis(600));
   silence.OnPeerReport("a", Millis(100), Millis(1100));
   cr_expect(silence.Silence(Millis(1100)) == Millis(0));
   silence.OnPeerReport("b", Millis(300), Millis(1200));
-  cr_expect(silence.Silence(Millis(1200)) == Millis(900), "since the later");
+  cr_expect(silence.Silence(Millis(1200)) == Millis(900),
+            "since the later start");
 }
 
-Test(peersilence, an_answer_to_anybody_ends_it)
+Test(peersilence, a_response_to_any_entry_ends_it)
 {
   PeerSilence silence;
   silence.OnPeerReport("a", Millis(100), Millis(600));
@@ -25,7 +26,7 @@
   cr_expect(silence.Silence(Millis(800)) == Millis(0));
 }
 
-Test(peersilence, what_is_not_told_any_more_is_over)
+Test(peersilence, a_silence_that_is_no_longer_reported_has_ended)
 {
   PeerSilence silence;
   silence.OnPeerReport("a", Millis(100), Millis(600));
--- a/tests/unit/peerworktest.cpp
+++ b/tests/unit/peerworktest.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 PeerUpdate
-Notes(const char* aFrom, uint64_t aSequence, uint64_t aTokens)
+Update(const char* aFrom, uint64_t aSequence, uint64_t aTokens)
 {
   PendingPrefill reads;
   reads.Add(1, aTokens);
@@ -25,30 +25,30 @@
 
 } // namespace
 
-Test(peerwork, what_all_others_tell_is_added_up)
+Test(peerwork, pending_work_of_all_peers_is_added_up)
 {
   PeerWork work;
-  work.Take(Notes("a", 1, 100), Millis(0));
-  work.Take(Notes("b", 1, 50), Millis(0));
+  work.Take(Update("a", 1, 100), Millis(0));
+  work.Take(Update("b", 1, 50), Millis(0));
   cr_expect(Pending(work) == 150);
   cr_expect(work.Peers() == 2);
   cr_expect(work.Pending("other").All() == 0);
 }
 
-Test(peerwork, each_message_replaces_what_its_sender_told_before)
+Test(peerwork, each_message_replaces_the_previous_one_of_its_sender)
 {
   PeerWork work;
-  work.Take(Notes("a", 1, 100), Millis(0));
-  work.Take(Notes("a", 3, 30), Millis(10));
-  cr_expect(!work.Take(Notes("a", 2, 70), Millis(20)), "it came late");
+  work.Take(Update("a", 1, 100), Millis(0));
+  work.Take(Update("a", 3, 30), Millis(10));
+  cr_expect(!work.Take(Update("a", 2, 70), Millis(20)), "it is outdated");
   cr_expect(Pending(work) == 30);
 }
 
-Test(peerwork, an_entry_that_starts_again_is_heard_from_its_first_message)
+Test(peerwork, the_first_message_of_a_restarted_entry_is_accepted)
 {
   PeerWork work;
-  work.Take(Notes("a", 900, 100), Millis(0));
-  PeerUpdate fresh = Notes("a", 1, 40);
+  work.Take(Update("a", 900, 100), Millis(0));
+  PeerUpdate fresh = Update("a", 1, 40);
   fresh.mProcess = 2;
   cr_expect(work.Take(fresh, Millis(10)));
   cr_expect(Pending(work) == 40);
@@ -57,14 +57,14 @@
 Test(peerwork, the_work_of_a_silent_entry_is_forgotten)
 {
   PeerWork work;
-  work.Take(Notes("a", 1, 100), Millis(0));
-  work.Take(Notes("b", 1, 50), Millis(1500));
+  work.Take(Update("a", 1, 100), Millis(0));
+  work.Take(Update("b", 1, 50), Millis(1500));
   work.Expire(Millis(2000));
   cr_expect(Pending(work) == 50);
   cr_expect(work.Peers() == 1);
 }
 
-Test(pendingreads, more_urgent_prompts_are_read_first)
+Test(pendingprefill, more_urgent_prompts_are_prefilled_first)
 {
   PendingPrefill reads;
   reads.Add(0, 10);
--- a/tests/unit/upstreamlimitstest.cpp
+++ b/tests/unit/upstreamlimitstest.cpp
@@ -14,20 +14,20 @@
 
 } // namespace
 
-Test(upstreamlimits, the_newest_answer_decides)
+Test(upstreamlimits, the_latest_response_decides)
 {
   UpstreamLimits limits;
   limits.OnAnswer("u", Named(1.5), Millis(90), Millis(100));
   cr_expect(limits.Of("u") == 1.5);
   limits.OnPeerReport({ "u", 3, Millis(500) }, Millis(200));
-  cr_expect(limits.Of("u") == 1.5, "what is told is older");
+  cr_expect(limits.Of("u") == 1.5, "the report is older");
   limits.OnPeerReport({ "u", 3, Millis(50) }, Millis(200));
   cr_expect(limits.Of("u") == 3);
   cr_expect(limits.LimitedSince("u") == Millis(100));
   cr_expect(limits.Limited() == 1);
 }
 
-Test(upstreamlimits, a_late_answer_from_before_ends_no_limit)
+Test(upstreamlimits, a_late_response_to_an_earlier_request_ends_no_limit)
 {
   UpstreamLimits limits;
   limits.OnAnswer("u", Named(1.5), Millis(90), Millis(100));
@@ -36,41 +36,42 @@
   limits.OnAnswer("u", std::nullopt, Millis(120), Millis(130));
   cr_expect(!limits.Of("u"));
   limits.OnPeerReport({ "u", 1.5, Millis(100) }, Millis(200));
-  cr_expect(!limits.Of("u"), "another entry's older answer brings none back");
+  cr_expect(!limits.Of("u"), "an older response of another entry is ignored");
 }
 
-Test(upstreamlimits, one_that_sent_nothing_hears_of_begin_and_end)
+Test(upstreamlimits, begin_and_end_of_a_limit_are_reported_to_peers)
 {
-  UpstreamLimits teller;
-  UpstreamLimits hearer;
-  const auto tell = [&](Millis aNow) {
-    for (const LimitReport& each : teller.TakeReports(aNow)) {
-      hearer.OnPeerReport(each, aNow);
+  UpstreamLimits sender;
+  UpstreamLimits receiver;
+  const auto send = [&](Millis aNow) {
+    for (const LimitReport& each : sender.TakeReports(aNow)) {
+      receiver.OnPeerReport(each, aNow);
     }
   };
-  teller.OnAnswer("u", Named(0), Millis(90), Millis(100));
-  cr_expect(teller.HasUpdate());
-  tell(Millis(110));
-  cr_expect(!teller.HasUpdate());
-  cr_expect(hearer.Of("u") == 0);
-  cr_expect(hearer.HasUpdate(), "it tells those that the first can't reach");
-  teller.OnAnswer("u", std::nullopt, Millis(200), Millis(210));
-  tell(Millis(220));
-  cr_expect(!hearer.Of("u"));
+  sender.OnAnswer("u", Named(0), Millis(90), Millis(100));
+  cr_expect(sender.HasUpdate());
+  send(Millis(110));
+  cr_expect(!sender.HasUpdate());
+  cr_expect(receiver.Of("u") == 0);
+  cr_expect(receiver.HasUpdate(),
+            "it reports to entries that the first can't reach");
+  sender.OnAnswer("u", std::nullopt, Millis(200), Millis(210));
+  send(Millis(220));
+  cr_expect(!receiver.Of("u"));
 }
 
-Test(upstreamlimits, what_has_not_changed_is_told_again_now_and_then)
+Test(upstreamlimits, an_unchanged_limit_is_reported_repeatedly)
 {
   UpstreamLimits limits;
   limits.OnAnswer("u", Named(2), Millis(90), Millis(100));
   cr_expect(limits.TakeReports(Millis(100)).size() == 1);
   cr_expect(limits.TakeReports(Millis(2099)).empty());
   cr_expect(limits.TakeReports(Millis(2100)).size() == 1);
-  cr_expect(limits.TakeReports(Millis(70000)).empty(), "nobody asks there now");
+  cr_expect(limits.TakeReports(Millis(70000)).empty(), "no recent requests");
   cr_expect(!limits.Of("u"));
 }
 
-Test(upstreamlimits, what_is_no_number_leaves_the_limit_and_is_said_once)
+Test(upstreamlimits, an_unreadable_limit_changes_nothing_and_is_logged_once)
 {
   UpstreamLimits limits;
   limits.OnAnswer("u", Named(2), Millis(90), Millis(100));
@@ -83,7 +84,7 @@
   cr_expect(changes.front().mUnreadable);
 }
 
-Test(upstreamlimits, what_finds_no_room_is_told_next)
+Test(upstreamlimits, reports_beyond_the_maximum_are_sent_next)
 {
   UpstreamLimits limits;
   constexpr size_t kAll = 2 * UpstreamLimits::kMaxReports;
