--- a/src/libtrefoilarch/freshness.h
+++ b/src/libtrefoilarch/freshness.h
@@ -9,113 +9,122 @@
 namespace trefoilarch {
 
 /**
- * When a belief was last known to be the source's newest. Instants are of a
- * clock that counts the time in which the machine was suspended.
+ * The last time at which a local copy was known to be up to date. Times are of
+ * a clock that continues while the machine is suspended.
  */
 class Freshness
 {
 public:
-  /** The belief was the newest at that instant; an older word is ignored. */
+  /** The copy was up to date at that time. An earlier time is ignored. */
   void Confirm(Millis aAt)
   {
-    if (!mAt || *mAt < aAt) {
-      mAt = aAt;
+    if (!mConfirmedAt || *mConfirmedAt < aAt) {
+      mConfirmedAt = aAt;
     }
   }
 
-  /** Whether it was confirmed within the span; never, if it never was. */
-  bool IsWithin(Millis aSpan, Millis aNow) const
+  /** Whether it was confirmed within that time. False if it never was. */
+  bool IsWithin(Millis aMaxAge, Millis aNow) const
   {
-    return mAt && aNow - *mAt < aSpan;
+    return mConfirmedAt && aNow - *mConfirmedAt < aMaxAge;
   }
 
-  /** Empty where it was never confirmed. */
-  std::optional<Millis> At() const { return mAt; }
+  /** Empty if it was never confirmed. */
+  std::optional<Millis> At() const { return mConfirmedAt; }
 
-  /** Never() where it was never confirmed. */
-  Millis Age(Millis aNow) const { return mAt ? aNow - *mAt : Millis::Never(); }
+  /** Millis::Never() if it was never confirmed. */
+  Millis Age(Millis aNow) const
+  {
+    return mConfirmedAt ? aNow - *mConfirmedAt : Millis::Never();
+  }
 
-  /** The age for logs and gauges, in milliseconds; -1 for never. */
-  int64_t AgeMs(Millis aNow) const { return mAt ? Age(aNow).Count() : -1; }
+  /** The age in milliseconds for logs and gauges, or -1 if it was never
+   * confirmed. */
+  int64_t AgeMs(Millis aNow) const
+  {
+    return mConfirmedAt ? Age(aNow).Count() : -1;
+  }
 
 private:
-  std::optional<Millis> mAt;
+  std::optional<Millis> mConfirmedAt;
 };
 
 /**
- * Dates answers of another process by the steady clock reading that they
- * carry. An answer to a long poll was made long after the poll was sent; by
- * its own reading it can be dated to within a round trip, and never too late.
+ * Converts the steady-clock times in responses of another process to local
+ * time. The response to a long poll is made long after the poll was sent. The
+ * remote time in the response gives its local time to within a round trip, and
+ * never too late.
  */
 class RemoteClock
 {
 public:
   /**
-   * The earliest instant at which an answer can have been made that was asked
-   * for at aAsked and carries that reading. Readings that jump back, as after
-   * a restart of the other process, start the estimate anew.
+   * Returns the earliest local time at which a response with that remote time
+   * can have been made, for a request sent at aSentAt. A remote time that jumps
+   * back, as after a restart of the other process, restarts the estimate.
    */
-  Millis RespondedAt(Millis aAsked, Millis aReading)
+  Millis RespondedAt(Millis aSentAt, Millis aRemoteTime)
   {
-    const bool jumpedBack = aReading < mLastReading;
-    if (!mOffset || jumpedBack || Estimate(aReading) <= aAsked) {
-      mOffset = aAsked - aReading;
-      mMeasuredAt = aAsked;
+    const bool jumpedBack = aRemoteTime < mLastRemoteTime;
+    if (!mOffset || jumpedBack || Estimate(aRemoteTime) <= aSentAt) {
+      mOffset = aSentAt - aRemoteTime;
+      mMeasuredAt = aSentAt;
     }
-    mLastReading = aReading;
-    return Estimate(aReading);
+    mLastRemoteTime = aRemoteTime;
+    return Estimate(aRemoteTime);
   }
 
   /**
-   * The earliest instant at which the other clock can have shown that, for a
-   * reading that came by others' hands. Empty where nothing is known of the
-   * clock, or the reading can't be of the same one.
+   * Returns the earliest local time at which the other clock can have shown
+   * that remote time, if it was forwarded by other processes. Empty if the
+   * offset is unknown, or if the time cannot be of the same clock.
    */
-  std::optional<Millis> LocalTimeOf(Millis aReading, Millis aNow) const
+  std::optional<Millis> LocalTimeOf(Millis aRemoteTime, Millis aNow) const
   {
-    if (!mOffset || Estimate(aReading) > aNow) {
+    if (!mOffset || Estimate(aRemoteTime) > aNow) {
       return std::nullopt;
     }
-    return Estimate(aReading);
+    return Estimate(aRemoteTime);
   }
 
-  /** Whether an answer that is not held back is due: nothing is known of the
-   * other clock, or it is so long ago that much drift has to be allowed for. */
+  /** Whether a response without delay is needed: the offset is unknown, or was
+   * measured so long ago that the drift allowance has become large. */
   bool NeedsMeasurement(Millis aNow) const
   {
     return aNow > NextMeasurementAt();
   }
 
-  /** Until then no such answer is wanted. */
+  /** No such response is needed before this time. */
   Millis NextMeasurementAt() const
   {
-    return mOffset ? mMeasuredAt + kMeasureSpan : Millis(-1);
+    return mOffset ? mMeasuredAt + kMeasurementInterval : Millis(-1);
   }
 
-  /** Forgets everything, for instance once the other side was lost. */
+  /** Forgets the offset, for example when the other process became
+   * unreachable. */
   void Reset() { mOffset.reset(); }
 
 private:
-  /** Clocks of hosts differ by 100 parts in a million and less; one part in
-   * so many is allowed for. */
-  static constexpr int64_t kDriftPart = 2000;
+  /** Clocks of hosts drift by 100 parts in a million or less. One part in this
+   * many is allowed for. */
+  static constexpr int64_t kDriftDivisor = 2000;
 
-  /** By this, 150 ms are allowed for drift. */
-  static constexpr Millis kMeasureSpan{ 300000 };
+  /** Limits the drift allowance to 150 ms. */
+  static constexpr Millis kMeasurementInterval{ 300000 };
 
-  /** By what was measured, less what the clocks may have drifted between then
-   * and the reading. */
-  Millis Estimate(Millis aReading) const
+  /** Applies the measured offset, less the possible drift since the
+   * measurement. */
+  Millis Estimate(Millis aRemoteTime) const
   {
-    const Millis made = aReading + *mOffset;
-    const int64_t between = std::abs((made - mMeasuredAt).Count());
-    return made - Millis(between / kDriftPart);
+    const Millis madeAt = aRemoteTime + *mOffset;
+    const int64_t elapsed = std::abs((madeAt - mMeasuredAt).Count());
+    return madeAt - Millis(elapsed / kDriftDivisor);
   }
 
-  /** Own time less the other's, at the least, when it was measured. */
+  /** Lower bound of local time minus remote time, at the measurement. */
   std::optional<Millis> mOffset;
   Millis mMeasuredAt;
-  Millis mLastReading;
+  Millis mLastRemoteTime;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/storeservinginterval.h
+++ b/src/libtrefoilarch/storeservinginterval.h
@@ -7,13 +7,13 @@
 namespace trefoilarch {
 
 /**
- * A span, on the store's own clock, in which the store answered some entry
- * again and again without a gap that matters.
+ * An interval of the store's own clock during which it responded to entries
+ * without a significant gap.
  */
 struct StoreServingInterval
 {
   Millis mSince;
-  /** The newest answer that is known. */
+  /** Time of the latest known response. */
   Millis mUntil;
 
   auto operator<=>(const StoreServingInterval&) const = default;
--- a/src/libtrefoilarch/storeuptime.cpp
+++ b/src/libtrefoilarch/storeuptime.cpp
@@ -10,32 +10,34 @@
 }
 
 bool
-StoreUptime::OnAnswer(Millis aReading)
+StoreUptime::OnResponse(Millis aStoreTime)
 {
-  // Answers may overtake each other, but not by so much.
+  // Responses may overtake each other, but not by this much.
   const bool clockWasReset =
-    mRun && aReading + mOptions.mMinOutage < mRun->mSince;
+    mInterval && aStoreTime + mOptions.mMinOutage < mInterval->mSince;
   if (clockWasReset) {
-    mRun.reset();
+    mInterval.reset();
   }
-  return OnPeerReport({ .mSince = aReading, .mUntil = aReading });
+  return OnPeerReport({ .mSince = aStoreTime, .mUntil = aStoreTime });
 }
 
 bool
-StoreUptime::OnPeerReport(const StoreServingInterval& aTold)
+StoreUptime::OnPeerReport(const StoreServingInterval& aReport)
 {
-  if (!mRun) {
-    mRun = aTold;
+  if (!mInterval) {
+    mInterval = aReport;
     return false;
   }
-  const bool isBefore = aTold.mUntil + mOptions.mMinOutage < mRun->mSince;
+  const bool isBefore =
+    aReport.mUntil + mOptions.mMinOutage < mInterval->mSince;
   if (isBefore) {
     return false;
   }
-  const bool isAfter = aTold.mSince > mRun->mUntil + mOptions.mMinOutage;
+  const bool isAfter = aReport.mSince > mInterval->mUntil + mOptions.mMinOutage;
   mSawOutage = mSawOutage || isAfter;
-  mRun->mSince = isAfter ? aTold.mSince : std::min(mRun->mSince, aTold.mSince);
-  mRun->mUntil = std::max(mRun->mUntil, aTold.mUntil);
+  mInterval->mSince =
+    isAfter ? aReport.mSince : std::min(mInterval->mSince, aReport.mSince);
+  mInterval->mUntil = std::max(mInterval->mUntil, aReport.mUntil);
   return isAfter;
 }
 
--- a/src/libtrefoilarch/storeuptime.h
+++ b/src/libtrefoilarch/storeuptime.h
@@ -7,18 +7,18 @@
 
 namespace trefoilarch {
 
-/** How a StoreUptime judges; times in milliseconds. */
+/** Options of a StoreUptime; times in milliseconds. */
 struct StoreUptimeOptions
 {
-  /** The store was away where nobody is known to have had an answer for
-   * longer than this. */
+  /** Minimum time without a known response to any entry that counts as an
+   * outage of the store. */
   Millis mMinOutage{ 1250 };
 };
 
 /**
- * How long the store has served without an outage, as far as all entries
- * together know. An entry that could not reach the store learns from the
- * answers that others had whether the store was there all the time. All times
+ * Tracks how long the store has served without an outage, as far as known to
+ * all entries together. An entry that could not reach the store learns from the
+ * responses to other entries whether it was available all the time. All times
  * are of the store's own clock.
  */
 class StoreUptime
@@ -26,22 +26,24 @@
 public:
   explicit StoreUptime(StoreUptimeOptions aOptions = {});
 
-  /** The store has answered this entry; its clock showed that. True where that
-   * shows an outage since the answers before. */
-  bool OnAnswer(Millis aReading);
-  /** Another entry knows of that run; true as above. */
-  bool OnPeerReport(const StoreServingInterval& aTold);
+  /** The store responded to this entry at that store time. Returns true if this
+   * reveals an outage since the previous responses. */
+  bool OnResponse(Millis aStoreTime);
+  /** Another entry reports that interval. Returns true as above. */
+  bool OnPeerReport(const StoreServingInterval& aReport);
 
-  /** Empty before the first answer. */
-  const std::optional<StoreServingInterval>& Interval() const { return mRun; }
+  /** Empty before the first response. */
+  const std::optional<StoreServingInterval>& Interval() const
+  {
+    return mInterval;
+  }
 
-  /** An outage was seen, though others may have shown since that it was none.
-   */
+  /** Whether an outage was detected, even if later reports disproved it. */
   bool SawOutage() const { return mSawOutage; }
 
 private:
   StoreUptimeOptions mOptions;
-  std::optional<StoreServingInterval> mRun;
+  std::optional<StoreServingInterval> mInterval;
   bool mSawOutage = false;
 };
 
--- a/src/libtrefoilarch/tablecheckpoint.h
+++ b/src/libtrefoilarch/tablecheckpoint.h
@@ -8,14 +8,14 @@
 namespace trefoilarch {
 
 /**
- * What entries tell each other of a table of the store: every change of it
- * that was made before the store's clock read mStoreTime has a version of
- * mLastChange or less. An entry whose copy goes that far missed nothing.
+ * A point up to which a table's changes are known. Every change made before the
+ * store's clock showed mStoreTime has a version of at most mLastChange. An
+ * entry whose copy includes that version has missed no change before that time.
  */
 struct TableCheckpoint
 {
   uint64_t mLastChange = 0;
-  /** The store's own clock, not the teller's. */
+  /** Time of the store's own clock, not the sender's. */
   Millis mStoreTime;
 
   auto operator<=>(const TableCheckpoint&) const = default;
--- a/src/libtrefoilarch/tableupdate.h
+++ b/src/libtrefoilarch/tableupdate.h
@@ -12,7 +12,7 @@
 struct TableRow
 {
   std::string mKey;
-  /** Empty where it could not be read. */
+  /** Empty if it could not be read. */
   std::string mValue;
   bool mRemoved = false;
   uint64_t mVersion = 0;
@@ -21,8 +21,8 @@
 };
 
 /**
- * What an entry has just been told of a table by the store. Its rows, if there
- * are any, are all that changed after mAfter and up to mUpTo.
+ * A change of a table that an entry has received from the store. The rows, if
+ * any, are all that changed after mAfter and up to mUpTo.
  */
 struct TableUpdate
 {
--- a/src/libtrefoilarch/tablewatch.cpp
+++ b/src/libtrefoilarch/tablewatch.cpp
@@ -7,29 +7,30 @@
 
 namespace {
 
-/** For an answer that the store need not hold back; one that is slow by a
- * factor of sixty still makes it. */
-constexpr Millis kAnswerSpan{ 800 };
+/** Timeout for a response without delay. A response slower by a factor of sixty
+ * is still in time. */
+constexpr Millis kResponseTimeout{ 800 };
 
-/** An answer that was held back and comes this much too late was held up by
- * an outage: rows may have lapsed in it. */
-constexpr Millis kLateAnswer{ 300 };
+/** A delayed response that is late by more than this was affected by an outage,
+ * in which rows may have expired. */
+constexpr Millis kLateThreshold{ 300 };
 
-/** Between two questions while the table is lost: doubled each time. */
-constexpr Millis kFirstPause{ 200 };
-constexpr uint32_t kMostDoublings = 8;
+/** Delay between two retries while the table is lost; doubled each time. */
+constexpr Millis kInitialRetryDelay{ 200 };
+constexpr uint32_t kMaxDoublings = 8;
 
-/** So many entries find the store's return soon though each pauses for the
- * bound; fewer pause for less, in proportion, down to so many. */
-constexpr size_t kManyEntries = 16;
-constexpr size_t kFewEntries = 4;
+/** With this many entries the store's recovery is soon detected even if each
+ * waits for the maximum age. Fewer wait for less, in proportion, down to the
+ * minimum. */
+constexpr size_t kMaxScaledEntries = 16;
+constexpr size_t kMinScaledEntries = 4;
 
-/** Entries that hear that the store is back ask within this, not all in the
- * same moment. */
-constexpr int64_t kReturnSpreadMs = 200;
+/** Entries that learn of the store's recovery spread their queries over this
+ * time. */
+constexpr int64_t kRecoverySpreadMs = 200;
 
-/** Both clocks may be off by this much when a reading is waited for. */
-constexpr Millis kWantedMargin{ 20 };
+/** Allowance for the inaccuracy of both clocks when a store time is awaited. */
+constexpr Millis kStoreTimeMargin{ 20 };
 
 } // namespace
 
@@ -38,13 +39,13 @@
   , mHooks(std::move(aHooks))
   , mRandom(mOptions.mSeed)
 {
-  DrawProofAge();
+  DrawVerificationAge();
 }
 
 void
 TableWatch::Start()
 {
-  Read();
+  ReadTable();
 }
 
 void
@@ -56,139 +57,141 @@
   if (aPage.mHasMore) {
     return;
   }
-  // A row of the first page may have changed before the last one was read: the
-  // copy is as old as its oldest page.
+  // A row of the first page may have changed before the last page was read, so
+  // the copy is as old as its oldest page.
   const TableResponse oldest = *std::exchange(mFirstPage, std::nullopt);
-  NoteBack();
+  ReportRecovered();
   mVersion = oldest.mVersion;
-  // A row that was removed before is not among them: its version is unknown,
-  // and no higher than this.
+  // The version of a row that was removed earlier is unknown, but no higher
+  // than this.
   mLastChange = oldest.mVersion;
   Confirm(oldest);
-  Follow();
+  FollowChanges();
 }
 
 void
-TableWatch::OnChanges(const TableResponse& aAnswer)
+TableWatch::OnChanges(const TableResponse& aResponse)
 {
-  const Millis took = aAnswer.mReceivedAt - aAnswer.mSentAt;
-  if (mFailures == 0 && took > mOptions.mWait + kLateAnswer) {
+  const Millis took = aResponse.mReceivedAt - aResponse.mSentAt;
+  if (mFailures == 0 && took > mOptions.mWait + kLateThreshold) {
     mFailures = 1;
     mHooks.mOnLost("late answer", took);
   }
-  NoteBack();
-  mFeedAsked = false;
-  TakeVersions(aAnswer);
-  if (std::exchange(mProofAsked, false)) {
-    // Its answer may be older than this one, and must not come after it.
+  ReportRecovered();
+  mPollPending = false;
+  TakeVersions(aResponse);
+  if (std::exchange(mVerificationPending, false)) {
+    // Its response may be older than this one and must not be applied after it.
     mHooks.mCancelQueries();
   }
-  if (aAnswer.mHasRows && !aAnswer.mHasMore) {
-    Gather(aAnswer.mReceivedAt);
+  if (aResponse.mHasRows && !aResponse.mHasMore) {
+    StartBatch(aResponse.mReceivedAt);
   } else {
-    Follow();
+    FollowChanges();
   }
 }
 
 void
-TableWatch::OnVerification(const TableResponse& aAnswer)
+TableWatch::OnVerification(const TableResponse& aResponse)
 {
-  mProofAsked = false;
-  const bool wasLost = mPhase == Phase::Asking;
-  NoteBack();
-  TakeVersions(aAnswer);
-  if (aAnswer.mHasRows) {
-    // The waiting question should have told of them: it was lost.
-    Abandon();
-    Gather(aAnswer.mReceivedAt);
+  mVerificationPending = false;
+  const bool wasLost = mPhase == Phase::Verifying;
+  ReportRecovered();
+  TakeVersions(aResponse);
+  if (aResponse.mHasRows) {
+    // The long poll should have reported these rows, so it was lost.
+    CancelQueries();
+    StartBatch(aResponse.mReceivedAt);
   } else if (wasLost) {
-    Follow();
+    FollowChanges();
   }
 }
 
 void
 TableWatch::OnHistoryGone()
 {
-  Abandon();
-  Read();
+  CancelQueries();
+  ReadTable();
 }
 
 void
-TableWatch::OnFailed(const std::string& aWhy, Millis aAsked, Millis aNow)
+TableWatch::OnFailed(const std::string& aReason, Millis aSentAt, Millis aNow)
 {
   if (mFailures == 0) {
     mLostAt = aNow;
-    mHurried = false;
-    mHooks.mOnLost(aWhy, aNow - aAsked);
+    mRetryAdvanced = false;
+    mHooks.mOnLost(aReason, aNow - aSentAt);
   }
-  Abandon();
+  CancelQueries();
   mClock.Reset();
-  const Millis longest = std::min(
-    kFirstPause * (int64_t{ 1 } << std::min(mFailures, kMostDoublings)),
-    LongestPause());
+  const Millis maxDelay = std::min(
+    kInitialRetryDelay * (int64_t{ 1 } << std::min(mFailures, kMaxDoublings)),
+    MaxRetryDelay());
   mFailures++;
-  std::uniform_int_distribution<int64_t> span(longest.Count() / 2,
-                                              longest.Count());
+  std::uniform_int_distribution<int64_t> delay(maxDelay.Count() / 2,
+                                               maxDelay.Count());
   mPhase = Phase::Lost;
-  mPhaseEnds = aNow + Millis(span(mRandom));
+  mPhaseEndsAt = aNow + Millis(delay(mRandom));
 }
 
 Millis
-TableWatch::LongestPause() const
+TableWatch::MaxRetryDelay() const
 {
-  const size_t entries = std::clamp(mEntries, kFewEntries, kManyEntries);
+  const size_t entries =
+    std::clamp(mEntryCount, kMinScaledEntries, kMaxScaledEntries);
   return mOptions.mMaxAge * static_cast<int64_t>(entries) /
-         static_cast<int64_t>(kManyEntries);
+         static_cast<int64_t>(kMaxScaledEntries);
 }
 
 void
-TableWatch::OnCheckpoint(const TableCheckpoint& aWord, Millis aNow)
+TableWatch::OnCheckpoint(const TableCheckpoint& aCheckpoint, Millis aNow)
 {
-  if (mPhase == Phase::Lost && !mHurried && WasReadSinceLost(aWord)) {
-    // Once: a store may serve others and turn this one away for long.
-    mHurried = true;
-    std::uniform_int_distribution<int64_t> pause(0, kReturnSpreadMs);
-    mPhaseEnds = std::min(mPhaseEnds, aNow + Millis(pause(mRandom)));
+  if (mPhase == Phase::Lost && !mRetryAdvanced &&
+      WasServingSinceLost(aCheckpoint)) {
+    // Only once: a store may serve others and reject this entry for long.
+    mRetryAdvanced = true;
+    std::uniform_int_distribution<int64_t> delay(0, kRecoverySpreadMs);
+    mPhaseEndsAt = std::min(mPhaseEndsAt, aNow + Millis(delay(mRandom)));
   }
-  const bool older = mStoreTime && aWord.mStoreTime <= *mStoreTime;
-  if (mVersion == 0 || aWord.mLastChange > mVersion || older) {
+  const bool older = mStoreTime && aCheckpoint.mStoreTime <= *mStoreTime;
+  if (mVersion == 0 || aCheckpoint.mLastChange > mVersion || older) {
     return;
   }
-  const auto made = mClock.LocalTimeOf(aWord.mStoreTime, aNow);
-  if (!made) {
+  const auto localTime = mClock.LocalTimeOf(aCheckpoint.mStoreTime, aNow);
+  if (!localTime) {
     return;
   }
-  mStoreTime = aWord.mStoreTime;
-  mFreshness.Confirm(*made);
-  mHooks.mOnConfirmed(*made);
-  DrawProofAge();
+  mStoreTime = aCheckpoint.mStoreTime;
+  mFreshness.Confirm(*localTime);
+  mHooks.mOnConfirmed(*localTime);
+  DrawVerificationAge();
 }
 
 bool
-TableWatch::WasReadSinceLost(const TableCheckpoint& aWord) const
+TableWatch::WasServingSinceLost(const TableCheckpoint& aCheckpoint) const
 {
   const auto confirmed = mFreshness.At();
   return mStoreTime && confirmed &&
-         aWord.mStoreTime > *mStoreTime + (mLostAt - *confirmed);
+         aCheckpoint.mStoreTime > *mStoreTime + (mLostAt - *confirmed);
 }
 
 void
-TableWatch::SetPollsStore(bool aListening)
+TableWatch::SetPollsStore(bool aPollsStore)
 {
-  mListening = aListening;
-  if (mListening && mPhase == Phase::Following && !mFeedAsked) {
-    Follow();
+  mPollsStore = aPollsStore;
+  if (mPollsStore && mPhase == Phase::Following && !mPollPending) {
+    FollowChanges();
   }
 }
 
 bool
 TableWatch::OnUpdate(uint64_t aAfter, uint64_t aUpTo)
 {
-  // An answer that is under way may hold older rows, which must not come after
+  // A pending response may contain older rows, which must not be applied after
   // these.
-  const bool asking = mFeedAsked || mProofAsked;
+  const bool pending = mPollPending || mVerificationPending;
   const bool follows = aAfter <= mVersion && mVersion < aUpTo;
-  if (mPhase != Phase::Following || asking || !follows) {
+  if (mPhase != Phase::Following || pending || !follows) {
     return false;
   }
   mVersion = aUpTo;
@@ -212,16 +215,16 @@
   if (aNow < NextTick()) {
     return;
   }
-  if (mPhase == Phase::Gathering) {
-    Follow();
+  if (mPhase == Phase::Batching) {
+    FollowChanges();
   } else if (mPhase == Phase::Lost && mVersion == 0) {
-    Read();
+    ReadTable();
   } else if (mPhase == Phase::Lost) {
-    mPhase = Phase::Asking;
-    mPhaseEnds = Millis::Never();
-    AskProof();
+    mPhase = Phase::Verifying;
+    mPhaseEndsAt = Millis::Never();
+    SendVerification();
   } else if (mPhase == Phase::Following) {
-    AskProof();
+    SendVerification();
   }
 }
 
@@ -229,116 +232,118 @@
 TableWatch::NextTick() const
 {
   if (mPhase != Phase::Following) {
-    return mPhaseEnds;
+    return mPhaseEndsAt;
   }
-  if (mProofAsked) {
+  if (mVerificationPending) {
     return Millis::Never();
   }
-  return std::min(ProofDue(), mClock.NextMeasurementAt());
+  return std::min(NextVerificationAt(), mClock.NextMeasurementAt());
 }
 
 Millis
-TableWatch::ProofDue() const
+TableWatch::NextVerificationAt() const
 {
   const Millis confirmed = mFreshness.At().value_or(Millis(0));
-  const Millis due = confirmed + mProofAge;
-  const bool wanted = mStoreTime && mWantedReading > *mStoreTime;
-  return wanted
-           ? std::min(
-               due, confirmed + (mWantedReading - *mStoreTime) + kWantedMargin)
-           : due;
+  const Millis due = confirmed + mVerificationAge;
+  const bool required = mStoreTime && mRequiredStoreTime > *mStoreTime;
+  return required ? std::min(due,
+                             confirmed + (mRequiredStoreTime - *mStoreTime) +
+                               kStoreTimeMargin)
+                  : due;
 }
 
 void
-TableWatch::Read()
+TableWatch::ReadTable()
 {
   mPhase = Phase::ReadingTable;
-  mPhaseEnds = Millis::Never();
+  mPhaseEndsAt = Millis::Never();
   mFirstPage.reset();
   mHooks.mSendQuery(
-    { .mKind = TableQuery::Kind::FullRead, .mTimeout = kAnswerSpan });
+    { .mKind = TableQuery::Kind::FullRead, .mTimeout = kResponseTimeout });
 }
 
 void
-TableWatch::Follow()
+TableWatch::FollowChanges()
 {
   mPhase = Phase::Following;
-  mPhaseEnds = Millis::Never();
-  if (!mListening) {
+  mPhaseEndsAt = Millis::Never();
+  if (!mPollsStore) {
     return;
   }
-  mFeedAsked = true;
+  mPollPending = true;
   mHooks.mSendQuery({ .mKind = TableQuery::Kind::Changes,
                       .mAfter = mVersion,
                       .mWait = mOptions.mWait,
-                      .mTimeout = mOptions.mWait + kAnswerSpan });
+                      .mTimeout = mOptions.mWait + kResponseTimeout });
 }
 
 void
-TableWatch::Gather(Millis aNow)
+TableWatch::StartBatch(Millis aNow)
 {
-  if (mOptions.mBatchDelay == Millis(0) || !mListening) {
-    Follow();
+  if (mOptions.mBatchDelay == Millis(0) || !mPollsStore) {
+    FollowChanges();
     return;
   }
-  mPhase = Phase::Gathering;
-  mPhaseEnds = aNow + mOptions.mBatchDelay;
+  mPhase = Phase::Batching;
+  mPhaseEndsAt = aNow + mOptions.mBatchDelay;
 }
 
 void
-TableWatch::Abandon()
+TableWatch::CancelQueries()
 {
   mHooks.mCancelQueries();
-  mFeedAsked = false;
-  mProofAsked = false;
+  mPollPending = false;
+  mVerificationPending = false;
 }
 
 void
-TableWatch::AskProof()
+TableWatch::SendVerification()
 {
-  mProofAsked = true;
+  mVerificationPending = true;
   mHooks.mSendQuery({ .mKind = TableQuery::Kind::Verification,
                       .mAfter = mVersion,
-                      .mTimeout = kAnswerSpan });
+                      .mTimeout = kResponseTimeout });
 }
 
 void
-TableWatch::TakeVersions(const TableResponse& aAnswer)
+TableWatch::TakeVersions(const TableResponse& aResponse)
 {
-  mVersion = std::max(mVersion, aAnswer.mVersion);
-  if (aAnswer.mHasRows) {
+  mVersion = std::max(mVersion, aResponse.mVersion);
+  if (aResponse.mHasRows) {
     const uint64_t newest =
-      aAnswer.mNewestRow > 0 ? aAnswer.mNewestRow : aAnswer.mVersion;
+      aResponse.mNewestRow > 0 ? aResponse.mNewestRow : aResponse.mVersion;
     mLastChange = std::max(mLastChange, newest);
   }
-  if (!aAnswer.mHasMore) {
-    Confirm(aAnswer);
+  if (!aResponse.mHasMore) {
+    Confirm(aResponse);
   }
 }
 
 void
-TableWatch::Confirm(const TableResponse& aAnswer)
+TableWatch::Confirm(const TableResponse& aResponse)
 {
-  const Millis made = mClock.RespondedAt(aAnswer.mSentAt, aAnswer.mStoreTime);
-  const Millis at = std::clamp(made, aAnswer.mSentAt, aAnswer.mReceivedAt);
-  mStoreTime = aAnswer.mStoreTime;
-  mFreshness.Confirm(at);
-  mHooks.mOnConfirmed(at);
-  DrawProofAge();
+  const Millis localTime =
+    mClock.RespondedAt(aResponse.mSentAt, aResponse.mStoreTime);
+  const Millis confirmedAt =
+    std::clamp(localTime, aResponse.mSentAt, aResponse.mReceivedAt);
+  mStoreTime = aResponse.mStoreTime;
+  mFreshness.Confirm(confirmedAt);
+  mHooks.mOnConfirmed(confirmedAt);
+  DrawVerificationAge();
 }
 
 void
-TableWatch::DrawProofAge()
+TableWatch::DrawVerificationAge()
 {
-  // Entries that hear each other do not all ask at once: the first one's
-  // answer serves the others.
+  // Randomized so that not all entries verify at once: the first one's response
+  // serves the others.
   std::uniform_int_distribution<int64_t> age(mOptions.mMaxAge.Count() / 2,
                                              mOptions.mMaxAge.Count());
-  mProofAge = Millis(age(mRandom));
+  mVerificationAge = Millis(age(mRandom));
 }
 
 void
-TableWatch::NoteBack()
+TableWatch::ReportRecovered()
 {
   if (std::exchange(mFailures, 0) > 0) {
     mHooks.mOnRecovered();
--- a/src/libtrefoilarch/tablewatch.h
+++ b/src/libtrefoilarch/tablewatch.h
@@ -12,86 +12,87 @@
 
 namespace trefoilarch {
 
-/** What a TableWatch asks the store. */
+/** A query of a TableWatch to the store. */
 struct TableQuery
 {
   enum class Kind : uint8_t
   {
-    FullRead,     /**< all rows, in as many pages as it takes */
-    Changes,      /**< what has changed; the store may hold the answer back */
-    Verification, /**< the same, to be answered at once */
+    FullRead,     /**< all rows, in as many pages as needed */
+    Changes,      /**< changes; the store may delay the response */
+    Verification, /**< changes, with a response at once */
   };
 
   Kind mKind = Kind::FullRead;
-  /** Changes after this version are asked for. */
+  /** Changes after this version are queried. */
   uint64_t mAfter = 0;
-  /** How long the store may hold the answer back. */
+  /** How long the store may delay the response. */
   Millis mWait;
-  /** Without an answer for this long there will be none. */
+  /** Time after which no response is expected. */
   Millis mTimeout;
 
   bool operator==(const TableQuery&) const = default;
 };
 
-/** What an answer of the store tells, its rows aside. */
+/** Metadata of a response of the store, without its rows. */
 struct TableResponse
 {
   Millis mSentAt;
   Millis mReceivedAt;
-  /** The newest version that the answer goes up to. */
+  /** The latest version covered by the response. */
   uint64_t mVersion = 0;
-  /** The newest version of the rows in it; 0 where that is not told. */
+  /** The latest version among its rows, or 0 if unknown. */
   uint64_t mNewestRow = 0;
   bool mHasRows = false;
-  /** It does not tell all: there is more behind. */
+  /** The response is incomplete and more rows follow. */
   bool mHasMore = false;
-  /** The store's clock. */
+  /** The store's clock at the response. */
   Millis mStoreTime;
 };
 
-/** How a TableWatch carries out what it decides. */
+/** Callbacks by which a TableWatch carries out its decisions. */
 struct TableWatchHooks
 {
-  /** Asks. A question for a proof is asked beside the others; any other one
-   * takes the place of what was asked before. */
+  /** Sends a query. A verification is sent beside other queries. Any other
+   * query replaces the previous one. */
   std::function<void(const TableQuery&)> mSendQuery;
-  /** Drops every question that is under way, and its connection. */
+  /** Cancels all pending queries and closes their connections. */
   std::function<void()> mCancelQueries;
-  /** The copy was the newest at that instant. */
+  /** The copy was up to date at that time. */
   std::function<void(Millis)> mOnConfirmed;
-  /** The table can't be read: why, and how long an answer was waited for. */
+  /** The table can't be read: the reason, and how long a response was
+   * awaited. */
   std::function<void(const std::string&, Millis)> mOnLost;
-  /** It can be read again. */
+  /** The table can be read again. */
   std::function<void()> mOnRecovered;
 };
 
-/** How a table is watched. */
+/** Options of a TableWatch. */
 struct TableWatchOptions
 {
-  /** A copy that was not confirmed for this long has to be proved. */
+  /** Age at which an unconfirmed copy has to be verified. */
   Millis mMaxAge{ 1000 };
-  /** How long the store may hold an answer back while nothing changes. */
+  /** How long the store may delay a response while nothing changes. */
   Millis mWait{ 25000 };
-  /** Between an answer with changes and the next question, so that changes
-   * that come in numbers are told together. */
+  /** Delay between a response with changes and the next query, so that frequent
+   * changes are fetched together. */
   Millis mBatchDelay{ 0 };
   uint64_t mSeed = 1;
 
-  /** The bound for a table whose changes have to be obeyed within that span:
-   * what is left of it is for the store's answer and for the way to the
-   * upstream. */
-  static constexpr Millis MaxAgeFor(Millis aInForce) { return aInForce / 2; }
+  /** Maximum age of the copy for a table whose changes have to be applied
+   * within that time. The rest of it is for the store's response and for the
+   * delivery to the upstream. */
+  static constexpr Millis MaxAgeFor(Millis aMaxDelay) { return aMaxDelay / 2; }
 };
 
 /**
- * Keeps an entry's copy of a table of the store fresh: decides when to ask
- * for what, and what an answer or another entry's word is worth.
+ * Keeps an entry's copy of a table of the store up to date: decides when to
+ * send which query, and how to use responses and the checkpoints of other
+ * entries.
  *
- * A question that waits for changes tells of them at once, but its silence
- * proves nothing: it may have been lost, and the store be well. So the age of
- * the copy is bounded by itself. Where neither an answer nor another entry has
- * confirmed it within the bound, the store is asked beside the waiting
- * question, over a connection of its own.
+ * A long poll reports changes at once, but its silence proves nothing: it may
+ * have been lost. So the age of the copy has a bound of its own. If neither a
+ * response nor another entry has confirmed it within the bound, the store is
+ * queried beside the long poll, over a separate connection.
  */
 class TableWatch
 {
@@ -100,44 +101,45 @@
 
   void Start();
 
-  /** A page of the whole table; the rows are all there where none follows. */
+  /** A page of the full table. The last page has no mHasMore. */
   void OnPage(const TableResponse& aPage);
-  /** The answer to the question for changes. */
-  void OnChanges(const TableResponse& aAnswer);
-  void OnVerification(const TableResponse& aAnswer);
-  /** The store no longer has the history that was asked for. */
+  /** The response to the query for changes. */
+  void OnChanges(const TableResponse& aResponse);
+  void OnVerification(const TableResponse& aResponse);
+  /** The store no longer has the requested history. */
   void OnHistoryGone();
-  /** A question failed, whichever. */
-  void OnFailed(const std::string& aWhy, Millis aAsked, Millis aNow);
+  /** Any query failed. */
+  void OnFailed(const std::string& aReason, Millis aSentAt, Millis aNow);
 
-  /** What another entry knows. Where the table is lost, it may tell that the
-   * store is back: NextTick() is then due sooner. */
-  void OnCheckpoint(const TableCheckpoint& aWord, Millis aNow);
-  /** What this one knows; empty before the first answer. */
+  /** The checkpoint of another entry. If the table is lost, this may show that
+   * the store has recovered. NextTick() is then due sooner. */
+  void OnCheckpoint(const TableCheckpoint& aCheckpoint, Millis aNow);
+  /** This entry's checkpoint. Empty before the first response. */
   std::optional<TableCheckpoint> Checkpoint() const;
-  /** The store's clock when the copy was last confirmed; set before it is told
-   * that it was, and empty before the first time. */
+  /** The store's time when the copy was last confirmed. Empty before the first
+   * confirmation. Set before mOnConfirmed is called. */
   std::optional<Millis> StoreTime() const { return mStoreTime; }
 
   /**
-   * Whether this entry asks for changes, or hears of them from others that do.
-   * What they do not tell shows by their words and by the next proof.
+   * Sets whether this entry polls the store for changes or receives them from
+   * entries that do. Lost ones are detected by checkpoints and by the next
+   * verification.
    */
-  void SetPollsStore(bool aListening);
-  bool PollsStore() const { return mListening; }
-  /** How many entries ask the store, this one included: the fewer, the sooner
-   * each asks again for a table that is lost. */
-  void SetEntries(size_t aEntries) { mEntries = aEntries; }
-  /** News from another entry: true where the copy takes those rows that are
-   * newer than what it had. */
+  void SetPollsStore(bool aPollsStore);
+  bool PollsStore() const { return mPollsStore; }
+  /** Sets the number of entries that query the store, including this one. With
+   * fewer entries, each retries sooner if the table is lost. */
+  void SetEntries(size_t aEntries) { mEntryCount = aEntries; }
+  /** An update from another entry. Returns true if the copy is to take those of
+   * its rows that are newer than its own. */
   bool OnUpdate(uint64_t aAfter, uint64_t aUpTo);
-  /** The copy has every change up to here. */
+  /** The copy includes all changes up to this version. */
   uint64_t Version() const { return mVersion; }
-  /** A confirmation of that reading of the store's clock, or a later one, is
-   * wanted as soon as it can be had. */
-  void RequireStoreTime(Millis aReading) { mWantedReading = aReading; }
+  /** Requests a confirmation at that store time or later, as soon as
+   * possible. */
+  void RequireStoreTime(Millis aStoreTime) { mRequiredStoreTime = aStoreTime; }
 
-  /** Does what is due. */
+  /** Performs the actions that are due. */
   void Tick(Millis aNow);
   /** When Tick() is next due. */
   Millis NextTick() const;
@@ -147,56 +149,58 @@
 private:
   enum class Phase : uint8_t
   {
-    ReadingTable, /**< the whole table is asked for */
-    Following,    /**< changes are asked for */
-    Gathering,    /**< changes have come, and more may follow */
-    Lost,         /**< the next question waits for its time */
-    Asking,       /**< the table is lost, and a proof is asked for */
+    ReadingTable, /**< the full table is being read */
+    Following,    /**< polling for changes */
+    Batching,     /**< changes were received, more may follow */
+    Lost,         /**< waiting for the next retry */
+    Verifying,    /**< the table is lost, verification is pending */
   };
 
-  void Read();
-  void Follow();
-  void Gather(Millis aNow);
-  void Abandon();
-  /** The store has answered another entry since this one lost it. */
-  bool WasReadSinceLost(const TableCheckpoint& aWord) const;
-  void AskProof();
-  /** At the most, between two questions while the table is lost. */
-  Millis LongestPause() const;
-  /** When the next proof is due. */
-  Millis ProofDue() const;
-  void TakeVersions(const TableResponse& aAnswer);
-  void Confirm(const TableResponse& aAnswer);
-  void DrawProofAge();
-  void NoteBack();
+  void ReadTable();
+  void FollowChanges();
+  void StartBatch(Millis aNow);
+  void CancelQueries();
+  /** Whether the store has responded to another entry since this one lost
+   * it. */
+  bool WasServingSinceLost(const TableCheckpoint& aCheckpoint) const;
+  void SendVerification();
+  /** Maximum delay between two retries while the table is lost. */
+  Millis MaxRetryDelay() const;
+  /** When the next verification is due. */
+  Millis NextVerificationAt() const;
+  void TakeVersions(const TableResponse& aResponse);
+  void Confirm(const TableResponse& aResponse);
+  void DrawVerificationAge();
+  void ReportRecovered();
 
   TableWatchOptions mOptions;
   TableWatchHooks mHooks;
   std::mt19937_64 mRandom;
   Phase mPhase = Phase::ReadingTable;
-  /** When the phase ends by itself. */
-  Millis mPhaseEnds = Millis::Never();
-  /** The copy has every change up to here; 0: it has yet to be read. */
+  /** When the phase ends by timeout. */
+  Millis mPhaseEndsAt = Millis::Never();
+  /** The copy includes all changes up to this version; 0 if it has not been
+   * read yet. */
   uint64_t mVersion = 0;
   uint64_t mLastChange = 0;
-  /** The first page of a table that is being read. */
+  /** The first page of a table being read. */
   std::optional<TableResponse> mFirstPage;
   RemoteClock mClock;
   Freshness mFreshness;
-  /** The store's clock when the copy was last confirmed. */
+  /** The store's time when the copy was last confirmed. */
   std::optional<Millis> mStoreTime;
-  Millis mWantedReading;
-  /** The age at which this entry asks for a proof. */
-  Millis mProofAge;
-  bool mListening = true;
-  /** Unknown numbers count as many. */
-  size_t mEntries = SIZE_MAX;
-  bool mFeedAsked = false;
-  bool mProofAsked = false;
+  Millis mRequiredStoreTime;
+  /** Age of the copy at which this entry sends a verification. */
+  Millis mVerificationAge;
+  bool mPollsStore = true;
+  /** An unknown number counts as many. */
+  size_t mEntryCount = SIZE_MAX;
+  bool mPollPending = false;
+  bool mVerificationPending = false;
   uint32_t mFailures = 0;
   Millis mLostAt;
-  /** Others have told since then that the store is back. */
-  bool mHurried = false;
+  /** Another entry has reported since then that the store has recovered. */
+  bool mRetryAdvanced = false;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamdirectory.cpp
+++ b/src/libtrefoilarch/upstreamdirectory.cpp
@@ -15,31 +15,32 @@
 UpstreamDirectory::Put(ListedUpstream aUpstream)
 {
   mUnlisted.erase(aUpstream.mId);
-  const auto [entry, fresh] = mAll.try_emplace(aUpstream.mId);
-  ListedUpstream& place = entry->second;
-  const bool another = fresh || IsAnotherStart(place, aUpstream);
+  const auto [entry, inserted] = mAll.try_emplace(aUpstream.mId);
+  ListedUpstream& listed = entry->second;
+  const bool isNew = inserted || IsNewIncarnation(listed, aUpstream);
   aUpstream.mIncarnationNumber =
-    another ? ++mIncarnations : place.mIncarnationNumber;
-  if (!another && !aUpstream.mStartTime) {
-    aUpstream.mStartTime = place.mStartTime;
+    isNew ? ++mIncarnations : listed.mIncarnationNumber;
+  if (!isNew && !aUpstream.mStartTime) {
+    aUpstream.mStartTime = listed.mStartTime;
   }
-  const bool moved = place.mService != aUpstream.mService;
-  place = std::move(aUpstream);
+  const bool moved = listed.mService != aUpstream.mService;
+  listed = std::move(aUpstream);
   if (moved) {
     Rebuild();
   }
 }
 
 bool
-UpstreamDirectory::IsAnotherStart(const ListedUpstream& aBefore,
-                                  const ListedUpstream& aNow)
+UpstreamDirectory::IsNewIncarnation(const ListedUpstream& aBefore,
+                                    const ListedUpstream& aNow)
 {
   if (aBefore.mAddress != aNow.mAddress) {
     return true;
   }
   if (aBefore.mStartTime && aNow.mStartTime) {
-    // One that is earlier is another start too: a start has one time, and the
-    // list is read in order, but the clock that tells it may be set back.
+    // An earlier start time is another incarnation too: an incarnation has one
+    // start time and the list is read in order, but the upstream's clock may be
+    // set back.
     return aBefore.mStartTime != aNow.mStartTime;
   }
   return aBefore.mSequence && aNow.mSequence &&
@@ -53,7 +54,7 @@
     return;
   }
   const UnlistedUpstream unlisted{ .mSince = aNow,
-                                   .mOffset = Millis(0) - ServedWhenRead() };
+                                   .mOffset = Millis(0) - ServedAtLastRead() };
   const auto place = mUnlisted.try_emplace(aId, unlisted).first;
   if (IsGone(place->second)) {
     Drop(aId);
@@ -80,27 +81,27 @@
 }
 
 void
-UpstreamDirectory::OnStoreResponse(Millis aReading)
+UpstreamDirectory::OnStoreResponse(Millis aStoreTime)
 {
-  const Millis served = ServedWhenRead();
-  if (mStore.OnAnswer(aReading)) {
+  const Millis served = ServedAtLastRead();
+  if (mStore.OnResponse(aStoreTime)) {
     OnOutage(served);
   }
 }
 
 void
-UpstreamDirectory::OnStoreReport(const StoreServingInterval& aTold)
+UpstreamDirectory::OnStoreReport(const StoreServingInterval& aReport)
 {
-  const Millis served = ServedWhenRead();
-  if (mStore.OnPeerReport(aTold)) {
+  const Millis served = ServedAtLastRead();
+  if (mStore.OnPeerReport(aReport)) {
     OnOutage(served);
   }
 }
 
 void
-UpstreamDirectory::OnListConfirmed(Millis aReading)
+UpstreamDirectory::OnListConfirmed(Millis aStoreTime)
 {
-  mStoreTime = aReading;
+  mStoreTime = aStoreTime;
 }
 
 void
@@ -112,14 +113,16 @@
 }
 
 Millis
-UpstreamDirectory::ServedWhenRead() const
+UpstreamDirectory::ServedAtLastRead() const
 {
-  const auto& run = mStore.Interval();
-  if (!run) {
+  const auto& interval = mStore.Interval();
+  if (!interval) {
     return Millis(0);
   }
-  // The list may be confirmed by an answer of which the run does not know yet.
-  return std::max(Millis(0), std::min(mStoreTime, run->mUntil) - run->mSince);
+  // The list may be confirmed by a response that the interval does not include
+  // yet.
+  return std::max(Millis(0),
+                  std::min(mStoreTime, interval->mUntil) - interval->mSince);
 }
 
 std::optional<Millis>
@@ -134,12 +137,12 @@
 bool
 UpstreamDirectory::IsGone(const UnlistedUpstream& aUnlisted) const
 {
-  // Nothing lapsed in an outage of which nobody knows: a process that has just
-  // started has read the list since.
+  // Nothing expired if no outage is known: a process that has just started has
+  // read the list since.
   if (!mStore.SawOutage()) {
     return true;
   }
-  const Millis served = ServedWhenRead();
+  const Millis served = ServedAtLastRead();
   const Millis inAll = aUnlisted.mOffset + served;
   return served >= mOptions.mRelistWindow || inAll >= mOptions.mMaxServingTime;
 }
--- a/src/libtrefoilarch/upstreamdirectory.h
+++ b/src/libtrefoilarch/upstreamdirectory.h
@@ -12,109 +12,109 @@
 
 namespace trefoilarch {
 
-/** An upstream as the platform lists it. */
+/** An upstream as listed by the platform. */
 struct ListedUpstream
 {
   UpstreamId mId;
   std::string mService;
-  std::string mAddress; /**< IP and port; another upstream may get it later */
+  std::string mAddress; /**< IP and port; another upstream may reuse it */
   std::string mDataCentre;
   uint32_t mSlots = 1;
   bool mLeaving = false;
   /** How much longer it is slow after its start. */
   Millis mColdFor;
-  /** When its process started, Unix milliseconds; a process may start again
+  /** Start time of its process, in Unix milliseconds. A process may start again
    * under its id. */
   std::optional<int64_t> mStartTime;
-  /** Its count of what it has said; begins anew with each start. */
+  /** Number of its latest message. Restarts with each incarnation. */
   std::optional<uint64_t> mSequence;
-  /** Set by the directory: tells one start under an id from another. */
+  /** Set by the directory. Identifies the incarnation under its id. */
   uint64_t mIncarnationNumber = 0;
 
   bool operator==(const ListedUpstream&) const = default;
 };
 
-/** An upstream that the list lacks and that is kept for now. */
+/** An unlisted upstream that is kept for now. */
 struct UnlistedUpstream
 {
-  /** When its entry was read to be gone. */
+  /** When its entry was found missing. */
   Millis mSince;
-  /** What to add to the length of the store's run to have how long the store
-   * has served since, in all its runs. */
+  /** To be added to the length of the current serving interval for the time
+   * that the store has served since, in all intervals. */
   Millis mOffset;
 
   bool operator==(const UnlistedUpstream&) const = default;
 };
 
-/** When the directory believes that an upstream is gone. */
+/** Conditions under which an upstream is considered gone. */
 struct DirectoryOptions
 {
-  /** Living upstreams that lapsed in an outage of the store are listed again
-   * within this after its return. */
+  /** Running upstreams whose entries expired in an outage of the store are
+   * listed again within this time after its recovery. */
   Millis mRelistWindow{ 2000 };
-  /** One that is not listed again while the store serves for this long in all
-   * is gone, however often the store goes away. */
+  /** An upstream that is not listed again while the store serves for this long
+   * in total is gone, however often the store fails. */
   Millis mMaxServingTime{ 10000 };
   StoreUptimeOptions mStore;
 };
 
 /**
- * The upstreams that exist, as last told by the platform's list. Entries lapse
- * in an outage of the store, though their upstreams live. So an upstream that
- * goes missing counts as gone once the store has served for long enough that a
- * living one would be listed again: at once, if there was no outage. Whether
- * there was one, all entries know together; that this entry alone could not
- * read the list is no reason to doubt it.
+ * The existing upstreams, by the platform's latest list. Entries expire in an
+ * outage of the store although their upstreams are running. So a missing
+ * upstream counts as gone once the store has served long enough for a running
+ * one to be listed again; at once, if there was no outage. All entries together
+ * know whether there was one. That this entry alone failed to read the list is
+ * no reason to assume it.
  */
 class UpstreamDirectory
 {
 public:
   explicit UpstreamDirectory(DirectoryOptions aOptions = {});
 
-  /** Lists an upstream, or takes what it says now. */
+  /** Adds or updates an upstream. */
   void Put(ListedUpstream aUpstream);
   void Remove(const UpstreamId& aId, Millis aNow);
-  /** The whole list; what is not in it is removed. */
+  /** Replaces the full list. Upstreams that are not in it are removed. */
   void ReplaceAll(std::vector<ListedUpstream> aAll, Millis aNow);
 
   /** See StoreUptime. */
-  void OnStoreResponse(Millis aReading);
-  void OnStoreReport(const StoreServingInterval& aTold);
+  void OnStoreResponse(Millis aStoreTime);
+  void OnStoreReport(const StoreServingInterval& aReport);
   const std::optional<StoreServingInterval>& StoreServing() const
   {
     return mStore.Interval();
   }
-  /** The list was the newest when the store's clock showed that; to be told
-   * before the rows that came with it. */
-  void OnListConfirmed(Millis aReading);
+  /** The list was up to date at that store time. To be called before the rows
+   * that came with it are applied. */
+  void OnListConfirmed(Millis aStoreTime);
 
-  /** A list that is the newest when the store's clock shows this tells whether
-   * those that it lacks are gone; empty where it lacks none. */
+  /** A list that is up to date at this store time shows whether the unlisted
+   * upstreams are gone. Empty if there are none. */
   std::optional<Millis> RequiredStoreTime() const;
 
-  /** Drops what is gone by what is known of the store; true where that changed
-   * anything. */
+  /** Removes upstreams that are gone as far as known of the store. Returns true
+   * if there were any. */
   bool Expire();
 
   const ListedUpstream* Find(const UpstreamId& aId) const;
-  /** Sorted by id, leaving ones included. */
+  /** Sorted by id, including leaving ones. */
   const std::vector<const ListedUpstream*>& OfService(
     const std::string& aService) const;
   const std::map<UpstreamId, ListedUpstream>& All() const { return mAll; }
-  /** Those of them that the list lacks. */
+  /** Upstreams that are not in the list and are kept. */
   const std::map<UpstreamId, UnlistedUpstream>& Unlisted() const
   {
     return mUnlisted;
   }
 
 private:
-  /** What the entry says now comes from another start than what it said. */
-  static bool IsAnotherStart(const ListedUpstream& aBefore,
-                             const ListedUpstream& aNow);
-  /** The run that had served for so long is over. */
+  /** Whether the new entry is of another incarnation than the previous one. */
+  static bool IsNewIncarnation(const ListedUpstream& aBefore,
+                               const ListedUpstream& aNow);
+  /** The serving interval of that length has ended. */
   void OnOutage(Millis aServed);
-  /** How long the store had served when the list was last the newest. */
-  Millis ServedWhenRead() const;
+  /** How long the store had served when the list was last up to date. */
+  Millis ServedAtLastRead() const;
   bool IsGone(const UnlistedUpstream& aUnlisted) const;
   void Drop(const UpstreamId& aId);
   void Rebuild();
@@ -125,7 +125,7 @@
     mByService;
   std::map<UpstreamId, UnlistedUpstream> mUnlisted;
   StoreUptime mStore;
-  /** The store's clock when the list was last the newest. */
+  /** The store's time when the list was last up to date. */
   Millis mStoreTime;
   uint64_t mIncarnations = 0;
 };
--- a/tests/unit/listlapsetest.cpp
+++ b/tests/unit/listlapsetest.cpp
@@ -15,37 +15,38 @@
 using namespace trefoilarch;
 
 /**
- * The model, in virtual time: a store that is away for moments; upstreams that
- * renew their entries there, lapse after three heartbeats of silence and are
- * listed again soon after the store's return; some leave for good. Entries
- * read the list, lose the store on their own or with the others, and tell each
- * other since when it has served.
+ * The model, in virtual time: a store with short outages, and upstreams that
+ * renew their entries in its list. Entries expire after three heartbeats
+ * without renewal and are listed again soon after the store's recovery; some
+ * upstreams leave for good. Gates read the list, lose the store alone or
+ * together, and send each other its serving interval.
  */
 namespace {
 
 constexpr Millis kStep{ 50 };
 constexpr Millis kEnd{ 90000 };
 constexpr int64_t kHeartbeat = 1200;
-constexpr Millis kLapse{ 3 * kHeartbeat };
-constexpr int64_t kLongestRetry = 1100;
-constexpr int64_t kBackWithin = 1900;
-/** A leaving upstream gets no request later than this. */
-constexpr Millis kDrain{ 2000 };
-/** After the last trouble of an entry or the store the bound holds again. */
-constexpr Millis kStable{ 3000 };
+constexpr Millis kEntryTimeout{ 3 * kHeartbeat };
+constexpr int64_t kMaxRetryDelay = 1100;
+constexpr int64_t kRelistWithin = 1900;
+/** A leaving upstream gets no request after this time. */
+constexpr Millis kMaxDrainDelay{ 2000 };
+/** Time after the last fault of an entry or the store from which the bound
+ * holds again. */
+constexpr Millis kStableWindow{ 3000 };
 constexpr size_t kUpstreams = 6;
-/** Changes that come in numbers are told together. */
-constexpr uint32_t kLongestGather = 600;
+/** Maximum time for which changes are batched. */
+constexpr uint32_t kMaxBatchDelay = 600;
 
-/** Whether something is in trouble, and since when it is not. */
-class Spell
+/** A period of failure, extended by further failures. */
+class Outage
 {
 public:
-  void Begin(Millis aUntil) { mUntil = std::max(mUntil, aUntil); }
-  bool On(Millis aNow) const { return aNow < mUntil; }
-  bool CalmFor(Millis aSpan, Millis aNow) const
+  void ExtendUntil(Millis aUntil) { mUntil = std::max(mUntil, aUntil); }
+  bool IsActive(Millis aNow) const { return aNow < mUntil; }
+  bool HasEndedFor(Millis aDuration, Millis aNow) const
   {
-    return aNow >= mUntil + aSpan;
+    return aNow >= mUntil + aDuration;
   }
 
 private:
@@ -59,7 +60,7 @@
 public:
   ListModel(uint32_t aSeed, size_t aEntries)
     : ModelRandom(aSeed)
-    , mLapsesWhileDown(Chance(50))
+    , mExpiresDuringOutage(Chance(50))
     , mEntries(aEntries)
   {
   }
@@ -70,13 +71,13 @@
       AddUpstream();
     }
     for (Entry& entry : mEntries) {
-      After(1 + Draw(300), [this, &entry] { Ask(entry); });
-      After(Draw(500), [this, &entry] { Tell(entry); });
+      After(1 + Draw(300), [this, &entry] { QueryList(entry); });
+      After(Draw(500), [this, &entry] { SendInterval(entry); });
     }
-    After(3000, [this] { DisturbStore(); });
-    After(2000, [this] { DisturbEntry(); });
-    After(4000, [this] { Leave(); });
-    After(0, [this] { Step(); });
+    After(3000, [this] { InjectStoreOutage(); });
+    After(2000, [this] { InjectIsolation(); });
+    After(4000, [this] { RemoveOne(); });
+    After(0, [this] { RunStep(); });
     RunUntil(kEnd);
     RC_ASSERT(mChecked > 0U);
   }
@@ -85,107 +86,111 @@
   struct Upstream
   {
     bool mListed = true;
-    bool mLeft = false;
-    Millis mBeat;
+    bool mHasLeft = false;
+    Millis mLastHeartbeatAt;
     Millis mLeftAt;
-    /** The store had been well for long when it took the upstream's leave. */
-    bool mLeaveBinds = false;
+    /** The store was stable when the upstream left, so it must be removed in
+     * time. */
+    bool mMustBeRemoved = false;
   };
 
   struct Entry
   {
     UpstreamDirectory mDirectory;
-    Spell mCut;
-    /** Cut off from the other entries too. */
-    bool mCutFromAll = false;
+    Outage mIsolation;
+    /** Isolated from the other entries too. */
+    bool mIsolatedFromPeers = false;
     bool mLost = false;
-    bool mHurried = false;
-    uint64_t mQuestion = 0;
+    bool mRetryAdvanced = false;
+    uint64_t mQuery = 0;
   };
 
-  Millis Reading() const { return Millis(700000) + mNow; }
+  Millis StoreTime() const { return Millis(700000) + mNow; }
 
   void AddUpstream()
   {
     const std::string id = "i-" + std::to_string(mUpstreams.size());
-    mUpstreams[id] = { .mBeat = mNow };
-    After(Draw(kHeartbeat), [this, id] { Beat(id); });
+    mUpstreams[id] = { .mLastHeartbeatAt = mNow };
+    After(Draw(kHeartbeat), [this, id] { SendHeartbeat(id); });
   }
 
-  void Beat(const UpstreamId& aId)
+  void SendHeartbeat(const UpstreamId& aId)
   {
     Upstream& upstream = mUpstreams.at(aId);
-    if (upstream.mLeft) {
+    if (upstream.mHasLeft) {
       return;
     }
-    if (mStore.On(mNow)) {
-      After(300 + Draw(kLongestRetry - 300), [this, aId] { Beat(aId); });
+    if (mStore.IsActive(mNow)) {
+      After(300 + Draw(kMaxRetryDelay - 300),
+            [this, aId] { SendHeartbeat(aId); });
       return;
     }
-    upstream.mBeat = mNow;
+    upstream.mLastHeartbeatAt = mNow;
     if (!upstream.mListed) {
-      After(Draw(kBackWithin - kLongestRetry), [this, aId] { List(aId); });
+      After(Draw(kRelistWithin - kMaxRetryDelay), [this, aId] { List(aId); });
     }
-    After(kHeartbeat, [this, aId] { Beat(aId); });
+    After(kHeartbeat, [this, aId] { SendHeartbeat(aId); });
   }
 
   void List(const UpstreamId& aId)
   {
     Upstream& upstream = mUpstreams.at(aId);
-    upstream.mListed = !upstream.mLeft && !mStore.On(mNow);
-    TellChange();
+    upstream.mListed = !upstream.mHasLeft && !mStore.IsActive(mNow);
+    SendChange();
   }
 
-  void Leave()
+  void RemoveOne()
   {
-    std::vector<UpstreamId> there;
+    std::vector<UpstreamId> listed;
     for (const auto& [id, upstream] : mUpstreams) {
-      if (upstream.mListed && !upstream.mLeft) {
-        there.push_back(id);
+      if (upstream.mListed && !upstream.mHasLeft) {
+        listed.push_back(id);
       }
     }
-    if (!mStore.On(mNow) && there.size() > 2) {
-      Upstream& upstream = mUpstreams.at(there[Draw(there.size())]);
-      upstream.mLeft = true;
+    if (!mStore.IsActive(mNow) && listed.size() > 2) {
+      Upstream& upstream = mUpstreams.at(listed[Draw(listed.size())]);
+      upstream.mHasLeft = true;
       upstream.mListed = false;
       upstream.mLeftAt = mNow;
-      upstream.mLeaveBinds = mStore.CalmFor(kStable, mNow);
+      upstream.mMustBeRemoved = mStore.HasEndedFor(kStableWindow, mNow);
       AddUpstream();
-      TellChange();
+      SendChange();
     }
-    After(200 + Draw(3000), [this] { Leave(); });
+    After(200 + Draw(3000), [this] { RemoveOne(); });
   }
 
-  void Ask(Entry& aEntry)
+  void QueryList(Entry& aEntry)
   {
-    const uint64_t number = ++aEntry.mQuestion;
+    const uint64_t number = ++aEntry.mQuery;
     if (!Reaches(aEntry)) {
       After(800, [this, &aEntry, number] {
-        if (number == aEntry.mQuestion) {
+        if (number == aEntry.mQuery) {
           aEntry.mLost = true;
-          AskIn(aEntry, LostPause() / 2 + Draw(LostPause() / 2));
+          QueryIn(aEntry, MaxQueryDelay() / 2 + Draw(MaxQueryDelay() / 2));
         }
       });
       return;
     }
-    After(4, [this, &aEntry, rows = Rows(), reading = Reading()] {
+    After(4, [this, &aEntry, rows = Rows(), storeTime = StoreTime()] {
       aEntry.mLost = false;
-      aEntry.mHurried = false;
-      Take(aEntry, rows, reading);
-      AskIn(aEntry, std::min<int64_t>(500 + Draw(500), UntilWanted(aEntry)));
+      aEntry.mRetryAdvanced = false;
+      Take(aEntry, rows, storeTime);
+      QueryIn(aEntry,
+              std::min<int64_t>(500 + Draw(500), UntilRequired(aEntry)));
     });
   }
 
-  int64_t UntilWanted(const Entry& aEntry) const
+  int64_t UntilRequired(const Entry& aEntry) const
   {
-    const auto wanted = aEntry.mDirectory.RequiredStoreTime();
+    const auto required = aEntry.mDirectory.RequiredStoreTime();
     constexpr int64_t kLong = 1000000;
-    return wanted ? std::max<int64_t>(1, (*wanted - Reading()).Count()) + 20
-                  : kLong;
+    return required
+             ? std::max<int64_t>(1, (*required - StoreTime()).Count()) + 20
+             : kLong;
   }
 
-  /** At the most, between two questions to a store that is lost. */
-  uint32_t LostPause() const
+  /** Maximum delay between two queries to a lost store. */
+  uint32_t MaxQueryDelay() const
   {
     return std::max<uint32_t>(250, 1000 * mEntries.size() / 16);
   }
@@ -203,124 +208,128 @@
 
   void Take(Entry& aEntry,
             const std::vector<ListedUpstream>& aRows,
-            Millis aReading)
+            Millis aStoreTime)
   {
-    aEntry.mDirectory.OnStoreResponse(aReading);
-    aEntry.mDirectory.OnListConfirmed(aReading);
+    aEntry.mDirectory.OnStoreResponse(aStoreTime);
+    aEntry.mDirectory.OnListConfirmed(aStoreTime);
     aEntry.mDirectory.ReplaceAll(aRows, mNow);
     aEntry.mDirectory.Expire();
   }
 
-  /** Entries that have not lost the store are told of changes. */
-  void TellChange()
+  /** Entries that have not lost the store receive the change. */
+  void SendChange()
   {
     for (Entry& entry : mEntries) {
-      After(5 + Draw(kLongestGather), [this, &entry] {
+      After(5 + Draw(kMaxBatchDelay), [this, &entry] {
         if (!entry.mLost && Reaches(entry)) {
-          Take(entry, Rows(), Reading());
+          Take(entry, Rows(), StoreTime());
         }
       });
     }
   }
 
-  void AskIn(Entry& aEntry, int64_t aMillis)
+  void QueryIn(Entry& aEntry, int64_t aMillis)
   {
-    const uint64_t number = ++aEntry.mQuestion;
+    const uint64_t number = ++aEntry.mQuery;
     After(aMillis, [this, &aEntry, number] {
-      if (number == aEntry.mQuestion) {
-        Ask(aEntry);
+      if (number == aEntry.mQuery) {
+        QueryList(aEntry);
       }
     });
   }
 
   bool Reaches(const Entry& aEntry) const
   {
-    return !mStore.On(mNow) && !aEntry.mCut.On(mNow);
+    return !mStore.IsActive(mNow) && !aEntry.mIsolation.IsActive(mNow);
   }
 
-  bool IsAlone(const Entry& aEntry) const
+  bool IsIsolated(const Entry& aEntry) const
   {
-    return aEntry.mCutFromAll && aEntry.mCut.On(mNow);
+    return aEntry.mIsolatedFromPeers && aEntry.mIsolation.IsActive(mNow);
   }
 
-  void Tell(Entry& aEntry)
+  void SendInterval(Entry& aEntry)
   {
-    const auto run = aEntry.mDirectory.StoreServing();
+    const auto interval = aEntry.mDirectory.StoreServing();
     for (Entry& other : mEntries) {
-      const bool heard = run && !IsAlone(aEntry) && !Chance(20);
-      if (&other != &aEntry && heard) {
-        After(1 + Draw(5), [this, &other, run = *run] { Hear(other, run); });
+      const bool arrives = interval && !IsIsolated(aEntry) && !Chance(20);
+      if (&other != &aEntry && arrives) {
+        After(1 + Draw(5), [this, &other, interval = *interval] {
+          ReceiveInterval(other, interval);
+        });
       }
     }
-    After(20 + Draw(480), [this, &aEntry] { Tell(aEntry); });
+    After(20 + Draw(480), [this, &aEntry] { SendInterval(aEntry); });
   }
 
-  void Hear(Entry& aEntry, const StoreServingInterval& aRun)
+  void ReceiveInterval(Entry& aEntry, const StoreServingInterval& aInterval)
   {
-    if (IsAlone(aEntry)) {
+    if (IsIsolated(aEntry)) {
       return;
     }
     const auto before = aEntry.mDirectory.StoreServing();
-    aEntry.mDirectory.OnStoreReport(aRun);
-    if (!aEntry.mLost && UntilWanted(aEntry) < 500) {
-      AskIn(aEntry, UntilWanted(aEntry));
+    aEntry.mDirectory.OnStoreReport(aInterval);
+    if (!aEntry.mLost && UntilRequired(aEntry) < 500) {
+      QueryIn(aEntry, UntilRequired(aEntry));
     }
-    const bool newer = before && aRun.mUntil > before->mUntil;
-    if (aEntry.mLost && newer && !aEntry.mHurried) {
-      aEntry.mHurried = true;
-      AskIn(aEntry, Draw(200));
+    const bool isNewer = before && aInterval.mUntil > before->mUntil;
+    if (aEntry.mLost && isNewer && !aEntry.mRetryAdvanced) {
+      aEntry.mRetryAdvanced = true;
+      QueryIn(aEntry, Draw(200));
     }
   }
 
-  void DisturbStore()
+  void InjectStoreOutage()
   {
     if (Fault(80)) {
-      const int64_t first = 100 + Draw(6000);
-      mStore.Begin(mNow + Millis(first));
+      const int64_t duration = 100 + Draw(6000);
+      mStore.ExtendUntil(mNow + Millis(duration));
     }
-    After(10000 + Draw(12000), [this] { DisturbStore(); });
+    After(10000 + Draw(12000), [this] { InjectStoreOutage(); });
   }
 
-  /** Cuts of single entries, in series. */
-  void DisturbEntry()
+  /** Isolates single entries, one after another. */
+  void InjectIsolation()
   {
-    // The first entry is always well: somebody can tell of the store.
+    // The first entry never fails, so that one entry always knows the store's
+    // state.
     Entry& entry = mEntries[1 + Draw(mEntries.size() - 1)];
-    entry.mCutFromAll = Chance(50);
-    entry.mCut.Begin(mNow + Millis(100 + Draw(Chance(50) ? 1500 : 9000)));
-    After(300 + Draw(5000), [this] { DisturbEntry(); });
+    entry.mIsolatedFromPeers = Chance(50);
+    entry.mIsolation.ExtendUntil(mNow +
+                                 Millis(100 + Draw(Chance(50) ? 1500 : 9000)));
+    After(300 + Draw(5000), [this] { InjectIsolation(); });
   }
 
-  void Step()
+  void RunStep()
   {
-    LapseSilent();
+    ExpireSilent();
     for (Entry& entry : mEntries) {
       entry.mDirectory.Expire();
       CheckLeft(entry);
-      CheckLiving(entry);
+      CheckLive(entry);
     }
-    After(kStep.Count(), [this] { Step(); });
+    After(kStep.Count(), [this] { RunStep(); });
   }
 
-  void LapseSilent()
+  void ExpireSilent()
   {
     for (auto& [id, upstream] : mUpstreams) {
-      const bool judged = mLapsesWhileDown || !mStore.On(mNow);
-      if (judged && mNow - upstream.mBeat > kLapse) {
+      const bool expires = mExpiresDuringOutage || !mStore.IsActive(mNow);
+      if (expires && mNow - upstream.mLastHeartbeatAt > kEntryTimeout) {
         upstream.mListed = false;
       }
     }
   }
 
-  /** No entry that is well uses an upstream that left while all was well. */
+  /** No healthy entry uses an upstream that left while all was healthy. */
   void CheckLeft(const Entry& aEntry)
   {
-    const bool well =
-      aEntry.mCut.CalmFor(kStable, mNow) && mStore.CalmFor(kStable, mNow);
+    const bool isHealthy = aEntry.mIsolation.HasEndedFor(kStableWindow, mNow) &&
+                           mStore.HasEndedFor(kStableWindow, mNow);
     for (const auto& [id, upstream] : mUpstreams) {
-      const bool late = upstream.mLeft && upstream.mLeaveBinds &&
-                        mNow - upstream.mLeftAt > kDrain;
-      if (well && late) {
+      const bool isOverdue = upstream.mHasLeft && upstream.mMustBeRemoved &&
+                             mNow - upstream.mLeftAt > kMaxDrainDelay;
+      if (isHealthy && isOverdue) {
         const bool gone = aEntry.mDirectory.Find(id) == nullptr;
         RC_ASSERT(gone);
         mChecked++;
@@ -328,34 +337,36 @@
     }
   }
 
-  /** No entry gives up an upstream that lives: it lapsed with the store, and
-   * is listed again in time. */
-  void CheckLiving(Entry& aEntry)
+  /** No entry removes a running upstream: its entry expired in the store's
+   * outage and is listed again in time. */
+  void CheckLive(Entry& aEntry)
   {
     for (const auto& [id, upstream] : mUpstreams) {
       const bool known = aEntry.mDirectory.Find(id) != nullptr;
-      const bool had = mSeen.contains({ &aEntry, id });
+      const bool knownBefore = mKnownBefore.contains({ &aEntry, id });
       if (known) {
-        mSeen.insert({ &aEntry, id });
+        mKnownBefore.insert({ &aEntry, id });
       }
-      RC_ASSERT(known || !had || upstream.mLeft);
+      RC_ASSERT(known || !knownBefore || upstream.mHasLeft);
     }
   }
 
-  bool mLapsesWhileDown;
-  Spell mStore;
+  bool mExpiresDuringOutage;
+  Outage mStore;
   std::map<UpstreamId, Upstream> mUpstreams;
   std::vector<Entry> mEntries;
-  std::set<std::pair<const Entry*, UpstreamId>> mSeen;
+  std::set<std::pair<const Entry*, UpstreamId>> mKnownBefore;
   uint64_t mChecked = 0;
 };
 
 } // namespace
 
-Test(listlapse, a_loss_of_one_entry_keeps_no_upstream_that_left, .timeout = 120)
+Test(listlapse,
+     upstreams_that_left_are_removed_and_running_ones_kept,
+     .timeout = 120)
 {
   cr_assert(
-    rc::check("what left is gone, what lapsed is kept", [](uint32_t aSeed) {
+    rc::check("what left is removed, what expired is kept", [](uint32_t aSeed) {
       const size_t entries = 3 + aSeed % 6;
       ListModel(aSeed, entries).Play();
     }));
--- a/tests/unit/tablewatchtest.cpp
+++ b/tests/unit/tablewatchtest.cpp
@@ -14,36 +14,36 @@
 using namespace trefoilarch;
 
 /**
- * Callers' requests were served by upstreams that had said they leave: an
- * entry's question for changes was lost in a short outage of the store, and
- * its silence was taken for "nothing has changed" for ten seconds.
+ * Guards against requests to upstreams that had announced to leave: an entry's
+ * long poll was lost in a short outage of the store, and the missing response
+ * was taken for "nothing has changed" for ten seconds.
  *
- * The model: a store that falls silent for moments, loses and delays answers;
- * entries that follow one table of it, over two connections each; some of them
- * tell each other what they know, and some have changes from others alone; in
- * virtual time. What has to hold: a change that
- * the store acknowledged while all is well is in every entry's copy in time to
- * be obeyed, and no entry ever claims that its copy was the newest when it was
- * not.
+ * The model, in virtual time: a store that becomes silent for short times and
+ * loses or delays responses, and entries that follow one of its tables over two
+ * connections each. Some of them send each other checkpoints, and some receive
+ * changes from other entries only. A change that the store acknowledged in a
+ * stable period must be in every entry's copy in time to be applied. No entry
+ * may ever claim that its copy was up to date when it was not.
  */
 namespace {
 
-/** A change has to be obeyed within this, the way to an upstream included. */
-constexpr Millis kInForce{ 2000 };
-constexpr Millis kWayToUpstream{ 300 };
-/** After the last trouble an entry may take this long to find its way. */
+/** A change has to be applied within this time, including the delivery to the
+ * upstream. */
+constexpr Millis kMaxDelay{ 2000 };
+constexpr Millis kDelayToUpstream{ 300 };
+/** Time that an entry may take to recover after the last fault. */
 constexpr Millis kRecovery{ 3000 };
 constexpr Millis kEnd{ 3 * 60 * 1000 };
 constexpr size_t kEntries = 4;
 
 using Kind = TableQuery::Kind;
 
-/** What the entries of a model tell each other. */
-enum class Telling : uint8_t
+/** What the entries of a model send each other. */
+enum class Exchange : uint8_t
 {
   Nothing,
-  Words,
-  Changes, /**< words, and changes from the two entries that ask for them */
+  Checkpoints,
+  Changes, /**< and changes, from the two entries that poll */
 };
 
 class TableModel
@@ -51,9 +51,9 @@
   , private ModelEvents
 {
 public:
-  TableModel(uint32_t aSeed, Telling aTelling)
+  TableModel(uint32_t aSeed, Exchange aExchange)
     : ModelRandom(aSeed)
-    , mTelling(aTelling)
+    , mExchange(aExchange)
     , mDrift(static_cast<int64_t>(Draw(201)) - 100)
   {
     mChangedAt.push_back(Millis(0));
@@ -65,17 +65,17 @@
       mEntries.push_back(std::make_unique<Entry>());
       Entry& entry = *mEntries.back();
       entry.mWatch.emplace(
-        TableWatchOptions{ .mMaxAge = kInForce / 2,
+        TableWatchOptions{ .mMaxAge = kMaxDelay / 2,
                            .mBatchDelay = Millis(Chance(50) ? 600 : 0),
                            .mSeed = mRandom() },
         HooksOf(entry));
-      entry.mWatch->SetPollsStore(mTelling != Telling::Changes || each < 2);
+      entry.mWatch->SetPollsStore(mExchange != Exchange::Changes || each < 2);
       entry.mWatch->Start();
-      Plan(entry);
-      After(Draw(500), [this, &entry] { Tell(entry); });
+      PlanTick(entry);
+      After(Draw(500), [this, &entry] { SendCheckpoint(entry); });
     }
     After(1000, [this] { Change(); });
-    After(2000, [this] { Disturb(); });
+    After(2000, [this] { InjectFault(); });
     RunUntil(kEnd);
     RC_ASSERT(mChecked > 0U);
   }
@@ -84,29 +84,29 @@
   struct Entry
   {
     std::optional<TableWatch> mWatch;
-    /** Every change up to here is known. */
+    /** The copy includes all changes up to this version. */
     size_t mCopy = 0;
-    /** Of the questions by channel, the newest. */
+    /** The latest query of each channel. */
     uint64_t mFeed = 0;
-    uint64_t mProof = 0;
-    uint64_t mPlanned = 0;
-    std::optional<Millis> mClaim;
+    uint64_t mVerification = 0;
+    uint64_t mPlannedTick = 0;
+    std::optional<Millis> mConfirmedAt;
   };
 
   TableWatchHooks HooksOf(Entry& aEntry)
   {
-    return { .mSendQuery =
-               [this, &aEntry](const TableQuery& aQuestion) {
-                 Ask(aEntry, aQuestion);
-               },
-             .mCancelQueries =
-               [&aEntry] {
-                 aEntry.mFeed++;
-                 aEntry.mProof++;
-               },
-             .mOnConfirmed = [&aEntry](Millis aAt) { aEntry.mClaim = aAt; },
-             .mOnLost = [](const std::string&, Millis) {},
-             .mOnRecovered = [] {} };
+    return {
+      .mSendQuery = [this, &aEntry](
+                      const TableQuery& aQuery) { SendQuery(aEntry, aQuery); },
+      .mCancelQueries =
+        [&aEntry] {
+          aEntry.mFeed++;
+          aEntry.mVerification++;
+        },
+      .mOnConfirmed = [&aEntry](Millis aAt) { aEntry.mConfirmedAt = aAt; },
+      .mOnLost = [](const std::string&, Millis) {},
+      .mOnRecovered = [] {}
+    };
   }
 
   Millis StoreTime() const
@@ -117,145 +117,149 @@
 
   static uint64_t& ChannelOf(Entry& aEntry, Kind aKind)
   {
-    return aKind == Kind::Verification ? aEntry.mProof : aEntry.mFeed;
+    return aKind == Kind::Verification ? aEntry.mVerification : aEntry.mFeed;
   }
 
-  /** In troubled times a moment of the store's silence. */
-  bool Silent() const { return mNow < mSilentUntil; }
-  bool Troubled() const { return mNow < mTroubledUntil; }
+  /** Whether the store is silent, in a period of faults. */
+  bool IsSilent() const { return mNow < mSilentUntil; }
+  bool HasFaults() const { return mNow < mFaultsUntil; }
 
-  void Ask(Entry& aEntry, const TableQuery& aQuestion)
+  void SendQuery(Entry& aEntry, const TableQuery& aQuery)
   {
-    const uint64_t number = ++ChannelOf(aEntry, aQuestion.mKind);
-    const Millis asked = mNow;
-    const int64_t way = Troubled() && Fault(10) ? Draw(700) : 1 + Draw(4);
-    After(way, [this, &aEntry, aQuestion, number, asked] {
-      if (!Silent()) {
-        Hold(aEntry, aQuestion, number, asked, mNow + aQuestion.mWait);
+    const uint64_t number = ++ChannelOf(aEntry, aQuery.mKind);
+    const Millis sentAt = mNow;
+    const int64_t delay = HasFaults() && Fault(10) ? Draw(700) : 1 + Draw(4);
+    After(delay, [this, &aEntry, aQuery, number, sentAt] {
+      if (!IsSilent()) {
+        DelayResponse(aEntry, aQuery, number, sentAt, mNow + aQuery.mWait);
       }
     });
-    At(asked + aQuestion.mTimeout, [this, &aEntry, aQuestion, number, asked] {
-      if (ChannelOf(aEntry, aQuestion.mKind) == number) {
-        aEntry.mWatch->OnFailed("no answer in time", asked, mNow);
-        Plan(aEntry);
+    At(sentAt + aQuery.mTimeout, [this, &aEntry, aQuery, number, sentAt] {
+      if (ChannelOf(aEntry, aQuery.mKind) == number) {
+        aEntry.mWatch->OnFailed("no response in time", sentAt, mNow);
+        PlanTick(aEntry);
       }
     });
   }
 
-  /** The store holds the answer back until something changes. */
-  void Hold(Entry& aEntry,
-            const TableQuery& aQuestion,
-            uint64_t aNumber,
-            Millis aAsked,
-            Millis aUntil)
+  /** The store delays the response until something changes. */
+  void DelayResponse(Entry& aEntry,
+                     const TableQuery& aQuery,
+                     uint64_t aNumber,
+                     Millis aSentAt,
+                     Millis aUntil)
   {
     const uint64_t newest = mChangedAt.size();
-    const bool waits = aQuestion.mKind != Kind::FullRead &&
-                       newest <= aQuestion.mAfter && mNow < aUntil;
+    const bool waits = aQuery.mKind != Kind::FullRead &&
+                       newest <= aQuery.mAfter && mNow < aUntil;
     if (waits) {
-      After(15, [this, &aEntry, aQuestion, aNumber, aAsked, aUntil] {
-        Hold(aEntry, aQuestion, aNumber, aAsked, aUntil);
+      After(15, [this, &aEntry, aQuery, aNumber, aSentAt, aUntil] {
+        DelayResponse(aEntry, aQuery, aNumber, aSentAt, aUntil);
       });
       return;
     }
-    if (Silent() || (Troubled() && Fault(10))) {
+    if (IsSilent() || (HasFaults() && Fault(10))) {
       return;
     }
-    const TableResponse answer{ .mSentAt = aAsked,
-                                .mVersion = newest,
-                                .mNewestRow = newest,
-                                .mHasRows = newest > aQuestion.mAfter,
-                                .mStoreTime = StoreTime() };
-    const int64_t way = Troubled() && Fault(10) ? Draw(700) : 1 + Draw(4);
-    After(way, [this, &aEntry, kind = aQuestion.mKind, aNumber, answer] {
-      Take(aEntry, kind, aNumber, answer);
+    const TableResponse response{ .mSentAt = aSentAt,
+                                  .mVersion = newest,
+                                  .mNewestRow = newest,
+                                  .mHasRows = newest > aQuery.mAfter,
+                                  .mStoreTime = StoreTime() };
+    const int64_t delay = HasFaults() && Fault(10) ? Draw(700) : 1 + Draw(4);
+    After(delay, [this, &aEntry, kind = aQuery.mKind, aNumber, response] {
+      Take(aEntry, kind, aNumber, response);
     });
   }
 
-  void Take(Entry& aEntry, Kind aKind, uint64_t aNumber, TableResponse aAnswer)
+  void Take(Entry& aEntry,
+            Kind aKind,
+            uint64_t aNumber,
+            TableResponse aResponse)
   {
     if (ChannelOf(aEntry, aKind) != aNumber) {
       return;
     }
     ChannelOf(aEntry, aKind)++;
-    aAnswer.mReceivedAt = mNow;
+    aResponse.mReceivedAt = mNow;
     const uint64_t before = aEntry.mWatch->Version();
-    aEntry.mCopy = std::max(aEntry.mCopy, size_t{ aAnswer.mVersion });
+    aEntry.mCopy = std::max(aEntry.mCopy, size_t{ aResponse.mVersion });
     if (aKind == Kind::FullRead) {
-      aEntry.mWatch->OnPage(aAnswer);
+      aEntry.mWatch->OnPage(aResponse);
     } else if (aKind == Kind::Changes) {
-      aEntry.mWatch->OnChanges(aAnswer);
+      aEntry.mWatch->OnChanges(aResponse);
     } else {
-      aEntry.mWatch->OnVerification(aAnswer);
+      aEntry.mWatch->OnVerification(aResponse);
     }
-    CheckClaim(aEntry);
-    Plan(aEntry);
-    if (mTelling == Telling::Changes && aKind != Kind::FullRead) {
-      TellNews(aEntry, before, aAnswer.mNewestRow);
+    CheckConfirmation(aEntry);
+    PlanTick(aEntry);
+    if (mExchange == Exchange::Changes && aKind != Kind::FullRead) {
+      SendUpdate(aEntry, before, aResponse.mNewestRow);
     }
   }
 
-  void TellNews(const Entry& aEntry, uint64_t aAfter, uint64_t aUpTo)
+  void SendUpdate(const Entry& aEntry, uint64_t aAfter, uint64_t aUpTo)
   {
-    const auto word = aEntry.mWatch->Checkpoint();
+    const auto checkpoint = aEntry.mWatch->Checkpoint();
     for (const auto& other : mEntries) {
       if (other.get() != &aEntry && !Chance(20)) {
-        After(WayToOther(), [this, &other = *other, aAfter, aUpTo, word] {
-          if (other.mWatch->OnUpdate(aAfter, aUpTo)) {
-            RC_ASSERT(other.mCopy >= aAfter);
-            other.mCopy = std::max(other.mCopy, size_t{ aUpTo });
-          }
-          other.mWatch->OnCheckpoint(*word, mNow);
-          CheckClaim(other);
-          Plan(other);
-        });
+        After(DrawPeerDelay(),
+              [this, &other = *other, aAfter, aUpTo, checkpoint] {
+                if (other.mWatch->OnUpdate(aAfter, aUpTo)) {
+                  RC_ASSERT(other.mCopy >= aAfter);
+                  other.mCopy = std::max(other.mCopy, size_t{ aUpTo });
+                }
+                other.mWatch->OnCheckpoint(*checkpoint, mNow);
+                CheckConfirmation(other);
+                PlanTick(other);
+              });
       }
     }
   }
 
-  int64_t WayToOther() { return Chance(5) ? Draw(3000) : 1 + Draw(5); }
+  int64_t DrawPeerDelay() { return Chance(5) ? Draw(3000) : 1 + Draw(5); }
 
-  void Plan(Entry& aEntry)
+  void PlanTick(Entry& aEntry)
   {
     const Millis next = aEntry.mWatch->NextTick();
     if (next == Millis::Never()) {
       return;
     }
-    const uint64_t number = ++aEntry.mPlanned;
+    const uint64_t number = ++aEntry.mPlannedTick;
     At(std::max(next, mNow + Millis(1)), [this, &aEntry, number] {
-      if (number == aEntry.mPlanned) {
+      if (number == aEntry.mPlannedTick) {
         aEntry.mWatch->Tick(mNow);
-        Plan(aEntry);
+        PlanTick(aEntry);
       }
     });
   }
 
-  void Tell(Entry& aEntry)
+  void SendCheckpoint(Entry& aEntry)
   {
-    const auto word = aEntry.mWatch->Checkpoint();
+    const auto checkpoint = aEntry.mWatch->Checkpoint();
     for (const auto& other : mEntries) {
-      const bool tells = mTelling != Telling::Nothing && word;
-      if (tells && other.get() != &aEntry && !Chance(20)) {
-        After(WayToOther(), [this, &other = *other, word] {
-          other.mWatch->OnCheckpoint(*word, mNow);
-          CheckClaim(other);
-          Plan(other);
+      const bool sends = mExchange != Exchange::Nothing && checkpoint;
+      if (sends && other.get() != &aEntry && !Chance(20)) {
+        After(DrawPeerDelay(), [this, &other = *other, checkpoint] {
+          other.mWatch->OnCheckpoint(*checkpoint, mNow);
+          CheckConfirmation(other);
+          PlanTick(other);
         });
       }
     }
-    After(20 + Draw(620), [this, &aEntry] { Tell(aEntry); });
+    After(20 + Draw(620), [this, &aEntry] { SendCheckpoint(aEntry); });
   }
 
-  /** What was made before the claimed instant is in the copy. */
-  void CheckClaim(Entry& aEntry)
+  /** All changes before the confirmed time must be in the copy. */
+  void CheckConfirmation(Entry& aEntry)
   {
-    const auto claim = std::exchange(aEntry.mClaim, std::nullopt);
-    if (!claim) {
+    const auto confirmedAt = std::exchange(aEntry.mConfirmedAt, std::nullopt);
+    if (!confirmedAt) {
       return;
     }
-    RC_ASSERT(*claim <= mNow);
-    const bool missed =
-      aEntry.mCopy < mChangedAt.size() && mChangedAt[aEntry.mCopy] < *claim;
+    RC_ASSERT(*confirmedAt <= mNow);
+    const bool missed = aEntry.mCopy < mChangedAt.size() &&
+                        mChangedAt[aEntry.mCopy] < *confirmedAt;
     RC_ASSERT(!missed);
   }
 
@@ -263,9 +267,9 @@
   {
     mChangedAt.push_back(mNow);
     const size_t version = mChangedAt.size();
-    const bool calm = mNow >= mTroubledUntil + kRecovery;
-    if (calm && mNow + kInForce < mNextTrouble) {
-      After((kInForce - kWayToUpstream).Count(), [this, version] {
+    const bool isStable = mNow >= mFaultsUntil + kRecovery;
+    if (isStable && mNow + kMaxDelay < mNextFaultsAt) {
+      After((kMaxDelay - kDelayToUpstream).Count(), [this, version] {
         for (const auto& entry : mEntries) {
           RC_ASSERT(entry->mCopy >= version);
         }
@@ -275,47 +279,46 @@
     After(Chance(50) ? 1 + Draw(200) : Draw(4000), [this] { Change(); });
   }
 
-  void Disturb()
+  void InjectFault()
   {
-    mTroubledUntil = mNow + Millis(200 + Draw(2000));
-    mSilentUntil = Chance(70) ? mTroubledUntil : mNow;
+    mFaultsUntil = mNow + Millis(200 + Draw(2000));
+    mSilentUntil = Chance(70) ? mFaultsUntil : mNow;
     const int64_t pause = 6000 + Draw(9000);
-    mNextTrouble = mNow + Millis(pause);
-    After(pause, [this] { Disturb(); });
+    mNextFaultsAt = mNow + Millis(pause);
+    After(pause, [this] { InjectFault(); });
   }
 
-  Telling mTelling;
-  /** Of the store's clock, in millionths. */
+  Exchange mExchange;
+  /** Drift of the store's clock, in millionths. */
   int64_t mDrift;
-  /** When each version was made, from 1 on. */
+  /** Time of each version, from 1 on. */
   std::vector<Millis> mChangedAt;
   std::vector<std::unique_ptr<Entry>> mEntries;
   Millis mSilentUntil;
-  Millis mTroubledUntil;
-  Millis mNextTrouble;
+  Millis mFaultsUntil;
+  Millis mNextFaultsAt;
   uint64_t mChecked = 0;
 };
 
-/** A watch whose questions are written down. */
-class Written
+/** A watch whose queries are recorded. */
+class RecordedWatch
 {
 public:
-  Written()
-    : mWatch({ .mMaxAge = Millis(1000) },
-             { .mSendQuery =
-                 [this](const TableQuery& aQuestion) {
-                   mSentAt.push_back(aQuestion);
-                 },
-               .mCancelQueries = [this] { mAbandoned++; },
-               .mOnConfirmed = [this](Millis aAt) { mConfirmed = aAt; },
-               .mOnLost = [this](const std::string&, Millis) { mLost++; },
-               .mOnRecovered = [] {} })
+  RecordedWatch()
+    : mWatch(
+        { .mMaxAge = Millis(1000) },
+        { .mSendQuery =
+            [this](const TableQuery& aQuery) { mQueries.push_back(aQuery); },
+          .mCancelQueries = [this] { mCancelCount++; },
+          .mOnConfirmed = [this](Millis aAt) { mConfirmed = aAt; },
+          .mOnLost = [this](const std::string&, Millis) { mLostCount++; },
+          .mOnRecovered = [] {} })
   {
     mWatch.Start();
-    mWatch.OnPage(AnswerAt(Millis(100), 10));
+    mWatch.OnPage(ResponseAt(Millis(100), 10));
   }
 
-  static TableResponse AnswerAt(Millis aAt, uint64_t aVersion)
+  static TableResponse ResponseAt(Millis aAt, uint64_t aVersion)
   {
     return { .mSentAt = aAt,
              .mReceivedAt = aAt + Millis(4),
@@ -324,137 +327,139 @@
   }
 
   TableWatch mWatch;
-  std::vector<TableQuery> mSentAt;
+  std::vector<TableQuery> mQueries;
   Millis mConfirmed;
-  int mAbandoned = 0;
-  int mLost = 0;
+  int mCancelCount = 0;
+  int mLostCount = 0;
 };
 
 } // namespace
 
-Test(tablewatch, a_change_is_known_in_time_whatever_was_lost, .timeout = 200)
+Test(tablewatch, a_change_is_known_in_time_despite_losses, .timeout = 200)
 {
-  for (const Telling telling :
-       { Telling::Nothing, Telling::Words, Telling::Changes }) {
+  for (const Exchange mode :
+       { Exchange::Nothing, Exchange::Checkpoints, Exchange::Changes }) {
     cr_assert(rc::check("a change is known in time", [=](uint32_t aSeed) {
-      TableModel(aSeed, telling).Play();
+      TableModel(aSeed, mode).Play();
     }));
   }
 }
 
-Test(tablewatch, silence_is_doubted_within_the_bound)
+Test(tablewatch, an_unconfirmed_copy_is_verified_within_the_bound)
 {
-  Written written;
-  cr_assert(written.mSentAt.back().mKind == Kind::Changes);
-  const Millis due = written.mWatch.NextTick();
+  RecordedWatch recorded;
+  cr_assert(recorded.mQueries.back().mKind == Kind::Changes);
+  const Millis due = recorded.mWatch.NextTick();
   cr_expect(due > Millis(100) && due <= Millis(1100));
-  written.mWatch.Tick(due);
-  cr_expect(written.mSentAt.back().mKind == Kind::Verification);
-  cr_expect(written.mSentAt.back().mWait == Millis(0));
-  written.mWatch.OnVerification(Written::AnswerAt(due, 10));
-  cr_expect(written.mConfirmed == due);
-  cr_expect(written.mAbandoned == 0, "the question that waits goes on");
+  recorded.mWatch.Tick(due);
+  cr_expect(recorded.mQueries.back().mKind == Kind::Verification);
+  cr_expect(recorded.mQueries.back().mWait == Millis(0));
+  recorded.mWatch.OnVerification(RecordedWatch::ResponseAt(due, 10));
+  cr_expect(recorded.mConfirmed == due);
+  cr_expect(recorded.mCancelCount == 0, "the long poll continues");
 }
 
-Test(tablewatch, a_proof_that_brings_changes_ends_the_question_that_waits)
+Test(tablewatch, a_verification_with_changes_cancels_the_long_poll)
 {
-  Written written;
-  TableResponse news = Written::AnswerAt(Millis(900), 12);
-  news.mHasRows = true;
-  news.mNewestRow = 12;
-  written.mWatch.Tick(Millis(1200));
-  written.mWatch.OnVerification(news);
-  cr_expect(written.mAbandoned == 1);
-  cr_expect(written.mSentAt.back().mKind == Kind::Changes);
-  cr_expect(written.mSentAt.back().mAfter == 12);
+  RecordedWatch recorded;
+  TableResponse update = RecordedWatch::ResponseAt(Millis(900), 12);
+  update.mHasRows = true;
+  update.mNewestRow = 12;
+  recorded.mWatch.Tick(Millis(1200));
+  recorded.mWatch.OnVerification(update);
+  cr_expect(recorded.mCancelCount == 1);
+  cr_expect(recorded.mQueries.back().mKind == Kind::Changes);
+  cr_expect(recorded.mQueries.back().mAfter == 12);
 }
 
-Test(tablewatch, changes_between_two_pages_are_asked_for)
+Test(tablewatch, changes_between_two_pages_are_queried)
 {
-  Written written;
-  written.mWatch.OnHistoryGone();
-  TableResponse first = Written::AnswerAt(Millis(2000), 20);
+  RecordedWatch recorded;
+  recorded.mWatch.OnHistoryGone();
+  TableResponse first = RecordedWatch::ResponseAt(Millis(2000), 20);
   first.mHasMore = true;
-  written.mWatch.OnPage(first);
-  written.mWatch.OnPage(Written::AnswerAt(Millis(2010), 25));
-  cr_expect(written.mSentAt.back().mAfter == 20);
-  cr_expect(written.mConfirmed == Millis(2000));
+  recorded.mWatch.OnPage(first);
+  recorded.mWatch.OnPage(RecordedWatch::ResponseAt(Millis(2010), 25));
+  cr_expect(recorded.mQueries.back().mAfter == 20);
+  cr_expect(recorded.mConfirmed == Millis(2000));
 }
 
-Test(tablewatch, a_word_counts_only_for_a_copy_that_goes_as_far)
+Test(tablewatch, a_checkpoint_confirms_only_a_copy_that_includes_it)
 {
-  Written written;
-  const Millis reading(5700);
-  written.mWatch.OnCheckpoint({ .mLastChange = 11, .mStoreTime = reading },
-                              Millis(800));
-  cr_expect(written.mConfirmed == Millis(100));
-  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = reading },
-                              Millis(800));
-  cr_expect(written.mConfirmed == Millis(700));
-  cr_expect(written.mWatch.Checkpoint()->mStoreTime == reading,
-            "it is passed on");
-  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = Millis(9000) },
-                              Millis(800));
-  cr_expect(written.mConfirmed == Millis(700), "no reading of that clock yet");
+  RecordedWatch recorded;
+  const Millis storeTime(5700);
+  recorded.mWatch.OnCheckpoint({ .mLastChange = 11, .mStoreTime = storeTime },
+                               Millis(800));
+  cr_expect(recorded.mConfirmed == Millis(100));
+  recorded.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = storeTime },
+                               Millis(800));
+  cr_expect(recorded.mConfirmed == Millis(700));
+  cr_expect(recorded.mWatch.Checkpoint()->mStoreTime == storeTime,
+            "it is forwarded");
+  recorded.mWatch.OnCheckpoint(
+    { .mLastChange = 10, .mStoreTime = Millis(9000) }, Millis(800));
+  cr_expect(recorded.mConfirmed == Millis(700),
+            "that time of the clock is in the future");
 }
 
-Test(tablewatch, one_that_hears_that_the_store_is_back_asks_soon)
+Test(tablewatch, a_recovery_reported_by_a_peer_advances_the_retry)
 {
-  Written written;
+  RecordedWatch recorded;
   for (int64_t each = 0; each < 6; ++each) {
-    written.mWatch.OnFailed("down", Millis(1000), Millis(1000 + 1000 * each));
+    recorded.mWatch.OnFailed("down", Millis(1000), Millis(1000 + 1000 * each));
   }
-  const Millis due = written.mWatch.NextTick();
-  cr_expect(due >= Millis(6500) && due <= Millis(7000), "at half the bound");
+  const Millis due = recorded.mWatch.NextTick();
+  cr_expect(due >= Millis(6500) && due <= Millis(7000), "half the maximum age");
   const Millis before(5000 + 950);
-  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = before },
-                              Millis(6100));
-  cr_expect(written.mWatch.NextTick() == due, "read before it was lost");
+  recorded.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = before },
+                               Millis(6100));
+  cr_expect(recorded.mWatch.NextTick() == due, "from before the loss");
   const Millis since(5000 + 6050);
-  written.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = since },
-                              Millis(6100));
-  cr_expect(written.mWatch.NextTick() <= Millis(6300));
-  cr_expect(written.mConfirmed == Millis(100), "its clock has yet to be read");
-  written.mWatch.OnFailed("turned away", Millis(6300), Millis(6300));
-  const Millis next = written.mWatch.NextTick();
-  written.mWatch.OnCheckpoint(
+  recorded.mWatch.OnCheckpoint({ .mLastChange = 10, .mStoreTime = since },
+                               Millis(6100));
+  cr_expect(recorded.mWatch.NextTick() <= Millis(6300));
+  cr_expect(recorded.mConfirmed == Millis(100), "its clock is unknown");
+  recorded.mWatch.OnFailed("rejected", Millis(6300), Millis(6300));
+  const Millis next = recorded.mWatch.NextTick();
+  recorded.mWatch.OnCheckpoint(
     { .mLastChange = 10, .mStoreTime = Millis(11300) }, Millis(6310));
-  cr_expect(written.mWatch.NextTick() == next, "it is hurried once");
+  cr_expect(recorded.mWatch.NextTick() == next, "the retry is advanced once");
 }
 
-Test(tablewatch, news_are_taken_where_nothing_is_missing_before_them)
+Test(tablewatch, an_update_is_taken_if_no_earlier_change_is_missing)
 {
-  Written written;
-  written.mWatch.SetPollsStore(false);
-  cr_expect(!written.mWatch.OnUpdate(10, 12), "its own question is under way");
-  TableResponse none = Written::AnswerAt(Millis(200), 10);
-  written.mWatch.OnChanges(none);
-  const size_t asked = written.mSentAt.size();
-  cr_expect(!written.mWatch.OnUpdate(11, 12), "what came before is missing");
-  cr_expect(!written.mWatch.OnUpdate(5, 9), "nothing new");
-  cr_expect(written.mWatch.OnUpdate(8, 12));
-  cr_expect(written.mWatch.Version() == 12);
-  cr_expect(written.mWatch.Checkpoint()->mLastChange == 12);
-  cr_expect(written.mConfirmed == Millis(200), "news tell no time");
-  cr_expect(written.mSentAt.size() == asked);
-  written.mWatch.SetPollsStore(true);
-  cr_expect(written.mSentAt.size() == asked + 1);
-  cr_expect(written.mSentAt.back().mAfter == 12);
+  RecordedWatch recorded;
+  recorded.mWatch.SetPollsStore(false);
+  cr_expect(!recorded.mWatch.OnUpdate(10, 12), "its own query is pending");
+  TableResponse none = RecordedWatch::ResponseAt(Millis(200), 10);
+  recorded.mWatch.OnChanges(none);
+  const size_t queryCount = recorded.mQueries.size();
+  cr_expect(!recorded.mWatch.OnUpdate(11, 12), "an earlier change is missing");
+  cr_expect(!recorded.mWatch.OnUpdate(5, 9), "nothing new");
+  cr_expect(recorded.mWatch.OnUpdate(8, 12));
+  cr_expect(recorded.mWatch.Version() == 12);
+  cr_expect(recorded.mWatch.Checkpoint()->mLastChange == 12);
+  cr_expect(recorded.mConfirmed == Millis(200), "an update confirms no time");
+  cr_expect(recorded.mQueries.size() == queryCount);
+  recorded.mWatch.SetPollsStore(true);
+  cr_expect(recorded.mQueries.size() == queryCount + 1);
+  cr_expect(recorded.mQueries.back().mAfter == 12);
 }
 
-Test(tablewatch, a_store_without_any_change_yet_confirms_at_its_reading)
+Test(tablewatch, a_store_without_changes_confirms_at_its_time)
 {
-  std::optional<Millis> reading;
+  std::optional<Millis> storeTime;
   std::optional<TableWatch> watch;
-  watch.emplace(TableWatchOptions{},
-                TableWatchHooks{
-                  .mSendQuery = [](const TableQuery&) {},
-                  .mCancelQueries = [] {},
-                  .mOnConfirmed = [&](Millis) { reading = watch->StoreTime(); },
-                  .mOnLost = [](const std::string&, Millis) {},
-                  .mOnRecovered = [] {} });
+  watch.emplace(
+    TableWatchOptions{},
+    TableWatchHooks{
+      .mSendQuery = [](const TableQuery&) {},
+      .mCancelQueries = [] {},
+      .mOnConfirmed = [&](Millis) { storeTime = watch->StoreTime(); },
+      .mOnLost = [](const std::string&, Millis) {},
+      .mOnRecovered = [] {} });
   watch->Start();
-  watch->OnPage(Written::AnswerAt(Millis(100), 0));
-  cr_expect(!watch->Checkpoint(), "its version names no change");
-  cr_expect(reading == Millis(5100));
+  watch->OnPage(RecordedWatch::ResponseAt(Millis(100), 0));
+  cr_expect(!watch->Checkpoint(), "its version is of no change");
+  cr_expect(storeTime == Millis(5100));
 }
