--- a/src/libtrefoilarch/tierguard.cpp
+++ b/src/libtrefoilarch/tierguard.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-/** A route counts as being taken for this long after its last request. */
-constexpr Millis kTakenSpan{ 1500 };
+/** A route counts as accepted for this long after its last request. */
+constexpr Millis kAdmittedWindow{ 1500 };
 
-/** How long one overloaded request of a more urgent route presses. */
-constexpr Millis kPressSpan{ 500 };
+/** How long one overloaded request of a more urgent route sheds less urgent
+ * load. */
+constexpr Millis kOverloadWindow{ 500 };
 
-/** The share of the least urgent that is refused under pressure. */
-constexpr double kPressedShare = 0.7;
+/** Share of the least urgent requests that is rejected meanwhile. */
+constexpr double kRefusedShare = 0.7;
 
 } // namespace
 
@@ -25,37 +26,37 @@
                    uint8_t aPriority,
                    bool aOverloaded,
                    Millis aNow,
-                   bool aOthersTakeLess)
+                   bool aPeersTakeLessUrgent)
 {
   Service& service = mServices[aService];
-  const bool othersFirst = LessUrgentTaken(service, aPriority, aNow);
-  const bool lessTaken = othersFirst || aOthersTakeLess;
-  bool refuses = aOverloaded && !lessTaken;
-  if (aOverloaded && lessTaken) {
-    service.mPressedUntil = aNow + kPressSpan;
-    service.mPressedBy = aPriority;
+  const bool lessUrgentTakenHere = TakesLessUrgent(service, aPriority, aNow);
+  const bool lessUrgentTaken = lessUrgentTakenHere || aPeersTakeLessUrgent;
+  bool refuses = aOverloaded && !lessUrgentTaken;
+  if (aOverloaded && lessUrgentTaken) {
+    service.mOverloadedUntil = aNow + kOverloadWindow;
+    service.mOverloadedPriority = aPriority;
   }
-  const bool pressed =
-    aNow < service.mPressedUntil && service.mPressedBy < aPriority;
-  if (pressed && !othersFirst) {
-    std::bernoulli_distribution chance(kPressedShare);
-    refuses = refuses || chance(mRandom);
+  const bool moreUrgentOverloaded =
+    aNow < service.mOverloadedUntil && service.mOverloadedPriority < aPriority;
+  if (moreUrgentOverloaded && !lessUrgentTakenHere) {
+    std::bernoulli_distribution refusal(kRefusedShare);
+    refuses = refuses || refusal(mRandom);
   }
   if (!refuses) {
-    service.mTaken[aPriority] = aNow;
+    service.mLastTakenAt[aPriority] = aNow;
   }
   return refuses;
 }
 
 bool
-TierGuard::LessUrgentTaken(const Service& aService,
+TierGuard::TakesLessUrgent(const Service& aService,
                            uint8_t aPriority,
                            Millis aNow)
 {
-  for (auto each = aService.mTaken.upper_bound(aPriority);
-       each != aService.mTaken.end();
+  for (auto each = aService.mLastTakenAt.upper_bound(aPriority);
+       each != aService.mLastTakenAt.end();
        ++each) {
-    if (aNow - each->second < kTakenSpan) {
+    if (aNow - each->second < kAdmittedWindow) {
       return true;
     }
   }
--- a/src/libtrefoilarch/tierguard.h
+++ b/src/libtrefoilarch/tierguard.h
@@ -10,9 +10,9 @@
 namespace trefoilarch {
 
 /**
- * Sees to it that a service never refuses the more urgent of its routes while
- * it takes less urgent ones: an overload of any route is borne by the least
- * urgent that is being taken.
+ * Ensures that a service never rejects the more urgent of its routes while it
+ * accepts less urgent ones: overload is shed from the least urgent route being
+ * accepted.
  */
 class TierGuard
 {
@@ -20,27 +20,27 @@
   explicit TierGuard(uint64_t aSeed);
 
   /**
-   * Whether to refuse a request of a route with that priority (0 is the most
-   * urgent); aOverloaded: its own route starts or ends too late;
-   * aOthersTakeLess: other entries send enough of less urgent ones.
+   * Whether to reject a request of a route with that priority (0 is the most
+   * urgent). aOverloaded: requests of its own route start or end too late.
+   * aPeersTakeLessUrgent: other entries send enough less urgent requests.
    */
   bool Refuses(const std::string& aService,
                uint8_t aPriority,
                bool aOverloaded,
                Millis aNow,
-               bool aOthersTakeLess = false);
+               bool aPeersTakeLessUrgent = false);
 
 private:
   struct Service
   {
-    /** When a request of that priority was last taken. */
-    std::map<uint8_t, Millis> mTaken;
-    /** Until when a more urgent route than these is overloaded. */
-    Millis mPressedUntil;
-    uint8_t mPressedBy = 0;
+    /** When a request of each priority was last accepted. */
+    std::map<uint8_t, Millis> mLastTakenAt;
+    /** Until when a route of mOverloadedPriority is overloaded. */
+    Millis mOverloadedUntil;
+    uint8_t mOverloadedPriority = 0;
   };
 
-  static bool LessUrgentTaken(const Service& aService,
+  static bool TakesLessUrgent(const Service& aService,
                               uint8_t aPriority,
                               Millis aNow);
 
--- a/tests/unit/sharedtierstest.cpp
+++ b/tests/unit/sharedtierstest.cpp
@@ -8,20 +8,20 @@
 using namespace trefoilarch;
 
 /**
- * Callers of the middle urgency got 429 at three of five entries while the
- * other two, which had half the load, went on taking less urgent requests for
- * the same engines. Each entry judges by what it takes itself. Evidence: the
- * three began to refuse 1.5 s after their own last less urgent request, which
- * is the span for which an entry counts as taking such; the two refused none.
+ * Guards against 429 for requests of a medium urgency at three of five entries
+ * while the other two, which had half the load, accepted less urgent ones for
+ * the same engines. Each entry judges by its own requests: the three began to
+ * reject 1.5 s after their own last less urgent request, the time for which an
+ * entry counts as accepting such. The two rejected none.
  */
 namespace {
 
 constexpr Millis kStep{ 10 };
-constexpr Millis kNotesPause{ 20 };
-constexpr Millis kSpan{ 8000 };
+constexpr Millis kUpdateInterval{ 20 };
+constexpr Millis kDuration{ 8000 };
 
-/** An entry counts as taking requests for so long after one. */
-constexpr Millis kTakenSpan{ 1500 };
+/** An entry counts as accepting requests for this long after one. */
+constexpr Millis kAdmittedWindow{ 1500 };
 
 Route
 RouteOf(const char* aName, uint8_t aPriority, int64_t aTarget)
@@ -37,7 +37,7 @@
            .mPublic = true };
 }
 
-/** An entry, and when it last took a less urgent request. */
+/** An entry and the attempts that it sent. */
 struct Entry
 {
   explicit Entry(const char* aName)
@@ -59,22 +59,22 @@
     mRouter.SetEntries(2);
   }
 
-  /** Whether it takes the request; what is taken is sent. */
-  bool Takes(const char* aPath, uint32_t aTokens, Millis aNow)
+  /** Whether it accepts the request. Accepted requests are sent. */
+  bool Accepts(const char* aPath, uint32_t aTokens, Millis aNow)
   {
     mRouter.ConfirmPolicy(aNow);
-    const RequestAttributes facts{ .mHost = "h",
-                                   .mPath = aPath,
-                                   .mArrivedAt = aNow,
-                                   .mCallerTimeout = Millis(6000),
-                                   .mPrompt = { .mPromptTokens = aTokens,
-                                                .mMaxOutput = 40 } };
+    const RequestAttributes attributes{ .mHost = "h",
+                                        .mPath = aPath,
+                                        .mArrivedAt = aNow,
+                                        .mCallerTimeout = Millis(6000),
+                                        .mPrompt = { .mPromptTokens = aTokens,
+                                                     .mMaxOutput = 40 } };
     return boost::leaf::try_handle_all(
       [&]() -> Result<bool> {
-        BOOST_LEAF_AUTO(bound, mRouter.Bind(facts, aNow));
+        BOOST_LEAF_AUTO(bound, mRouter.Bind(attributes, aNow));
         auto attempt = mRouter.Place(bound, {}, aNow);
         cr_assert(attempt.has_value());
-        mSent.push_back(std::move(*attempt));
+        mAttempts.push_back(std::move(*attempt));
         return true;
       },
       [](const Refusal&) { return false; },
@@ -82,7 +82,7 @@
   }
 
   DirectRouter mRouter;
-  std::vector<PlacedAttempt> mSent;
+  std::vector<PlacedAttempt> mAttempts;
 };
 
 } // namespace
@@ -91,24 +91,24 @@
 {
   Entry busy("busy");
   Entry quiet("quiet");
-  Millis draftTakenAt(-10000);
+  Millis draftAcceptedAt(-10000);
   size_t refusedTooSoon = 0;
   size_t refused = 0;
-  for (Millis now(1000); now < kSpan; now += kStep) {
-    if (now.Count() % kNotesPause.Count() == 0) {
+  for (Millis now(1000); now < kDuration; now += kStep) {
+    if (now.Count() % kUpdateInterval.Count() == 0) {
       quiet.mRouter.OnPeerUpdate(busy.mRouter.TakePeerUpdate(now), now);
       busy.mRouter.OnPeerUpdate(quiet.mRouter.TakePeerUpdate(now), now);
     }
-    // Engines that are full: what the busy entry sends does not start.
-    if (!busy.Takes("/quote/x", 2400, now)) {
+    // The engines are full: requests of the busy entry do not start.
+    if (!busy.Accepts("/quote/x", 2400, now)) {
       refused++;
-      refusedTooSoon += now - draftTakenAt < kTakenSpan ? 1 : 0;
+      refusedTooSoon += now - draftAcceptedAt < kAdmittedWindow ? 1 : 0;
     }
     const bool sendsDraft = now.Count() % 100 == 0;
-    if (sendsDraft && quiet.Takes("/draft/x", 9000, now)) {
-      draftTakenAt = now;
+    if (sendsDraft && quiet.Accepts("/draft/x", 9000, now)) {
+      draftAcceptedAt = now;
     }
-    for (PlacedAttempt& each : quiet.mSent) {
+    for (PlacedAttempt& each : quiet.mAttempts) {
       if (!each.mStarted && now - each.mSentAt >= Millis(300)) {
         quiet.mRouter.OnStarted(each, now);
       } else if (each.mStarted && now - each.mStartedAt == Millis(400)) {
@@ -118,7 +118,7 @@
   }
   cr_expect(refused > 0);
   cr_expect(refusedTooSoon == 0,
-            "%zu of %zu refused while drafts were taken",
+            "%zu of %zu refused while drafts were accepted",
             refusedTooSoon,
             refused);
 }
--- a/tests/unit/tierguardtest.cpp
+++ b/tests/unit/tierguardtest.cpp
@@ -5,30 +5,30 @@
 
 using namespace trefoilarch;
 
-Test(tierguard, the_more_urgent_are_not_refused_while_others_are_taken)
+Test(tierguard, more_urgent_are_not_rejected_while_less_urgent_are_accepted)
 {
   const bool holds = rc::check(
     "tiers are kept", [](const std::vector<std::pair<uint8_t, bool>>& aAll) {
       TierGuard guard(1);
-      std::map<uint8_t, int64_t> taken;
+      std::map<uint8_t, int64_t> acceptedAt;
       int64_t now = 0;
-      for (const auto& [chance, overloaded] : aAll) {
-        const uint8_t priority = chance % 3;
+      for (const auto& [randomByte, overloaded] : aAll) {
+        const uint8_t priority = randomByte % 3;
         now += 50;
         const bool refused =
           guard.Refuses("svc", priority, overloaded, Millis(now));
-        for (const auto& [other, at] : taken) {
+        for (const auto& [other, at] : acceptedAt) {
           RC_ASSERT(!refused || other <= priority || now - at >= 1500);
         }
         if (!refused) {
-          taken[priority] = now;
+          acceptedAt[priority] = now;
         }
       }
     });
   cr_assert(holds);
 }
 
-Test(tierguard, an_overload_is_borne_by_the_least_urgent)
+Test(tierguard, an_overload_is_shed_from_the_least_urgent)
 {
   TierGuard guard(1);
   int refused = 0;
@@ -41,7 +41,7 @@
   cr_expect(refused > 500);
 }
 
-Test(tierguard, an_only_route_is_refused_when_it_is_overloaded)
+Test(tierguard, a_single_route_is_rejected_when_overloaded)
 {
   TierGuard guard(1);
   cr_expect(guard.Refuses("svc", 1, true, Millis(0)));
@@ -49,8 +49,8 @@
   cr_expect(!guard.Refuses("other", 1, false, Millis(2)));
 }
 
-/** An entry that sees few requests has no less urgent one of its own. */
-Test(tierguard, the_more_urgent_are_not_refused_while_others_take_less_urgent)
+/** An entry with few requests has no less urgent ones of its own. */
+Test(tierguard, more_urgent_are_not_rejected_while_peers_accept_less_urgent)
 {
   TierGuard guard(1);
   for (int64_t now = 0; now < 5000; now += 250) {
@@ -59,8 +59,8 @@
   cr_expect(guard.Refuses("svc", 0, true, Millis(5000), false));
 }
 
-/** Its pressure falls on the less urgent that come to the entry itself. */
-Test(tierguard, what_others_take_presses_the_less_urgent_here)
+/** Its overload sheds less urgent requests of the entry itself. */
+Test(tierguard, overload_shed_at_peers_applies_to_less_urgent_here)
 {
   TierGuard guard(1);
   int refused = 0;
