--- a/src/libtrefoilarch/classifier.cpp
+++ b/src/libtrefoilarch/classifier.cpp
@@ -23,7 +23,10 @@
   }
 }
 
-/** The caller's own labels go under the workspace's, and those under ours. */
+/**
+ * The workspace's labels override the caller's; the labels that the system
+ * sets override both.
+ */
 Labels
 TrafficLabels(const CallerClaims& aClaims,
               const Workspace& aWorkspace,
@@ -40,7 +43,7 @@
 }
 
 boost::leaf::error_id
-Refuse(ErrorKind aKind, std::string aMessage)
+FailWith(ErrorKind aKind, std::string aMessage)
 {
   return Fail({ .mKind = aKind,
                 .mRan = Ran::No,
@@ -51,15 +54,15 @@
 } // namespace
 
 bool
-MeetsRequirement(const std::string* aValue, const Requirement& aOne)
+MeetsRequirement(const std::string* aValue, const Requirement& aRequirement)
 {
-  switch (aOne.mOperator) {
+  switch (aRequirement.mOperator) {
     case RequirementOperator::Equals:
     case RequirementOperator::In:
-      return aValue != nullptr && Contains(aOne.mValues, *aValue);
+      return aValue != nullptr && Contains(aRequirement.mValues, *aValue);
     case RequirementOperator::NotEquals:
     case RequirementOperator::NotIn:
-      return aValue == nullptr || !Contains(aOne.mValues, *aValue);
+      return aValue == nullptr || !Contains(aRequirement.mValues, *aValue);
     case RequirementOperator::Exists:
       return aValue != nullptr;
     case RequirementOperator::NotExists:
@@ -69,13 +72,17 @@
 }
 
 bool
-MeetsRequirements(const Labels& aLabels, const std::vector<Requirement>& aAll)
+MeetsRequirements(const Labels& aLabels,
+                  const std::vector<Requirement>& aRequirements)
 {
-  return std::all_of(aAll.begin(), aAll.end(), [&](const Requirement& aOne) {
-    const auto place = aLabels.find(aOne.mKey);
-    return MeetsRequirement(place == aLabels.end() ? nullptr : &place->second,
-                            aOne);
-  });
+  return std::all_of(aRequirements.begin(),
+                     aRequirements.end(),
+                     [&](const Requirement& aRequirement) {
+                       const auto entry = aLabels.find(aRequirement.mKey);
+                       return MeetsRequirement(
+                         entry == aLabels.end() ? nullptr : &entry->second,
+                         aRequirement);
+                     });
 }
 
 Classifier::Classifier(std::shared_ptr<const Policy> aPolicy)
@@ -88,39 +95,41 @@
 {
   const auto workspace = mPolicy->mWorkspaces.find(aClaims.mWorkspace);
   if (workspace == mPolicy->mWorkspaces.end()) {
-    return Refuse(ErrorKind::UnknownWorkspace,
-                  "the policy has no such workspace");
+    return FailWith(ErrorKind::UnknownWorkspace,
+                    "the policy has no such workspace");
   }
   const std::string& tokenHash = workspace->second.mTokenHash;
   if (!tokenHash.empty() && tokenHash != aClaims.mTokenHash) {
-    return Refuse(ErrorKind::BadToken, "the token is not the workspace's");
+    return FailWith(ErrorKind::BadToken, "the token is not the workspace's");
   }
   const std::string& name = aClaims.mWantedClass.empty()
                               ? workspace->second.mDefaultClass
                               : aClaims.mWantedClass;
   const auto found = mPolicy->mClasses.find(name);
   if (found == mPolicy->mClasses.end()) {
-    return Refuse(ErrorKind::UnknownClass,
-                  name.empty() ? "no class was named and the workspace has "
-                                 "no default class"
-                               : "the policy has no such class");
+    return FailWith(ErrorKind::UnknownClass,
+                    name.empty() ? "no class was named and the workspace has "
+                                   "no default class"
+                                 : "the policy has no such class");
   }
-  const RequestClass& wanted = found->second;
+  const RequestClass& requestClass = found->second;
   Labels traffic = TrafficLabels(aClaims, workspace->second, name);
-  if (!MeetsRequirements(traffic, wanted.mCallers)) {
-    return Refuse(ErrorKind::ClassNotAllowed,
-                  "the class does not admit this caller");
+  if (!MeetsRequirements(traffic, requestClass.mCallers)) {
+    return FailWith(ErrorKind::ClassNotAllowed,
+                    "the class does not admit this caller");
   }
   ClassifiedRequest classified;
   classified.mLevel = { .mClass = name,
                         .mWorkspace = workspace->first,
-                        .mTier = wanted.mTier,
-                        .mFloor = wanted.mFloor,
+                        .mTier = requestClass.mTier,
+                        .mFloor = requestClass.mFloor,
                         .mWeight = workspace->second.mWeight,
-                        .mFirstTokenTarget = wanted.mFirstTokenTarget,
-                        .mBetweenTokenTarget = wanted.mBetweenTokenTarget };
-  classified.mDeadline = aClaims.mDeadline.value_or(wanted.mDeadline);
-  classified.mIdempotent = aClaims.mIdempotent.value_or(wanted.mIdempotent);
+                        .mFirstTokenTarget = requestClass.mFirstTokenTarget,
+                        .mBetweenTokenTarget =
+                          requestClass.mBetweenTokenTarget };
+  classified.mDeadline = aClaims.mDeadline.value_or(requestClass.mDeadline);
+  classified.mIdempotent =
+    aClaims.mIdempotent.value_or(requestClass.mIdempotent);
   classified.mTraffic = std::move(traffic);
   classified.mPolicyVersion = mPolicy->mVersion;
   return classified;
--- a/src/libtrefoilarch/classifier.h
+++ b/src/libtrefoilarch/classifier.h
@@ -9,11 +9,11 @@
 
 namespace trefoilarch {
 
-/** What a caller said of itself and its request. */
+/** What a caller states about itself and its request. */
 struct CallerClaims
 {
   std::string mWorkspace;
-  std::string mTokenHash; /**< SHA-256 of the token presented, or empty */
+  std::string mTokenHash; /**< SHA-256 of the caller's token, or empty */
   std::string mWantedClass;
   Labels mLabels;
   std::string mModel;   /**< for a model engine, or empty */
@@ -23,28 +23,28 @@
   std::optional<bool> mIdempotent;
 };
 
-/** A request as the policy sees it. */
+/** A request with the service level that the policy gives it. */
 struct ClassifiedRequest
 {
   ServiceLevel mLevel;
   Millis mDeadline;
   bool mIdempotent = false;
-  /** The traffic's labels, for selectors. */
+  /** Labels that selectors match against. */
   Labels mTraffic;
   uint64_t mPolicyVersion = 0;
 };
 
-/** An upstream as selectors see it. */
+/** The attributes of an upstream that selectors match against. */
 struct UpstreamView
 {
   UpstreamId mName;
   std::string mDataCentre;
-  Labels mLabels; /**< its own; the policy's go over them */
+  Labels mLabels; /**< its own; the policy's labels override them */
 };
 
 /**
- * Decides by one policy what a caller's request is owed and where it may go.
- * Immutable; made anew for each policy version.
+ * Determines from one policy the service level of a request and the upstreams
+ * that may serve it. Immutable; one instance per policy version.
  */
 class Classifier
 {
@@ -57,9 +57,9 @@
   Result<ClassifiedRequest> Classify(const CallerClaims& aClaims) const;
 
   /**
-   * Whether the traffic may go to the upstream (drained ones: never). Traffic
-   * with a `model` or `service` goes only where the upstream's label of that
-   * name is the same. For many upstreams, EligibleSets is cheaper.
+   * Whether the upstream may serve the traffic; never true for a drained
+   * upstream. Traffic with a `model` or `service` label requires an upstream
+   * label with the same value. For many upstreams, EligibleSets is cheaper.
    */
   bool IsEligible(const Labels& aTraffic, const UpstreamView& aUpstream) const;
 
@@ -70,14 +70,15 @@
 };
 
 /**
- * Whether a label's value, or its absence (null), meets a requirement. An
- * absent label is not equal to, and not in, anything.
+ * Whether a label's value meets a requirement; null is an absent label. An
+ * absent label meets NotEquals and NotIn, and never Equals or In.
  */
 bool
-MeetsRequirement(const std::string* aValue, const Requirement& aOne);
+MeetsRequirement(const std::string* aValue, const Requirement& aRequirement);
 
 /** Whether the labels meet every requirement. */
 bool
-MeetsRequirements(const Labels& aLabels, const std::vector<Requirement>& aAll);
+MeetsRequirements(const Labels& aLabels,
+                  const std::vector<Requirement>& aRequirements);
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/errors.h
+++ b/src/libtrefoilarch/errors.h
@@ -10,7 +10,7 @@
 
 namespace trefoilarch {
 
-/** Every way in which the system refuses or fails; the list is closed. */
+/** All reasons for which the system rejects or fails a request. */
 enum class ErrorKind
 {
   InvalidRequest,
@@ -57,24 +57,23 @@
   Maybe,
 };
 
-/** One row of the table from error kind to the answer a caller gets. */
+/** The response that a caller gets for one kind of error. */
 struct ErrorAnswer
 {
   ErrorKind mKind;
-  std::string_view mName; /**< as in the answer's `kind` field */
+  std::string_view mName; /**< value of the response's `kind` field */
   int mHttpStatus;
-  bool mRetryable; /**< an answer of this kind carries a time to return */
+  bool mRetryable; /**< the response carries a retry time */
 };
 
-/** The whole table, one row for each kind, in the order of the enumeration. */
+/** One row for each kind of error, in the order of ErrorKind. */
 std::span<const ErrorAnswer>
 ErrorAnswers();
 
-/** The row of one kind. */
 const ErrorAnswer&
 AnswerFor(ErrorKind aKind);
 
-/** The name of a kind, as in an answer's `kind` field. */
+/** The value of the response's `kind` field. */
 std::string_view
 Name(ErrorKind aKind);
 
@@ -82,14 +81,14 @@
 std::string_view
 Name(Ran aRan);
 
-/** Why a request or an operation was refused or failed. */
+/** Why a request or an operation was rejected or failed. */
 struct Refusal
 {
   ErrorKind mKind = ErrorKind::Internal;
   Ran mRan = Ran::No;
-  /** When to come back; zero where coming back does not help. */
+  /** How long to wait before a retry; zero where a retry does not help. */
   Millis mRetryAfter;
-  /** For people; never request text, tokens or keys. */
+  /** Human-readable; never contains request text, tokens or keys. */
   std::string mMessage;
 
   bool operator==(const Refusal&) const = default;
--- a/src/libtrefoilarch/ids.cpp
+++ b/src/libtrefoilarch/ids.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kDigits = "0123456789abcdef";
 
 std::string
-Hex(uint64_t aValue)
+ToHex(uint64_t aValue)
 {
   std::string text(kHalfDigits, '0');
   for (size_t i = kHalfDigits; i-- > 0; aValue >>= 4) {
@@ -21,7 +21,7 @@
 }
 
 bool
-ReadHex(std::string_view aText, uint64_t& aValue)
+ParseHex(std::string_view aText, uint64_t& aValue)
 {
   const char* end = aText.data() + aText.size();
   const auto result = std::from_chars(aText.data(), end, aValue, 16);
@@ -33,7 +33,7 @@
 std::string
 RequestId::Text() const
 {
-  return Hex(mHigh) + Hex(mLow);
+  return ToHex(mHigh) + ToHex(mLow);
 }
 
 RequestId
@@ -41,8 +41,8 @@
 {
   RequestId id;
   if (aText.size() != 2 * kHalfDigits ||
-      !ReadHex(aText.substr(0, kHalfDigits), id.mHigh) ||
-      !ReadHex(aText.substr(kHalfDigits), id.mLow)) {
+      !ParseHex(aText.substr(0, kHalfDigits), id.mHigh) ||
+      !ParseHex(aText.substr(kHalfDigits), id.mLow)) {
     return {};
   }
   return id;
--- a/src/libtrefoilarch/ids.h
+++ b/src/libtrefoilarch/ids.h
@@ -9,7 +9,7 @@
 
 namespace trefoilarch {
 
-/** Names one caller's request through the whole system; 128 random bits. */
+/** Identifies a caller's request in all processes; 128 random bits. */
 struct RequestId
 {
   uint64_t mHigh = 0;
@@ -20,11 +20,11 @@
   /** 32 lower-case hexadecimal digits. */
   std::string Text() const;
 
-  /** Reads what Text() wrote; all zero if it is anything else. */
+  /** Parses the output of Text(); all zero if the text is malformed. */
   static RequestId FromText(std::string_view aText);
 };
 
-/** One try of a request at one upstream. Attempts count from 1. */
+/** One attempt of a request at an upstream. Attempts count from 1. */
 struct AttemptKey
 {
   RequestId mRequest;
@@ -33,10 +33,10 @@
   auto operator<=>(const AttemptKey&) const = default;
 };
 
-/** An upstream's name, as the platform's host list gives it. */
+/** An upstream's name in the platform's host list. */
 using UpstreamId = std::string;
 
-/** An entry process's name, made anew at each start of the process. */
+/** An entry process's name, generated at each start of the process. */
 using EntryId = std::string;
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/jsonfields.cpp
+++ b/src/libtrefoilarch/jsonfields.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-const JsonFields::Json kNothing;
+const JsonFields::Json kNullJson;
 
 } // namespace
 
 JsonFields::JsonFields(const Json& aObject,
                        std::string aPath,
                        PolicyFaults& aFaults)
-  : mObject(aObject.is_object() ? aObject : kNothing)
+  : mObject(aObject.is_object() ? aObject : kNullJson)
   , mPath(std::move(aPath))
   , mFaults(aFaults)
 {
@@ -23,12 +23,12 @@
 const JsonFields::Json*
 JsonFields::Find(const std::string& aName)
 {
-  mKnown.insert(aName);
+  mRequestedFields.insert(aName);
   if (!mObject.is_object()) {
     return nullptr;
   }
-  const auto place = mObject.find(aName);
-  return place == mObject.end() ? nullptr : &*place;
+  const auto found = mObject.find(aName);
+  return found == mObject.end() ? nullptr : &*found;
 }
 
 bool
@@ -61,7 +61,7 @@
 }
 
 bool
-JsonFields::Flag(const std::string& aName, bool aDefault)
+JsonFields::Bool(const std::string& aName, bool aDefault)
 {
   const Json* member = Find(aName);
   if (member == nullptr) {
@@ -76,19 +76,19 @@
 
 double
 JsonFields::Number(const std::string& aName,
-                   double aLeast,
-                   double aMost,
+                   double aMin,
+                   double aMax,
                    double aDefault)
 {
   const Json* member = Find(aName);
   if (member == nullptr) {
     return aDefault;
   }
-  const double value = member->is_number() ? member->get<double>() : aLeast - 1;
-  if (!(value >= aLeast && value <= aMost)) {
+  const double value = member->is_number() ? member->get<double>() : aMin - 1;
+  if (!(value >= aMin && value <= aMax)) {
     AddFault(aName,
-             "must be a number from " + Json(aLeast).dump() + " to " +
-               Json(aMost).dump());
+             "must be a number from " + Json(aMin).dump() + " to " +
+               Json(aMax).dump());
     return aDefault;
   }
   return value;
@@ -96,23 +96,23 @@
 
 int64_t
 JsonFields::Integer(const std::string& aName,
-                    int64_t aLeast,
-                    int64_t aMost,
+                    int64_t aMin,
+                    int64_t aMax,
                     int64_t aDefault)
 {
   const Json* member = Find(aName);
   if (member == nullptr) {
     return aDefault;
   }
-  const bool good =
+  const bool inRange =
     member->is_number_integer() &&
     !(member->is_number_unsigned() &&
       member->get<uint64_t>() > static_cast<uint64_t>(INT64_MAX)) &&
-    member->get<int64_t>() >= aLeast && member->get<int64_t>() <= aMost;
-  if (!good) {
+    member->get<int64_t>() >= aMin && member->get<int64_t>() <= aMax;
+  if (!inRange) {
     AddFault(aName,
-             "must be a whole number from " + std::to_string(aLeast) + " to " +
-               std::to_string(aMost));
+             "must be a whole number from " + std::to_string(aMin) + " to " +
+               std::to_string(aMax));
     return aDefault;
   }
   return member->get<int64_t>();
@@ -122,13 +122,13 @@
 JsonFields::Member(const std::string& aName)
 {
   const Json* member = Find(aName);
-  return member == nullptr ? kNothing : *member;
+  return member == nullptr ? kNullJson : *member;
 }
 
 void
 JsonFields::ForEach(
   const std::string& aName,
-  const std::function<void(const Json&, const std::string&)>& aDo)
+  const std::function<void(const Json&, const std::string&)>& aVisit)
 {
   const Json* member = Find(aName);
   if (member == nullptr) {
@@ -138,9 +138,9 @@
     AddFault(aName, "must be a list");
     return;
   }
-  size_t place = 0;
+  size_t index = 0;
   for (const Json& element : *member) {
-    aDo(element, PathOf(aName) + "[" + std::to_string(place++) + "]");
+    aVisit(element, PathOf(aName) + "[" + std::to_string(index++) + "]");
   }
 }
 
@@ -157,13 +157,13 @@
 }
 
 void
-JsonFields::Finish()
+JsonFields::CheckUnknownFields()
 {
   if (!mObject.is_object()) {
     return;
   }
   for (const auto& [name, value] : mObject.items()) {
-    if (!mKnown.contains(name)) {
+    if (!mRequestedFields.contains(name)) {
       AddFault(name, "is not a known field");
     }
   }
--- a/src/libtrefoilarch/jsonfields.h
+++ b/src/libtrefoilarch/jsonfields.h
@@ -13,9 +13,9 @@
 namespace trefoilarch {
 
 /**
- * Reads the fields of one JSON object. Every fault is noted under the field's
- * whole path; a field that nobody asked for is a fault when the reader is
- * finished.
+ * Reads the fields of one JSON object. Faults are recorded with the full path
+ * of the field. CheckUnknownFields() records the fields that were not
+ * requested.
  */
 class JsonFields
 {
@@ -27,25 +27,26 @@
   bool Has(const std::string& aName);
   std::string Text(const std::string& aName);
   std::string Text(const std::string& aName, std::string aDefault);
-  bool Flag(const std::string& aName, bool aDefault);
+  bool Bool(const std::string& aName, bool aDefault);
   double Number(const std::string& aName,
-                double aLeast,
-                double aMost,
+                double aMin,
+                double aMax,
                 double aDefault);
   int64_t Integer(const std::string& aName,
-                  int64_t aLeast,
-                  int64_t aMost,
+                  int64_t aMin,
+                  int64_t aMax,
                   int64_t aDefault);
-  /** The member as it stands; an empty value where there is none. */
+  /** The member's JSON value, or null if it is missing. */
   const Json& Member(const std::string& aName);
-  /** Calls back for each element of an array, with the element's path. */
-  void ForEach(const std::string& aName,
-               const std::function<void(const Json&, const std::string&)>& aDo);
-  /** Notes a fault of one of the object's fields. */
+  /** Calls aVisit with each element of an array and the element's path. */
+  void ForEach(
+    const std::string& aName,
+    const std::function<void(const Json&, const std::string&)>& aVisit);
+  /** Records a fault of one of the object's fields. */
   void AddFault(const std::string& aName, std::string aReason);
   std::string PathOf(const std::string& aName) const;
-  /** Notes each field that was not asked for. */
-  void Finish();
+  /** Records a fault for each field that was not requested. */
+  void CheckUnknownFields();
 
 private:
   const Json* Find(const std::string& aName);
@@ -53,7 +54,7 @@
   const Json& mObject;
   std::string mPath;
   PolicyFaults& mFaults;
-  std::set<std::string> mKnown;
+  std::set<std::string> mRequestedFields;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/millis.h
+++ b/src/libtrefoilarch/millis.h
@@ -7,10 +7,10 @@
 namespace trefoilarch {
 
 /**
- * A point in monotonic time, or a span of it, in milliseconds.
+ * A point in monotonic time or a duration, in milliseconds.
  *
- * The library never reads a clock: every call that needs the time takes it as
- * an argument, or through a Clock hook.
+ * The library never reads a clock: the caller passes the time as an argument
+ * or through a Clock hook.
  */
 class Millis
 {
@@ -43,23 +43,23 @@
   {
     return Millis(aLeft.mCount - aRight.mCount);
   }
-  friend constexpr Millis operator*(Millis aSpan, int64_t aFactor)
+  friend constexpr Millis operator*(Millis aDuration, int64_t aFactor)
   {
-    return Millis(aSpan.mCount * aFactor);
+    return Millis(aDuration.mCount * aFactor);
   }
-  friend constexpr Millis operator/(Millis aSpan, int64_t aDivisor)
+  friend constexpr Millis operator/(Millis aDuration, int64_t aDivisor)
   {
-    return Millis(aSpan.mCount / aDivisor);
+    return Millis(aDuration.mCount / aDivisor);
   }
 
-  /** Later than any time that is ever reached. */
+  /** Later than any time that occurs. */
   static constexpr Millis Never() { return Millis(INT64_MAX / 4); }
 
 private:
   int64_t mCount = 0;
 };
 
-/** Tells the monotonic time. */
+/** Returns the monotonic time. */
 using Clock = std::function<Millis()>;
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policy.h
+++ b/src/libtrefoilarch/policy.h
@@ -12,10 +12,10 @@
 
 namespace trefoilarch {
 
-/** Key-value pairs that describe a caller or an upstream. */
+/** Key-value pairs that describe traffic or an upstream. */
 using Labels = std::map<std::string, std::string>;
 
-/** How a Requirement looks at a label. */
+/** How a Requirement tests a label. */
 enum class RequirementOperator : uint8_t
 {
   Equals,
@@ -26,7 +26,7 @@
   NotExists,
 };
 
-/** One condition on one label; several are joined by "and". */
+/** A condition on one label. All requirements of a list must be met. */
 struct Requirement
 {
   std::string mKey;
@@ -36,17 +36,17 @@
   bool operator==(const Requirement&) const = default;
 };
 
-/** A request class and what its requests are owed. */
+/** A class of requests with its priority and its targets. */
 struct RequestClass
 {
   std::string mName;
   Tier mTier = kTierCount - 1;
-  double mFloor = 0; /**< share of starts it is sure of while it waits */
+  double mFloor = 0; /**< guaranteed share of starts while requests wait */
   Millis mFirstTokenTarget{ 1000 };
   Millis mBetweenTokenTarget{ 100 };
   Millis mDeadline{ 60000 };
-  bool mIdempotent = true; /**< unless the caller says otherwise */
-  /** Who may ask for the class; empty admits every known workspace. */
+  bool mIdempotent = true; /**< default for callers that do not specify it */
+  /** Who may use the class; empty admits every known workspace. */
   std::vector<Requirement> mCallers;
 
   bool operator==(const RequestClass&) const = default;
@@ -56,7 +56,7 @@
 struct Workspace
 {
   std::string mName;
-  /** SHA-256 of its bearer token in hexadecimal; empty: no token needed. */
+  /** SHA-256 of its bearer token in hexadecimal; empty: none required. */
   std::string mTokenHash;
   double mWeight = 1;
   std::string mDefaultClass;
@@ -66,11 +66,11 @@
 };
 
 /**
- * Says where traffic may go: a request that meets all of mTraffic may go to
- * each upstream that meets all of mUpstreams. Traffic that no selector
- * matches may go nowhere. Besides the caller's and the workspace's labels,
- * `workspace`, `class`, `model`, `service` and `data_centre` can be asked of
- * traffic; besides the upstream's own labels, `upstream` and `data_centre`.
+ * Allows requests that meet all of mTraffic on the upstreams that meet all of
+ * mUpstreams. A request that no selector matches is not sent anywhere.
+ * Requirements on traffic can test the caller's and the workspace's labels and
+ * `workspace`, `class`, `model`, `service` and `data_centre`; requirements on
+ * upstreams can test the upstream's labels, `upstream` and `data_centre`.
  */
 struct Selector
 {
@@ -81,20 +81,20 @@
   bool operator==(const Selector&) const = default;
 };
 
-/** What operators have set for one upstream. */
+/** An upstream's settings made by operators. */
 struct UpstreamSettings
 {
   std::string mName;
-  Labels mLabels; /**< go over the upstream's own labels */
+  Labels mLabels; /**< override the upstream's own labels */
   bool mDrained = false;
 
   bool operator==(const UpstreamSettings&) const = default;
 };
 
-/** All that operators have set, at one version. Never changed in place. */
+/** The complete policy at one version. Immutable once published. */
 struct Policy
 {
-  uint64_t mVersion = 0; /**< 0: no policy yet */
+  uint64_t mVersion = 0; /**< 0: no policy has been set */
   std::map<std::string, RequestClass> mClasses;
   std::map<std::string, Workspace> mWorkspaces;
   std::map<std::string, Selector> mSelectors;
--- a/src/libtrefoilarch/policychange.cpp
+++ b/src/libtrefoilarch/policychange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Carries out operations on a policy and notes what they touch. */
+/** Applies operations to a policy and records the objects they change. */
 class OperationApplier
 {
 public:
@@ -19,119 +19,128 @@
   {
   }
 
-  const std::set<std::string>& Touched() const { return mTouched; }
+  const std::set<std::string>& ChangedObjects() const
+  {
+    return mChangedObjects;
+  }
   PolicyFaults& Faults() { return mFaults; }
-  void At(size_t aPlace)
+  void SetOperationIndex(size_t aIndex)
   {
-    mPath = "operations[" + std::to_string(aPlace) + "]";
+    mPath = "operations[" + std::to_string(aIndex) + "]";
   }
 
-  void operator()(const SetClass& aOne)
+  void operator()(const SetClass& aOperation)
   {
-    Put(mPolicy.mClasses, aOne.mClass, "class/");
+    SetObject(mPolicy.mClasses, aOperation.mClass, "class/");
   }
-  void operator()(const SetWorkspace& aOne)
+  void operator()(const SetWorkspace& aOperation)
   {
-    Put(mPolicy.mWorkspaces, aOne.mWorkspace, "workspace/");
+    SetObject(mPolicy.mWorkspaces, aOperation.mWorkspace, "workspace/");
   }
-  void operator()(const SetSelector& aOne)
+  void operator()(const SetSelector& aOperation)
   {
-    Put(mPolicy.mSelectors, aOne.mSelector, "selector/");
+    SetObject(mPolicy.mSelectors, aOperation.mSelector, "selector/");
   }
-  void operator()(const RemoveClass& aOne)
+  void operator()(const RemoveClass& aOperation)
   {
-    Remove(mPolicy.mClasses, aOne.mName, "class/");
+    RemoveObject(mPolicy.mClasses, aOperation.mName, "class/");
   }
-  void operator()(const RemoveWorkspace& aOne)
+  void operator()(const RemoveWorkspace& aOperation)
   {
-    Remove(mPolicy.mWorkspaces, aOne.mName, "workspace/");
+    RemoveObject(mPolicy.mWorkspaces, aOperation.mName, "workspace/");
   }
-  void operator()(const RemoveSelector& aOne)
+  void operator()(const RemoveSelector& aOperation)
   {
-    Remove(mPolicy.mSelectors, aOne.mName, "selector/");
+    RemoveObject(mPolicy.mSelectors, aOperation.mName, "selector/");
   }
 
-  void operator()(const SetUpstreamLabels& aOne)
+  void operator()(const SetUpstreamLabels& aOperation)
   {
-    UpstreamSettings& settings = Upstream(aOne.mUpstream);
-    for (const auto& [key, value] : aOne.mLabels) {
+    UpstreamSettings& settings = EditUpstream(aOperation.mUpstream);
+    for (const auto& [key, value] : aOperation.mLabels) {
       if (value) {
         settings.mLabels[key] = *value;
       } else {
         settings.mLabels.erase(key);
       }
     }
-    Tidy(aOne.mUpstream);
+    EraseIfDefault(aOperation.mUpstream);
   }
 
-  void operator()(const SetDrained& aOne)
+  void operator()(const SetDrained& aOperation)
   {
-    Upstream(aOne.mUpstream).mDrained = aOne.mDrained;
-    Tidy(aOne.mUpstream);
+    EditUpstream(aOperation.mUpstream).mDrained = aOperation.mDrained;
+    EraseIfDefault(aOperation.mUpstream);
   }
 
-  void operator()(const ReplacePolicy& aOne)
+  void operator()(const ReplacePolicy& aOperation)
   {
-    TouchDifferent(mPolicy.mClasses, aOne.mPolicy.mClasses, "class/");
-    TouchDifferent(mPolicy.mWorkspaces, aOne.mPolicy.mWorkspaces, "workspace/");
-    TouchDifferent(mPolicy.mSelectors, aOne.mPolicy.mSelectors, "selector/");
-    TouchDifferent(mPolicy.mUpstreams, aOne.mPolicy.mUpstreams, "upstream/");
-    mPolicy = aOne.mPolicy;
+    AddDifferences(mPolicy.mClasses, aOperation.mPolicy.mClasses, "class/");
+    AddDifferences(
+      mPolicy.mWorkspaces, aOperation.mPolicy.mWorkspaces, "workspace/");
+    AddDifferences(
+      mPolicy.mSelectors, aOperation.mPolicy.mSelectors, "selector/");
+    AddDifferences(
+      mPolicy.mUpstreams, aOperation.mPolicy.mUpstreams, "upstream/");
+    mPolicy = aOperation.mPolicy;
   }
 
-  void operator()(const VoidChange& aOne)
+  void operator()(const VoidChange& aOperation)
   {
-    mState.mChangeIds.try_emplace(aOne.mId,
+    mState.mChangeIds.try_emplace(aOperation.mId,
                                   ChangeIdRecord{ mState.Version() + 1, true });
   }
 
 private:
   template<typename T>
-  void Put(std::map<std::string, T>& aMap, const T& aValue, const char* aKind)
+  void SetObject(std::map<std::string, T>& aMap,
+                 const T& aValue,
+                 const char* aPrefix)
   {
-    mTouched.insert(aKind + aValue.mName);
+    mChangedObjects.insert(aPrefix + aValue.mName);
     aMap[aValue.mName] = aValue;
   }
 
   template<typename T>
-  void Remove(std::map<std::string, T>& aMap,
-              const std::string& aName,
-              const char* aKind)
+  void RemoveObject(std::map<std::string, T>& aMap,
+                    const std::string& aName,
+                    const char* aPrefix)
   {
-    mTouched.insert(aKind + aName);
+    mChangedObjects.insert(aPrefix + aName);
     if (aMap.erase(aName) == 0) {
-      mFaults.push_back({ mPath + ".name", "there is no " + (aKind + aName) });
+      mFaults.push_back(
+        { mPath + ".name", "there is no " + (aPrefix + aName) });
     }
   }
 
   template<typename T>
-  void TouchDifferent(const std::map<std::string, T>& aOld,
+  void AddDifferences(const std::map<std::string, T>& aOld,
                       const std::map<std::string, T>& aNew,
-                      const char* aKind)
+                      const char* aPrefix)
   {
     for (const auto& [name, value] : aOld) {
-      const auto place = aNew.find(name);
-      if (place == aNew.end() || place->second != value) {
-        mTouched.insert(aKind + name);
+      const auto found = aNew.find(name);
+      if (found == aNew.end() || found->second != value) {
+        mChangedObjects.insert(aPrefix + name);
       }
     }
     for (const auto& [name, value] : aNew) {
       if (!aOld.contains(name)) {
-        mTouched.insert(aKind + name);
+        mChangedObjects.insert(aPrefix + name);
       }
     }
   }
 
-  UpstreamSettings& Upstream(const std::string& aName)
+  UpstreamSettings& EditUpstream(const std::string& aName)
   {
-    mTouched.insert("upstream/" + aName);
+    mChangedObjects.insert("upstream/" + aName);
     UpstreamSettings& settings = mPolicy.mUpstreams[aName];
     settings.mName = aName;
     return settings;
   }
 
-  /** Settings that say nothing are dropped, or they would only pile up. */
-  void Tidy(const std::string& aName)
+  /** Drops empty settings, which would accumulate otherwise. */
+  void EraseIfDefault(const std::string& aName)
   {
     const UpstreamSettings& settings = mPolicy.mUpstreams[aName];
     if (!settings.mDrained && settings.mLabels.empty()) {
@@ -141,7 +150,7 @@
 
   Policy& mPolicy;
   PolicyState& mState;
-  std::set<std::string> mTouched;
+  std::set<std::string> mChangedObjects;
   PolicyFaults mFaults;
   std::string mPath;
 };
@@ -153,71 +162,71 @@
 }
 
 void
-ForgetOld(PolicyState& aState)
+DropOldRecords(PolicyState& aState)
 {
   const uint64_t version = aState.Version();
   if (version <= kRetainedPolicyVersions || version % 100 != 0) {
     return;
   }
-  const uint64_t oldest = version - kRetainedPolicyVersions;
-  std::erase_if(aState.mObjectRevisions, [oldest](const auto& aEntry) {
-    return aEntry.second.mVersion < oldest;
+  const uint64_t oldestRetained = version - kRetainedPolicyVersions;
+  std::erase_if(aState.mObjectRevisions, [oldestRetained](const auto& aEntry) {
+    return aEntry.second.mVersion < oldestRetained;
   });
-  std::erase_if(aState.mChangeIds, [oldest](const auto& aEntry) {
-    return aEntry.second.mVersion < oldest;
+  std::erase_if(aState.mChangeIds, [oldestRetained](const auto& aEntry) {
+    return aEntry.second.mVersion < oldestRetained;
   });
 }
 
 std::vector<PolicyConflict>
 FindConflicts(const PolicyState& aState,
-              const std::set<std::string>& aTouched,
-              uint64_t aBase)
+              const std::set<std::string>& aChangedObjects,
+              uint64_t aBaseVersion)
 {
   std::vector<PolicyConflict> conflicts;
-  if (aBase + kRetainedPolicyVersions < aState.Version()) {
+  if (aBaseVersion + kRetainedPolicyVersions < aState.Version()) {
     conflicts.push_back({ "policy", aState.Version(), "" });
     return conflicts;
   }
-  for (const std::string& object : aTouched) {
-    const auto mark = aState.mObjectRevisions.find(object);
-    if (mark != aState.mObjectRevisions.end() &&
-        mark->second.mVersion > aBase) {
+  for (const std::string& object : aChangedObjects) {
+    const auto revision = aState.mObjectRevisions.find(object);
+    if (revision != aState.mObjectRevisions.end() &&
+        revision->second.mVersion > aBaseVersion) {
       conflicts.push_back(
-        { object, mark->second.mVersion, mark->second.mAuthor });
+        { object, revision->second.mVersion, revision->second.mAuthor });
     }
   }
   return conflicts;
 }
 
-/** Applies all operations and marks what they touch. */
+/** Applies all operations and updates the changed objects' revisions. */
 ChangeOutcome
-Apply(const PolicyState& aState, const PolicyChange& aChange, bool aJudge)
+Apply(const PolicyState& aState, const PolicyChange& aChange, bool aValidate)
 {
   ChangeOutcome outcome{ aState, {}, {} };
   Policy policy = *aState.mPolicy;
   OperationApplier applier(policy, outcome.mState);
-  size_t place = 0;
+  size_t index = 0;
   for (const PolicyOperation& operation : aChange.mOperations) {
-    applier.At(place++);
+    applier.SetOperationIndex(index++);
     std::visit(applier, operation);
   }
   policy.mVersion = aState.Version() + 1;
-  if (aJudge) {
+  if (aValidate) {
     outcome.mFaults = std::move(applier.Faults());
     Append(outcome.mFaults, ValidateChange(aChange));
     Append(outcome.mFaults, ValidatePolicy(policy));
     if (aChange.mBaseVersion) {
       outcome.mConflicts =
-        FindConflicts(aState, applier.Touched(), *aChange.mBaseVersion);
+        FindConflicts(aState, applier.ChangedObjects(), *aChange.mBaseVersion);
     }
   }
-  for (const std::string& object : applier.Touched()) {
+  for (const std::string& object : applier.ChangedObjects()) {
     outcome.mState.mObjectRevisions[object] = { policy.mVersion,
                                                 aChange.mAuthor };
   }
   outcome.mState.mChangeIds[aChange.mId] = { policy.mVersion, false };
   outcome.mState.mPolicy = std::make_shared<Policy>(std::move(policy));
-  ForgetOld(outcome.mState);
+  DropOldRecords(outcome.mState);
   return outcome;
 }
 
@@ -226,11 +235,11 @@
 ChangeStatus
 ChangeStatusOf(const PolicyState& aState, const std::string& aId)
 {
-  const auto place = aState.mChangeIds.find(aId);
-  if (place == aState.mChangeIds.end()) {
+  const auto found = aState.mChangeIds.find(aId);
+  if (found == aState.mChangeIds.end()) {
     return ChangeStatus::NotSeen;
   }
-  return place->second.mVoided ? ChangeStatus::Voided : ChangeStatus::Accepted;
+  return found->second.mVoided ? ChangeStatus::Voided : ChangeStatus::Accepted;
 }
 
 ChangeOutcome
--- a/src/libtrefoilarch/policychange.h
+++ b/src/libtrefoilarch/policychange.h
@@ -8,7 +8,7 @@
 
 namespace trefoilarch {
 
-/** An object that another change touched after the author's base version. */
+/** An object that another change modified after the base version. */
 struct PolicyConflict
 {
   std::string mObject; /**< such as `class/call` */
@@ -18,10 +18,10 @@
   bool operator==(const PolicyConflict&) const = default;
 };
 
-/** What becomes of a change on top of a state. */
+/** The result of applying a change to a state. */
 struct ChangeOutcome
 {
-  PolicyState mState; /**< of use only where there is no fault or conflict */
+  PolicyState mState; /**< usable only if IsValid() */
   PolicyFaults mFaults;
   std::vector<PolicyConflict> mConflicts;
 
@@ -29,15 +29,15 @@
 };
 
 /**
- * Judges a change by the state it is to follow: its fields, its references
- * and, where it has a base version, what was changed since.
+ * Applies a change and validates its fields and references. If it has a base
+ * version, objects that were changed since then are conflicts.
  */
 ChangeOutcome
 ApplyChange(const PolicyState& aState, const PolicyChange& aChange);
 
 /**
- * Applies a change that the log has accepted. The log decides: nothing is
- * judged again, so that all processes get the same state.
+ * Applies a change that the log has accepted, without validating it again, so
+ * that all processes reach the same state.
  */
 PolicyState
 ApplyLogged(const PolicyState& aState, const LoggedChange& aLogged);
--- a/src/libtrefoilarch/policycodec.h
+++ b/src/libtrefoilarch/policycodec.h
@@ -7,26 +7,26 @@
 #include <string>
 
 /**
- * The policy and its changes as JSON text, as operators, the change log and
- * the snapshots have it. Unknown fields are refused.
+ * The JSON format of policies and changes, as used by operators, the change log
+ * and snapshots. Unknown fields are rejected.
  */
 namespace trefoilarch {
 
 std::string
 PolicyToJson(const Policy& aPolicy);
 
-/** Reads what PolicyToJson wrote, or what an operator did. */
+/** Parses a policy, written by PolicyToJson or by an operator. */
 ParseResult<Policy>
 PolicyFromJson(const std::string& aText);
 
 std::string
 ChangeToJson(const PolicyChange& aChange);
 
-/** Reads a change; faults name fields such as `operations[0].class.tier`. */
+/** Parses a change; faults name fields such as `operations[0].class.tier`. */
 ParseResult<PolicyChange>
 ChangeFromJson(const std::string& aText);
 
-/** A whole state, for snapshots; equal states give equal text. */
+/** The complete state, for snapshots; equal states give equal text. */
 std::string
 StateToJson(const PolicyState& aState);
 
--- a/src/libtrefoilarch/policydecoding.cpp
+++ b/src/libtrefoilarch/policydecoding.cpp
@@ -13,9 +13,9 @@
 
 using Json = nlohmann::json;
 
-constexpr int64_t kLongestSpan = 86'400'000;
-constexpr double kMostWeight = 1000;
-constexpr double kLeastWeight = 0.001;
+constexpr int64_t kMaxDurationMs = 86'400'000;
+constexpr double kMaxWeight = 1000;
+constexpr double kMinWeight = 0.001;
 
 Requirement
 ReadRequirement(const Json& aJson,
@@ -26,23 +26,24 @@
   Requirement value;
   value.mKey = fields.Text("key");
   const std::string name = fields.Text("op");
-  const auto place = std::find(
+  const auto found = std::find(
     kRequirementOperatorNames.begin(), kRequirementOperatorNames.end(), name);
-  if (place == kRequirementOperatorNames.end()) {
+  if (found == kRequirementOperatorNames.end()) {
     fields.AddFault(
       "op", "must be equals, not_equals, in, not_in, exists or not_exists");
   } else {
     value.mOperator = static_cast<RequirementOperator>(
-      place - kRequirementOperatorNames.begin());
+      found - kRequirementOperatorNames.begin());
   }
-  fields.ForEach("values", [&](const Json& aValue, const std::string& aPlace) {
-    if (aValue.is_string()) {
-      value.mValues.push_back(aValue.get<std::string>());
-    } else {
-      aFaults.push_back({ aPlace, "must be a string" });
-    }
-  });
-  fields.Finish();
+  fields.ForEach("values",
+                 [&](const Json& aValue, const std::string& aValuePath) {
+                   if (aValue.is_string()) {
+                     value.mValues.push_back(aValue.get<std::string>());
+                   } else {
+                     aFaults.push_back({ aValuePath, "must be a string" });
+                   }
+                 });
+  fields.CheckUnknownFields();
   return value;
 }
 
@@ -79,9 +80,9 @@
 }
 
 Millis
-ReadSpan(JsonFields& aFields, const std::string& aName, Millis aDefault)
+ReadDuration(JsonFields& aFields, const std::string& aName, Millis aDefault)
 {
-  return Millis(aFields.Integer(aName, 1, kLongestSpan, aDefault.Count()));
+  return Millis(aFields.Integer(aName, 1, kMaxDurationMs, aDefault.Count()));
 }
 
 RequestClass
@@ -94,13 +95,13 @@
     static_cast<Tier>(fields.Integer("tier", 0, kTierCount - 1, value.mTier));
   value.mFloor = fields.Number("floor", 0, 1, value.mFloor);
   value.mFirstTokenTarget =
-    ReadSpan(fields, "first_token_ms", value.mFirstTokenTarget);
+    ReadDuration(fields, "first_token_ms", value.mFirstTokenTarget);
   value.mBetweenTokenTarget =
-    ReadSpan(fields, "between_token_ms", value.mBetweenTokenTarget);
-  value.mDeadline = ReadSpan(fields, "deadline_ms", value.mDeadline);
-  value.mIdempotent = fields.Flag("idempotent", value.mIdempotent);
+    ReadDuration(fields, "between_token_ms", value.mBetweenTokenTarget);
+  value.mDeadline = ReadDuration(fields, "deadline_ms", value.mDeadline);
+  value.mIdempotent = fields.Bool("idempotent", value.mIdempotent);
   value.mCallers = ReadRequirements(fields, "callers", aFaults);
-  fields.Finish();
+  fields.CheckUnknownFields();
   return value;
 }
 
@@ -114,10 +115,10 @@
   value.mName = fields.Text("name");
   value.mTokenHash = fields.Text("token_sha256", "");
   value.mWeight =
-    fields.Number("weight", kLeastWeight, kMostWeight, value.mWeight);
+    fields.Number("weight", kMinWeight, kMaxWeight, value.mWeight);
   value.mDefaultClass = fields.Text("default_class", "");
   value.mLabels = ReadLabels(fields, "labels");
-  fields.Finish();
+  fields.CheckUnknownFields();
   return value;
 }
 
@@ -129,7 +130,7 @@
   value.mName = fields.Text("name");
   value.mTraffic = ReadRequirements(fields, "traffic", aFaults);
   value.mUpstreams = ReadRequirements(fields, "upstreams", aFaults);
-  fields.Finish();
+  fields.CheckUnknownFields();
   return value;
 }
 
@@ -140,17 +141,17 @@
   UpstreamSettings value;
   value.mName = fields.Text("name");
   value.mLabels = ReadLabels(fields, "labels");
-  value.mDrained = fields.Flag("drained", false);
-  fields.Finish();
+  value.mDrained = fields.Bool("drained", false);
+  fields.CheckUnknownFields();
   return value;
 }
 
 template<typename T>
 std::map<std::string, T>
-ReadNamed(JsonFields& aFields,
-          const std::string& aName,
-          PolicyFaults& aFaults,
-          T (*aRead)(const Json&, const std::string&, PolicyFaults&))
+ReadNamedList(JsonFields& aFields,
+              const std::string& aName,
+              PolicyFaults& aFaults,
+              T (*aRead)(const Json&, const std::string&, PolicyFaults&))
 {
   std::map<std::string, T> values;
   aFields.ForEach(aName, [&](const Json& aValue, const std::string& aPath) {
@@ -175,11 +176,12 @@
   JsonFields fields(aJson, aPath, aFaults);
   Policy policy;
   policy.mVersion = ReadVersion(fields);
-  policy.mClasses = ReadNamed(fields, "classes", aFaults, ReadClass);
-  policy.mWorkspaces = ReadNamed(fields, "workspaces", aFaults, ReadWorkspace);
-  policy.mSelectors = ReadNamed(fields, "selectors", aFaults, ReadSelector);
-  policy.mUpstreams = ReadNamed(fields, "upstreams", aFaults, ReadUpstream);
-  fields.Finish();
+  policy.mClasses = ReadNamedList(fields, "classes", aFaults, ReadClass);
+  policy.mWorkspaces =
+    ReadNamedList(fields, "workspaces", aFaults, ReadWorkspace);
+  policy.mSelectors = ReadNamedList(fields, "selectors", aFaults, ReadSelector);
+  policy.mUpstreams = ReadNamedList(fields, "upstreams", aFaults, ReadUpstream);
+  fields.CheckUnknownFields();
   return policy;
 }
 
@@ -270,10 +272,10 @@
     return;
   }
   aChange.mOperations.push_back(std::move(*operation));
-  fields.Finish();
+  fields.CheckUnknownFields();
 }
 
-/** Parses text; notes a fault and gives null where it is not JSON. */
+/** Parses text; records a fault and returns {} if it is not JSON. */
 Json
 Parse(const std::string& aText, PolicyFaults& aFaults)
 {
@@ -290,18 +292,18 @@
 ParseResult<Policy>
 PolicyFromJson(const std::string& aText)
 {
-  ParseResult<Policy> reading;
-  const Json json = Parse(aText, reading.mFaults);
-  reading.mValue = ReadPolicy(json, "", reading.mFaults);
-  return reading;
+  ParseResult<Policy> result;
+  const Json json = Parse(aText, result.mFaults);
+  result.mValue = ReadPolicy(json, "", result.mFaults);
+  return result;
 }
 
 ParseResult<PolicyChange>
 ChangeFromJson(const std::string& aText)
 {
-  ParseResult<PolicyChange> reading;
-  PolicyFaults& faults = reading.mFaults;
-  PolicyChange& change = reading.mValue;
+  ParseResult<PolicyChange> result;
+  PolicyFaults& faults = result.mFaults;
+  PolicyChange& change = result.mValue;
   const Json json = Parse(aText, faults);
   JsonFields fields(json, "", faults);
   change.mId = fields.Text("id");
@@ -314,33 +316,34 @@
   if (!fields.Has("operations")) {
     fields.AddFault("operations", "is missing");
   }
-  fields.ForEach("operations", [&](const Json& aOne, const std::string& aPath) {
-    ReadOperation(aOne, aPath, change, faults);
-  });
-  fields.Finish();
-  return reading;
+  fields.ForEach("operations",
+                 [&](const Json& aOperation, const std::string& aPath) {
+                   ReadOperation(aOperation, aPath, change, faults);
+                 });
+  fields.CheckUnknownFields();
+  return result;
 }
 
 ParseResult<PolicyState>
 StateFromJson(const std::string& aText)
 {
-  ParseResult<PolicyState> reading;
-  PolicyFaults& faults = reading.mFaults;
+  ParseResult<PolicyState> result;
+  PolicyFaults& faults = result.mFaults;
   const Json json = Parse(aText, faults);
   JsonFields fields(json, "", faults);
-  reading.mValue.mPolicy = std::make_shared<Policy>(
+  result.mValue.mPolicy = std::make_shared<Policy>(
     ReadPolicy(fields.Member("policy"), "policy", faults));
   for (const auto& [object, value] : fields.Member("marks").items()) {
-    JsonFields mark(value, "marks." + object, faults);
-    reading.mValue.mObjectRevisions[object] = { ReadVersion(mark),
-                                                mark.Text("author") };
+    JsonFields record(value, "marks." + object, faults);
+    result.mValue.mObjectRevisions[object] = { ReadVersion(record),
+                                               record.Text("author") };
   }
   for (const auto& [id, value] : fields.Member("ids").items()) {
-    JsonFields mark(value, "ids." + id, faults);
-    reading.mValue.mChangeIds[id] = { ReadVersion(mark),
-                                      mark.Flag("voided", false) };
+    JsonFields record(value, "ids." + id, faults);
+    result.mValue.mChangeIds[id] = { ReadVersion(record),
+                                     record.Bool("voided", false) };
   }
-  return reading;
+  return result;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policyencoding.cpp
+++ b/src/libtrefoilarch/policyencoding.cpp
@@ -101,52 +101,54 @@
   return labels;
 }
 
-/** Writes each kind of operation. */
-struct OperationWriter
+/** Encodes each kind of operation. */
+struct OperationEncoder
 {
-  Json operator()(const SetClass& aOne) const
+  Json operator()(const SetClass& aOperation) const
   {
-    return { { "op", "set_class" }, { "class", ToJson(aOne.mClass) } };
+    return { { "op", "set_class" }, { "class", ToJson(aOperation.mClass) } };
   }
-  Json operator()(const RemoveClass& aOne) const
+  Json operator()(const RemoveClass& aOperation) const
   {
-    return { { "op", "remove_class" }, { "name", aOne.mName } };
+    return { { "op", "remove_class" }, { "name", aOperation.mName } };
   }
-  Json operator()(const SetWorkspace& aOne) const
+  Json operator()(const SetWorkspace& aOperation) const
   {
     return { { "op", "set_workspace" },
-             { "workspace", ToJson(aOne.mWorkspace) } };
+             { "workspace", ToJson(aOperation.mWorkspace) } };
   }
-  Json operator()(const RemoveWorkspace& aOne) const
+  Json operator()(const RemoveWorkspace& aOperation) const
   {
-    return { { "op", "remove_workspace" }, { "name", aOne.mName } };
+    return { { "op", "remove_workspace" }, { "name", aOperation.mName } };
   }
-  Json operator()(const SetSelector& aOne) const
+  Json operator()(const SetSelector& aOperation) const
   {
-    return { { "op", "set_selector" }, { "selector", ToJson(aOne.mSelector) } };
+    return { { "op", "set_selector" },
+             { "selector", ToJson(aOperation.mSelector) } };
   }
-  Json operator()(const RemoveSelector& aOne) const
+  Json operator()(const RemoveSelector& aOperation) const
   {
-    return { { "op", "remove_selector" }, { "name", aOne.mName } };
+    return { { "op", "remove_selector" }, { "name", aOperation.mName } };
   }
-  Json operator()(const SetUpstreamLabels& aOne) const
+  Json operator()(const SetUpstreamLabels& aOperation) const
   {
     return { { "op", "set_upstream_labels" },
-             { "upstream", aOne.mUpstream },
-             { "labels", LabelsToJson(aOne.mLabels) } };
+             { "upstream", aOperation.mUpstream },
+             { "labels", LabelsToJson(aOperation.mLabels) } };
   }
-  Json operator()(const SetDrained& aOne) const
+  Json operator()(const SetDrained& aOperation) const
   {
-    return { { "op", aOne.mDrained ? "drain" : "undrain" },
-             { "upstream", aOne.mUpstream } };
+    return { { "op", aOperation.mDrained ? "drain" : "undrain" },
+             { "upstream", aOperation.mUpstream } };
   }
-  Json operator()(const ReplacePolicy& aOne) const
+  Json operator()(const ReplacePolicy& aOperation) const
   {
-    return { { "op", "replace_policy" }, { "policy", ToJson(aOne.mPolicy) } };
+    return { { "op", "replace_policy" },
+             { "policy", ToJson(aOperation.mPolicy) } };
   }
-  Json operator()(const VoidChange& aOne) const
+  Json operator()(const VoidChange& aOperation) const
   {
-    return { { "op", "void_change" }, { "id", aOne.mId } };
+    return { { "op", "void_change" }, { "id", aOperation.mId } };
   }
 };
 
@@ -163,7 +165,7 @@
 {
   Json operations = Json::array();
   for (const PolicyOperation& operation : aChange.mOperations) {
-    operations.push_back(std::visit(OperationWriter(), operation));
+    operations.push_back(std::visit(OperationEncoder(), operation));
   }
   Json json = { { "id", aChange.mId },
                 { "author", aChange.mAuthor },
@@ -178,18 +180,18 @@
 std::string
 StateToJson(const PolicyState& aState)
 {
-  Json marks = Json::object();
-  for (const auto& [object, mark] : aState.mObjectRevisions) {
-    marks[object] = { { "version", mark.mVersion },
-                      { "author", mark.mAuthor } };
+  Json revisions = Json::object();
+  for (const auto& [object, record] : aState.mObjectRevisions) {
+    revisions[object] = { { "version", record.mVersion },
+                          { "author", record.mAuthor } };
   }
   Json ids = Json::object();
-  for (const auto& [id, mark] : aState.mChangeIds) {
-    ids[id] = { { "version", mark.mVersion }, { "voided", mark.mVoided } };
+  for (const auto& [id, record] : aState.mChangeIds) {
+    ids[id] = { { "version", record.mVersion }, { "voided", record.mVoided } };
   }
   return Json{
     { "policy", ToJson(*aState.mPolicy) },
-    { "marks", std::move(marks) },
+    { "marks", std::move(revisions) },
     { "ids", std::move(ids) }
   }.dump();
 }
--- a/src/libtrefoilarch/policyfault.h
+++ b/src/libtrefoilarch/policyfault.h
@@ -5,7 +5,7 @@
 
 namespace trefoilarch {
 
-/** What is wrong with one field of a policy or a change, for its author. */
+/** An error in one field of a policy or a change. */
 struct PolicyFault
 {
   std::string mField; /**< such as `classes[call].tier` */
@@ -16,7 +16,7 @@
 
 using PolicyFaults = std::vector<PolicyFault>;
 
-/** A value that was read from text, usable only where there is no fault. */
+/** A parsed value, usable only if there are no faults. */
 template<typename T>
 struct ParseResult
 {
--- a/src/libtrefoilarch/policylog.cpp
+++ b/src/libtrefoilarch/policylog.cpp
@@ -9,13 +9,16 @@
 
 namespace {
 
-constexpr size_t kLongestVoided = 90;
+constexpr size_t kMaxVoidedIdLength = 90;
 
-/** The same in every process, and short enough for any id. */
+/**
+ * The id of the change that voids aId: equal in all processes, and truncated
+ * to the maximum length of an id.
+ */
 std::string
 VoidId(const std::string& aId)
 {
-  return "void-" + aId.substr(0, kLongestVoided);
+  return "void-" + aId.substr(0, kMaxVoidedIdLength);
 }
 
 } // namespace
@@ -30,7 +33,7 @@
 PolicyLogActions
 PolicyLog::OnTick(Millis aNow)
 {
-  return Drive(aNow);
+  return Advance(aNow);
 }
 
 PolicyLogActions
@@ -47,7 +50,7 @@
   proposal.mChange = std::move(aChange);
   proposal.mDeadline = aDeadline;
   mProposals.push_back(std::move(proposal));
-  return Drive(aNow);
+  return Advance(aNow);
 }
 
 PolicyLogActions
@@ -64,109 +67,110 @@
   proposal.mChange.mId = VoidId(aId);
   proposal.mChange.mOperations = { VoidChange{ aId } };
   proposal.mDeadline = aDeadline;
-  proposal.mAsksFor = std::move(aId);
+  proposal.mQueriedId = std::move(aId);
   mProposals.push_back(std::move(proposal));
-  return Drive(aNow);
+  return Advance(aNow);
 }
 
 PolicyLogActions
 PolicyLog::OnRows(std::optional<std::vector<LogRow>> aRows, Millis aNow)
 {
-  mReading = false;
+  mReadPending = false;
   mTableFailed = !aRows.has_value();
   if (!aRows) {
     mSource = Source::Peer;
-    return Drive(aNow);
+    return Advance(aNow);
   }
-  if (!Apply(*aRows)) {
-    mSource = mBehind ? Source::Snapshot : Source::Rows;
-    WaitAfterFailure(aNow);
+  if (!ApplyRows(*aRows)) {
+    mSource = mRowsMissing ? Source::Snapshot : Source::Rows;
+    BackOff(aNow);
   } else if (aRows->size() < mOptions.mReadLimit) {
-    NoteTail(aNow);
+    OnTailReached(aNow);
   }
-  return Drive(aNow);
+  return Advance(aNow);
 }
 
 PolicyLogActions
-PolicyLog::OnSnapshot(const SnapshotReadResult& aFound, Millis aNow)
+PolicyLog::OnSnapshot(const SnapshotReadResult& aResult, Millis aNow)
 {
-  mReading = false;
-  const bool adopted =
-    aFound.mReached && !aFound.mText.empty() && AdoptSnapshot(aFound.mText);
-  if (adopted) {
-    mSnapshotted = std::max(mSnapshotted, mState.Version());
-  }
-  mSource = mBehind ? Source::Peer : Source::Rows;
-  return Drive(aNow);
+  mReadPending = false;
+  const bool isAdopted =
+    aResult.mReached && !aResult.mText.empty() && AdoptSnapshot(aResult.mText);
+  if (isAdopted) {
+    mNewestSnapshotVersion = std::max(mNewestSnapshotVersion, mState.Version());
+  }
+  mSource = mRowsMissing ? Source::Peer : Source::Rows;
+  return Advance(aNow);
 }
 
 PolicyLogActions
 PolicyLog::OnPulled(std::optional<PolicyDelta> aDelta, Millis aNow)
 {
-  mReading = false;
+  mReadPending = false;
   if (aDelta) {
     if (!aDelta->mSnapshotText.empty()) {
       AdoptSnapshot(aDelta->mSnapshotText);
     }
-    Apply(aDelta->mRows);
+    ApplyRows(aDelta->mRows);
   }
   const bool empty = mState.Version() == 0;
-  mKnown = mKnown || !empty;
-  mSource = mBehind || empty ? Source::Snapshot : Source::Rows;
-  mEager = mSeen > mState.Version();
-  if (mTableFailed || mBehind) {
-    WaitAfterFailure(aNow);
+  mLoaded = mLoaded || !empty;
+  mSource = mRowsMissing || empty ? Source::Snapshot : Source::Rows;
+  mReadImmediately = mHighestVersionSeen > mState.Version();
+  if (mTableFailed || mRowsMissing) {
+    BackOff(aNow);
   }
-  return Drive(aNow);
+  return Advance(aNow);
 }
 
 PolicyLogActions
 PolicyLog::OnVersionSeen(uint64_t aVersion, Millis aNow)
 {
-  if (aVersion <= std::max(mSeen, mState.Version())) {
+  if (aVersion <= std::max(mHighestVersionSeen, mState.Version())) {
     return {};
   }
-  mSeen = aVersion;
-  mEager = true;
-  if (!mReading && mSource == Source::Rows) {
+  mHighestVersionSeen = aVersion;
+  mReadImmediately = true;
+  if (!mReadPending && mSource == Source::Rows) {
     mSource = Source::Peer;
   }
-  return Drive(aNow);
+  return Advance(aNow);
 }
 
 PolicyLogActions
-PolicyLog::OnInserted(InsertOutcome aEnd, Millis aNow)
+PolicyLog::OnInserted(InsertOutcome aOutcome, Millis aNow)
 {
   PolicyLogActions out;
-  const LogRow row = std::move(*mInserting);
-  mInserting.reset();
-  const bool ours =
-    !mProposals.empty() && mProposals.front().mNumber == mInsertingFor;
-  if (aEnd == InsertOutcome::Inserted) {
-    Apply({ row });
-    Announce(out);
+  const LogRow row = std::move(*mPendingInsert);
+  mPendingInsert.reset();
+  const bool isHead =
+    !mProposals.empty() && mProposals.front().mNumber == mPendingInsertProposal;
+  if (aOutcome == InsertOutcome::Inserted) {
+    ApplyRows({ row });
+    AnnouncePolicy(out);
     if (mState.Version() == row.mVersion &&
         row.mVersion / mOptions.mSnapshotEvery >
-          mSnapshotted / mOptions.mSnapshotEvery) {
-      mSnapshotDue = WriteSnapshot{ row.mVersion, StateToJson(mState) };
+          mNewestSnapshotVersion / mOptions.mSnapshotEvery) {
+      mUnwrittenSnapshot = WriteSnapshot{ row.mVersion, StateToJson(mState) };
     }
   }
-  if (ours) {
+  if (isHead) {
     Proposal& head = mProposals.front();
-    head.mReadAsked = false;
-    head.mFresh = aEnd == InsertOutcome::Inserted;
-    if (aEnd == InsertOutcome::Unknown) {
-      head.mUnsettledAt = row.mVersion;
+    head.mReadRequested = false;
+    head.mAtTail = aOutcome == InsertOutcome::Inserted;
+    if (aOutcome == InsertOutcome::Unknown) {
+      head.mUnsettledVersion = row.mVersion;
     }
-    if (aEnd == InsertOutcome::Inserted) {
-      head.mUnsettledAt = 0;
+    if (aOutcome == InsertOutcome::Inserted) {
+      head.mUnsettledVersion = 0;
     }
   }
-  if (aEnd == InsertOutcome::Unknown || aEnd == InsertOutcome::NotSent) {
-    WaitAfterFailure(aNow);
+  if (aOutcome == InsertOutcome::Unknown ||
+      aOutcome == InsertOutcome::NotSent) {
+    BackOff(aNow);
   }
-  const PolicyLogActions more = Drive(aNow);
-  out.insert(out.end(), more.begin(), more.end());
+  const PolicyLogActions further = Advance(aNow);
+  out.insert(out.end(), further.begin(), further.end());
   return out;
 }
 
@@ -174,21 +178,21 @@
 PolicyLog::OnSnapshotWritten(bool aWritten, Millis aNow)
 {
   PolicyLogActions out;
-  mSnapshotWriting = false;
+  mSnapshotWritePending = false;
   if (!aWritten) {
-    mNextSnapshot = aNow + RetrySpan(mSnapshotFailures++);
-    return Drive(aNow);
+    mNextSnapshotAt = aNow + RetryDelay(mSnapshotFailures++);
+    return Advance(aNow);
   }
-  const uint64_t version = mSnapshotDue->mVersion;
+  const uint64_t version = mUnwrittenSnapshot->mVersion;
   mSnapshotFailures = 0;
-  mSnapshotted = std::max(mSnapshotted, version);
-  mSnapshotDue.reset();
+  mNewestSnapshotVersion = std::max(mNewestSnapshotVersion, version);
+  mUnwrittenSnapshot.reset();
   if (version > mOptions.mRetainedRows) {
     const uint64_t below = version - mOptions.mRetainedRows;
     out.push_back(CompactLog{ below, version - mOptions.mRetainedChanges });
   }
-  const PolicyLogActions more = Drive(aNow);
-  out.insert(out.end(), more.begin(), more.end());
+  const PolicyLogActions further = Advance(aNow);
+  out.insert(out.end(), further.begin(), further.end());
   return out;
 }
 
@@ -215,9 +219,9 @@
 Millis
 PolicyLog::NextWake() const
 {
-  Millis wake = mReading ? Millis::Never() : mNextRead;
-  if (mSnapshotDue && !mSnapshotWriting) {
-    wake = std::min(wake, mNextSnapshot);
+  Millis wake = mReadPending ? Millis::Never() : mNextReadAt;
+  if (mUnwrittenSnapshot && !mSnapshotWritePending) {
+    wake = std::min(wake, mNextSnapshotAt);
   }
   for (const Proposal& proposal : mProposals) {
     wake = std::min(wake, proposal.mDeadline);
--- a/src/libtrefoilarch/policylog.h
+++ b/src/libtrefoilarch/policylog.h
@@ -11,74 +11,74 @@
 
 namespace trefoilarch {
 
-/** How a process follows the change log; times in milliseconds. */
+/** How a process follows the change log. */
 struct PolicyLogOptions
 {
-  /** Time between two reads of the tail, where few processes do so. */
+  /** Time between two reads of the log's tail in a small fleet. */
   Millis mPollInterval{ 1000 };
-  /** Added for each peer, so that a large fleet's reads stay level. */
+  /** Minimum interval per peer, which bounds the read rate of a large fleet. */
   Millis mPollIntervalPerPeer{ 12 };
   Millis mInitialRetryDelay{ 100 };
   Millis mMaxRetryDelay{ 4000 };
   size_t mReadLimit = 200;
-  /** A snapshot is written each time this many changes have been accepted. */
+  /** Number of accepted changes between two snapshots. */
   uint64_t mSnapshotEvery = 100;
-  /** Changes kept here for peers. */
+  /** Recent changes kept in memory for peers. */
   uint64_t mRetainedChanges = 300;
-  /** Rows kept in the table at compaction, for history. */
+  /** Rows kept in the table at compaction, as history. */
   uint64_t mRetainedRows = 4000;
   size_t mMaxProposals = 64;
   uint64_t mSeed = 1;
 };
 
 /**
- * One process's view of the policy's change log. Change n+1 is accepted when
- * its row is inserted after row n, so the table decides every race, and the
- * versions in a process only rise. Single-threaded. Each returned action but
- * PolicyAdopted, ProposalAnswered and CompactLog has one event that reports
- * its end; until then no further one of its kind is asked for.
+ * One process's replica of the policy's change log. Change n+1 is accepted when
+ * its row is inserted after row n, so the table resolves all races, and the
+ * version in a process only increases. Single-threaded. Except PolicyAdopted,
+ * ProposalAnswered and CompactLog, each returned action is completed by one
+ * event; until then no other action of its kind is returned.
  */
 class PolicyLog
 {
 public:
   explicit PolicyLog(PolicyLogOptions aOptions);
 
-  /** Due at NextWake(), and harmless at any other time. */
+  /** Must be called at NextWake(), and may be called at any time. */
   PolicyLogActions OnTick(Millis aNow);
 
-  /** Proposes a change; the answer comes by aDeadline at the latest. */
+  /** Proposes a change; it is answered by aDeadline. */
   PolicyLogActions Propose(uint64_t aProposal,
                            PolicyChange aChange,
                            Millis aDeadline,
                            Millis aNow);
   /**
-   * Asks what became of a change. One that the log does not have is ruled
-   * out first, since its write may still be under way.
+   * Queries the outcome of a change. If the log does not contain it, it is
+   * voided first, because its write may still be in flight.
    */
   PolicyLogActions QueryChange(uint64_t aProposal,
                                std::string aId,
                                Millis aDeadline,
                                Millis aNow);
 
-  /** Empty rows: the tail was reached; none: the table did not answer. */
+  /** Empty rows: the tail was reached; nullopt: the table did not answer. */
   PolicyLogActions OnRows(std::optional<std::vector<LogRow>> aRows,
                           Millis aNow);
-  PolicyLogActions OnInserted(InsertOutcome aEnd, Millis aNow);
-  PolicyLogActions OnSnapshot(const SnapshotReadResult& aFound, Millis aNow);
+  PolicyLogActions OnInserted(InsertOutcome aOutcome, Millis aNow);
+  PolicyLogActions OnSnapshot(const SnapshotReadResult& aResult, Millis aNow);
   PolicyLogActions OnSnapshotWritten(bool aWritten, Millis aNow);
   PolicyLogActions OnPulled(std::optional<PolicyDelta> aDelta, Millis aNow);
-  /** Another process's message carried this version. */
+  /** A message from another process contained this version. */
   PolicyLogActions OnVersionSeen(uint64_t aVersion, Millis aNow);
-  void SetPeerCount(size_t aPeers) { mPeers = aPeers; }
+  void SetPeerCount(size_t aPeers) { mPeerCount = aPeers; }
 
-  /** For a peer that has aAfter. */
+  /** The changes for a peer that is at version aAfter. */
   PolicyDelta DeltaAfter(uint64_t aAfter) const;
 
   const PolicyState& State() const { return mState; }
   const std::deque<LoggedChange>& RecentChanges() const { return mRecent; }
-  /** A policy, or the certainty that there is none yet. */
-  bool IsLoaded() const { return mKnown; }
-  /** A row that could not be read, behind which this process is stuck. */
+  /** Whether a policy was loaded, or is known not to exist yet. */
+  bool IsLoaded() const { return mLoaded; }
+  /** Version of a row that can't be parsed and blocks this process, or 0. */
   uint64_t UnreadableRow() const { return mUnreadableRow; }
   Millis NextWake() const;
 
@@ -88,13 +88,14 @@
     uint64_t mNumber = 0;
     PolicyChange mChange;
     Millis mDeadline;
-    /** The change that a question is about. */
-    std::optional<std::string> mAsksFor;
-    /** Version at which a write may have taken effect unseen; 0: none. */
-    uint64_t mUnsettledAt = 0;
-    /** A read of the tail was asked for, or made, since its last step. */
-    bool mReadAsked = false;
-    bool mFresh = false;
+    /** Id of the change whose outcome is queried; unset for a proposal. */
+    std::optional<std::string> mQueriedId;
+    /** Version that an insert without a known outcome may have; 0: none. */
+    uint64_t mUnsettledVersion = 0;
+    /** A read of the tail was requested after the last insert. */
+    bool mReadRequested = false;
+    /** The tail was reached since the last insert; it can be resolved. */
+    bool mAtTail = false;
   };
 
   enum class Source
@@ -104,50 +105,50 @@
     Peer,
   };
 
-  PolicyLogActions Drive(Millis aNow);
-  void Announce(PolicyLogActions& aOut);
-  void DropLate(PolicyLogActions& aOut, Millis aNow);
-  void DriveProposals(PolicyLogActions& aOut, Millis aNow);
-  bool Settle(PolicyLogActions& aOut);
-  bool JudgeQuestion(PolicyLogActions& aOut);
-  bool Judge(PolicyLogActions& aOut);
-  void Insert(PolicyLogActions& aOut);
+  PolicyLogActions Advance(Millis aNow);
+  void AnnouncePolicy(PolicyLogActions& aOut);
+  void ExpireProposals(PolicyLogActions& aOut, Millis aNow);
+  void AdvanceProposals(PolicyLogActions& aOut, Millis aNow);
+  bool SettleHead(PolicyLogActions& aOut);
+  bool AnswerQuery(PolicyLogActions& aOut);
+  bool ValidateHead(PolicyLogActions& aOut);
+  void InsertHead(PolicyLogActions& aOut);
   void AnswerHead(PolicyLogActions& aOut, ProposalAnswer aAnswer);
-  bool WantsRead(Millis aNow) const;
-  void DriveReading(PolicyLogActions& aOut, Millis aNow);
-  void DriveSnapshot(PolicyLogActions& aOut, Millis aNow);
-  bool Apply(const std::vector<LogRow>& aRows);
+  bool IsReadDue(Millis aNow) const;
+  void AdvanceRead(PolicyLogActions& aOut, Millis aNow);
+  void AdvanceSnapshot(PolicyLogActions& aOut, Millis aNow);
+  bool ApplyRows(const std::vector<LogRow>& aRows);
   bool AdoptSnapshot(const std::string& aText);
-  void ApplyOne(LoggedChange aLogged);
-  void NoteTail(Millis aNow);
-  void WaitAfterFailure(Millis aNow);
-  Millis Jittered(Millis aSpan);
-  Millis RetrySpan(unsigned aFailures);
+  void ApplyLoggedChange(LoggedChange aLogged);
+  void OnTailReached(Millis aNow);
+  void BackOff(Millis aNow);
+  Millis WithJitter(Millis aMean);
+  Millis RetryDelay(unsigned aFailures);
 
   PolicyLogOptions mOptions;
   std::minstd_rand mRandom;
   PolicyState mState;
   std::deque<LoggedChange> mRecent;
   std::deque<Proposal> mProposals;
-  std::optional<LogRow> mInserting;
-  uint64_t mInsertingFor = 0;
-  uint64_t mAnnounced = 0;
-  uint64_t mSeen = 0;
+  std::optional<LogRow> mPendingInsert;
+  uint64_t mPendingInsertProposal = 0;
+  uint64_t mAnnouncedVersion = 0;
+  uint64_t mHighestVersionSeen = 0;
   uint64_t mUnreadableRow = 0;
-  size_t mPeers = 0;
-  bool mKnown = false;
-  bool mReading = false;
+  size_t mPeerCount = 0;
+  bool mLoaded = false;
+  bool mReadPending = false;
   Source mSource = Source::Snapshot;
-  bool mBehind = false; /**< rows that are needed next are gone */
+  bool mRowsMissing = false; /**< the next rows are no longer in the table */
   bool mTableFailed = false;
-  bool mEager = false; /**< another process is known to be ahead */
+  bool mReadImmediately = false; /**< another process has a higher version */
   unsigned mFailures = 0;
-  Millis mNextRead;
-  std::optional<WriteSnapshot> mSnapshotDue;
-  bool mSnapshotWriting = false;
-  uint64_t mSnapshotted = 0;
+  Millis mNextReadAt;
+  std::optional<WriteSnapshot> mUnwrittenSnapshot;
+  bool mSnapshotWritePending = false;
+  uint64_t mNewestSnapshotVersion = 0;
   unsigned mSnapshotFailures = 0;
-  Millis mNextSnapshot;
+  Millis mNextSnapshotAt;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policylogmessages.h
+++ b/src/libtrefoilarch/policylogmessages.h
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-/** What goes in and out of a PolicyLog. */
+/** The actions that a PolicyLog returns and the types of its events. */
 namespace trefoilarch {
 
 /** One row of the change log in the table. */
@@ -23,7 +23,7 @@
   bool operator==(const LogRow&) const = default;
 };
 
-/** Read at most mLimit rows after version mAfter, in order; OnRows. */
+/** Reads at most mLimit rows after version mAfter, in order; OnRows. */
 struct ReadLog
 {
   uint64_t mAfter = 0;
@@ -31,19 +31,19 @@
 };
 
 /**
- * Insert the row in one transaction, if it is absent and the row before it is
- * present (for version 1: if no row at all was ever written); OnInserted.
+ * Inserts the row in one transaction if it is absent and the previous row is
+ * present (for version 1: if no row was ever written); OnInserted.
  */
 struct InsertLogRow
 {
   LogRow mRow;
 };
 
-/** Read the newest snapshot of the object store; OnSnapshot. */
+/** Reads the newest snapshot from the object store; OnSnapshot. */
 struct ReadSnapshot
 {};
 
-/** Write a snapshot under its version; OnSnapshotWritten. */
+/** Writes a snapshot under its version; OnSnapshotWritten. */
 struct WriteSnapshot
 {
   uint64_t mVersion = 0;
@@ -51,8 +51,8 @@
 };
 
 /**
- * The rows before mRowsBelow and the snapshots before mSnapshotsBelow are not
- * needed any more; whether they are deleted is of no account.
+ * Deletes the rows before mRowsBelow and the snapshots before mSnapshotsBelow,
+ * which are no longer needed. A failure has no effect.
  */
 struct CompactLog
 {
@@ -60,38 +60,38 @@
   uint64_t mSnapshotsBelow = 0;
 };
 
-/** Ask any other process for what comes after mAfter; OnPulled. */
+/** Requests the changes after mAfter from any other process; OnPulled. */
 struct PullFromPeer
 {
   uint64_t mAfter = 0;
 };
 
-/** From here on this policy is in force in this process. */
+/** This policy is now in force in this process. */
 struct PolicyAdopted
 {
   std::shared_ptr<const Policy> mPolicy;
 };
 
-/** How a proposal or a question ended. */
+/** The outcome of a proposal or a query. */
 enum class ProposalOutcome
 {
   Accepted,
   Conflict,
   Invalid,
-  Unavailable, /**< surely not written */
-  Unknown,     /**< the write may have taken effect; ask with the id */
-  NotAccepted, /**< answer to a question: ruled out for good */
+  Unavailable, /**< certainly not written */
+  Unknown,     /**< it may have been written; query the id */
+  NotAccepted, /**< answer to a query: voided permanently */
 };
 
 struct ProposalAnswer
 {
   ProposalOutcome mOutcome = ProposalOutcome::Unavailable;
-  uint64_t mVersion = 0; /**< where accepted */
+  uint64_t mVersion = 0; /**< if accepted */
   PolicyFaults mFaults;
   std::vector<PolicyConflict> mConflicts;
 };
 
-/** Answers the proposal or question of that number, once. */
+/** The answer to the proposal or query with that number. */
 struct ProposalAnswered
 {
   uint64_t mProposal = 0;
@@ -108,23 +108,23 @@
                                      ProposalAnswered>;
 using PolicyLogActions = std::vector<PolicyLogAction>;
 
-/** How an InsertLogRow ended. */
+/** The outcome of InsertLogRow. */
 enum class InsertOutcome
 {
   Inserted,
-  Refused, /**< a condition did not hold; nothing was written */
-  NotSent, /**< surely not written, for another reason */
-  Unknown, /**< no answer, or none that settles it */
+  Refused, /**< a condition failed; nothing was written */
+  NotSent, /**< certainly not written, for another reason */
+  Unknown, /**< no response, or an inconclusive one */
 };
 
-/** What a ReadSnapshot found. */
+/** The result of ReadSnapshot. */
 struct SnapshotReadResult
 {
   bool mReached = false; /**< the object store answered */
-  std::string mText;     /**< empty where there is none */
+  std::string mText;     /**< empty if there is no snapshot */
 };
 
-/** What a peer hands over: changes, or a state where those are gone. */
+/** Changes from a peer, or its state if it no longer has them. */
 struct PolicyDelta
 {
   uint64_t mSnapshotVersion = 0;
--- a/src/libtrefoilarch/policylogsteps.cpp
+++ b/src/libtrefoilarch/policylogsteps.cpp
@@ -5,15 +5,17 @@
 #include <algorithm>
 #include <limits>
 
-/** What a PolicyLog does of its own accord after each event: settles
- * proposals, reads, inserts and takes snapshots. */
+/**
+ * The steps that a PolicyLog takes after each event: it resolves proposals,
+ * reads and inserts rows and writes snapshots.
+ */
 namespace trefoilarch {
 
 namespace {
 
-constexpr unsigned kMostDoublings = 10;
-/** Spans are drawn between three and five quarters of their mean. */
-constexpr int64_t kJitterParts = 4;
+constexpr unsigned kMaxDoublings = 10;
+/** Delays are random between three and five quarters of their mean. */
+constexpr int64_t kJitterDivisor = 4;
 
 PolicyConflict
 VoidedConflict(const PolicyState& aState, const std::string& aId)
@@ -24,28 +26,28 @@
 } // namespace
 
 PolicyLogActions
-PolicyLog::Drive(Millis aNow)
+PolicyLog::Advance(Millis aNow)
 {
   PolicyLogActions out;
-  Announce(out);
-  DriveProposals(out, aNow);
-  DropLate(out, aNow);
-  DriveReading(out, aNow);
-  DriveSnapshot(out, aNow);
+  AnnouncePolicy(out);
+  AdvanceProposals(out, aNow);
+  ExpireProposals(out, aNow);
+  AdvanceRead(out, aNow);
+  AdvanceSnapshot(out, aNow);
   return out;
 }
 
 void
-PolicyLog::Announce(PolicyLogActions& aOut)
+PolicyLog::AnnouncePolicy(PolicyLogActions& aOut)
 {
-  if (mState.Version() != mAnnounced) {
-    mAnnounced = mState.Version();
+  if (mState.Version() != mAnnouncedVersion) {
+    mAnnouncedVersion = mState.Version();
     aOut.push_back(PolicyAdopted{ mState.mPolicy });
   }
 }
 
 void
-PolicyLog::DropLate(PolicyLogActions& aOut, Millis aNow)
+PolicyLog::ExpireProposals(PolicyLogActions& aOut, Millis aNow)
 {
   std::deque<Proposal> kept;
   for (Proposal& proposal : mProposals) {
@@ -53,80 +55,82 @@
       kept.push_back(std::move(proposal));
       continue;
     }
-    const bool writing = mInserting && proposal.mNumber == mInsertingFor;
-    const bool unknown = writing || proposal.mUnsettledAt != 0;
+    const bool insertPending =
+      mPendingInsert && proposal.mNumber == mPendingInsertProposal;
+    const bool mayBeWritten = insertPending || proposal.mUnsettledVersion != 0;
     ProposalAnswer answer;
     answer.mOutcome =
-      unknown ? ProposalOutcome::Unknown : ProposalOutcome::Unavailable;
+      mayBeWritten ? ProposalOutcome::Unknown : ProposalOutcome::Unavailable;
     aOut.push_back(ProposalAnswered{ proposal.mNumber, std::move(answer) });
   }
   mProposals = std::move(kept);
 }
 
 void
-PolicyLog::DriveProposals(PolicyLogActions& aOut, Millis aNow)
+PolicyLog::AdvanceProposals(PolicyLogActions& aOut, Millis aNow)
 {
-  while (!mProposals.empty() && !mInserting && mProposals.front().mFresh) {
-    if (Settle(aOut) || JudgeQuestion(aOut) || Judge(aOut)) {
+  while (!mProposals.empty() && !mPendingInsert && mProposals.front().mAtTail) {
+    if (SettleHead(aOut) || AnswerQuery(aOut) || ValidateHead(aOut)) {
       continue;
     }
     if (mProposals.front().mDeadline <= aNow) {
       return;
     }
-    Insert(aOut);
+    InsertHead(aOut);
   }
 }
 
-/** Whether the head was answered, by what its unsettled write has become. */
+/** Answers the head if the log contains it; returns whether it did. */
 bool
-PolicyLog::Settle(PolicyLogActions& aOut)
+PolicyLog::SettleHead(PolicyLogActions& aOut)
 {
   Proposal& head = mProposals.front();
-  if (head.mUnsettledAt != 0 && mState.Version() >= head.mUnsettledAt) {
-    head.mUnsettledAt = 0;
+  if (head.mUnsettledVersion != 0 &&
+      mState.Version() >= head.mUnsettledVersion) {
+    head.mUnsettledVersion = 0;
   }
-  const auto mark = mState.mChangeIds.find(head.mChange.mId);
-  if (head.mAsksFor || mark == mState.mChangeIds.end()) {
+  const auto record = mState.mChangeIds.find(head.mChange.mId);
+  if (head.mQueriedId || record == mState.mChangeIds.end()) {
     return false;
   }
   ProposalAnswer answer;
-  if (mark->second.mVoided) {
+  if (record->second.mVoided) {
     answer.mOutcome = ProposalOutcome::Conflict;
     answer.mConflicts = { VoidedConflict(mState, head.mChange.mId) };
   } else {
     answer.mOutcome = ProposalOutcome::Accepted;
-    answer.mVersion = mark->second.mVersion;
+    answer.mVersion = record->second.mVersion;
   }
   AnswerHead(aOut, std::move(answer));
   return true;
 }
 
 bool
-PolicyLog::JudgeQuestion(PolicyLogActions& aOut)
+PolicyLog::AnswerQuery(PolicyLogActions& aOut)
 {
   const Proposal& head = mProposals.front();
-  if (!head.mAsksFor) {
+  if (!head.mQueriedId) {
     return false;
   }
-  const ChangeStatus standing = ChangeStatusOf(mState, *head.mAsksFor);
-  if (standing == ChangeStatus::NotSeen) {
+  const ChangeStatus status = ChangeStatusOf(mState, *head.mQueriedId);
+  if (status == ChangeStatus::NotSeen) {
     return false;
   }
   ProposalAnswer answer;
   answer.mOutcome = ProposalOutcome::NotAccepted;
-  if (standing == ChangeStatus::Accepted) {
+  if (status == ChangeStatus::Accepted) {
     answer.mOutcome = ProposalOutcome::Accepted;
-    answer.mVersion = mState.mChangeIds.at(*head.mAsksFor).mVersion;
+    answer.mVersion = mState.mChangeIds.at(*head.mQueriedId).mVersion;
   }
   AnswerHead(aOut, std::move(answer));
   return true;
 }
 
 bool
-PolicyLog::Judge(PolicyLogActions& aOut)
+PolicyLog::ValidateHead(PolicyLogActions& aOut)
 {
   const Proposal& head = mProposals.front();
-  if (head.mUnsettledAt != 0) {
+  if (head.mUnsettledVersion != 0) {
     return false;
   }
   ChangeOutcome outcome = ApplyChange(mState, head.mChange);
@@ -143,16 +147,16 @@
 }
 
 /**
- * An unsettled write is thereby repeated in its own place, never in another
- * one: while that place is free, it is the one after the tail.
+ * A write with an unknown outcome is thereby repeated at its own version and
+ * never at another: while that version is free, it follows the tail.
  */
 void
-PolicyLog::Insert(PolicyLogActions& aOut)
+PolicyLog::InsertHead(PolicyLogActions& aOut)
 {
   const Proposal& head = mProposals.front();
-  mInserting = LogRow{ mState.Version() + 1, ChangeToJson(head.mChange) };
-  mInsertingFor = head.mNumber;
-  aOut.push_back(InsertLogRow{ *mInserting });
+  mPendingInsert = LogRow{ mState.Version() + 1, ChangeToJson(head.mChange) };
+  mPendingInsertProposal = head.mNumber;
+  aOut.push_back(InsertLogRow{ *mPendingInsert });
 }
 
 void
@@ -164,29 +168,29 @@
 }
 
 bool
-PolicyLog::WantsRead(Millis aNow) const
+PolicyLog::IsReadDue(Millis aNow) const
 {
-  const bool asked = !mProposals.empty() && !mInserting &&
-                     !mProposals.front().mFresh && mFailures == 0;
-  return asked || mEager || aNow >= mNextRead;
+  const bool requested = !mProposals.empty() && !mPendingInsert &&
+                         !mProposals.front().mAtTail && mFailures == 0;
+  return requested || mReadImmediately || aNow >= mNextReadAt;
 }
 
 void
-PolicyLog::DriveReading(PolicyLogActions& aOut, Millis aNow)
+PolicyLog::AdvanceRead(PolicyLogActions& aOut, Millis aNow)
 {
-  if (mReading || !WantsRead(aNow)) {
+  if (mReadPending || !IsReadDue(aNow)) {
     return;
   }
-  if (mSource == Source::Peer && mPeers == 0) {
+  if (mSource == Source::Peer && mPeerCount == 0) {
     mSource = Source::Rows;
-    if (mTableFailed || mBehind) {
+    if (mTableFailed || mRowsMissing) {
       mSource =
-        mBehind || mState.Version() == 0 ? Source::Snapshot : Source::Rows;
-      WaitAfterFailure(aNow);
+        mRowsMissing || mState.Version() == 0 ? Source::Snapshot : Source::Rows;
+      BackOff(aNow);
       return;
     }
   }
-  mReading = true;
+  mReadPending = true;
   switch (mSource) {
     case Source::Snapshot:
       aOut.push_back(ReadSnapshot{});
@@ -198,45 +202,45 @@
       aOut.push_back(ReadLog{ mState.Version(), mOptions.mReadLimit });
       break;
   }
-  if (!mProposals.empty() && !mInserting) {
-    mProposals.front().mReadAsked = true;
+  if (!mProposals.empty() && !mPendingInsert) {
+    mProposals.front().mReadRequested = true;
   }
 }
 
 void
-PolicyLog::DriveSnapshot(PolicyLogActions& aOut, Millis aNow)
+PolicyLog::AdvanceSnapshot(PolicyLogActions& aOut, Millis aNow)
 {
-  if (mSnapshotDue && !mSnapshotWriting && aNow >= mNextSnapshot) {
-    mSnapshotWriting = true;
-    aOut.push_back(*mSnapshotDue);
+  if (mUnwrittenSnapshot && !mSnapshotWritePending && aNow >= mNextSnapshotAt) {
+    mSnapshotWritePending = true;
+    aOut.push_back(*mUnwrittenSnapshot);
   }
 }
 
-/** False where the rows do not follow on what is here, or cannot be read. */
+/** Returns false if the rows have a gap or can't be parsed. */
 bool
-PolicyLog::Apply(const std::vector<LogRow>& aRows)
+PolicyLog::ApplyRows(const std::vector<LogRow>& aRows)
 {
   for (const LogRow& row : aRows) {
     if (row.mVersion <= mState.Version()) {
       continue;
     }
     if (row.mVersion != mState.Version() + 1) {
-      mBehind = true;
+      mRowsMissing = true;
       return false;
     }
-    ParseResult<PolicyChange> reading = ChangeFromJson(row.mText);
-    if (!reading.IsValid()) {
+    ParseResult<PolicyChange> result = ChangeFromJson(row.mText);
+    if (!result.IsValid()) {
       mUnreadableRow = row.mVersion;
       return false;
     }
-    ApplyOne({ row.mVersion, std::move(reading.mValue) });
+    ApplyLoggedChange({ row.mVersion, std::move(result.mValue) });
   }
-  mBehind = false;
+  mRowsMissing = false;
   return true;
 }
 
 void
-PolicyLog::ApplyOne(LoggedChange aLogged)
+PolicyLog::ApplyLoggedChange(LoggedChange aLogged)
 {
   mState = ApplyLogged(mState, aLogged);
   mRecent.push_back(std::move(aLogged));
@@ -248,52 +252,53 @@
 bool
 PolicyLog::AdoptSnapshot(const std::string& aText)
 {
-  ParseResult<PolicyState> reading = StateFromJson(aText);
-  if (!reading.IsValid() || reading.mValue.Version() <= mState.Version()) {
+  ParseResult<PolicyState> result = StateFromJson(aText);
+  if (!result.IsValid() || result.mValue.Version() <= mState.Version()) {
     return false;
   }
-  mState = std::move(reading.mValue);
+  mState = std::move(result.mValue);
   mRecent.clear();
-  mBehind = false;
+  mRowsMissing = false;
   return true;
 }
 
 void
-PolicyLog::NoteTail(Millis aNow)
+PolicyLog::OnTailReached(Millis aNow)
 {
-  mKnown = true;
-  mEager = false;
+  mLoaded = true;
+  mReadImmediately = false;
   mFailures = 0;
-  mSeen = mState.Version();
+  mHighestVersionSeen = mState.Version();
   mSource = Source::Rows;
-  const int64_t peers = static_cast<int64_t>(mPeers);
-  mNextRead = aNow + Jittered(std::max(mOptions.mPollInterval,
-                                       mOptions.mPollIntervalPerPeer * peers));
-  if (!mProposals.empty() && mProposals.front().mReadAsked) {
-    mProposals.front().mFresh = true;
+  const int64_t peers = static_cast<int64_t>(mPeerCount);
+  mNextReadAt =
+    aNow + WithJitter(std::max(mOptions.mPollInterval,
+                               mOptions.mPollIntervalPerPeer * peers));
+  if (!mProposals.empty() && mProposals.front().mReadRequested) {
+    mProposals.front().mAtTail = true;
   }
 }
 
 void
-PolicyLog::WaitAfterFailure(Millis aNow)
+PolicyLog::BackOff(Millis aNow)
 {
-  mEager = false;
-  mNextRead = aNow + RetrySpan(mFailures++);
+  mReadImmediately = false;
+  mNextReadAt = aNow + RetryDelay(mFailures++);
 }
 
 Millis
-PolicyLog::Jittered(Millis aSpan)
+PolicyLog::WithJitter(Millis aMean)
 {
-  const int64_t quarter = std::max<int64_t>(1, aSpan.Count() / kJitterParts);
+  const int64_t quarter = std::max<int64_t>(1, aMean.Count() / kJitterDivisor);
   std::uniform_int_distribution<int64_t> draw(-quarter, quarter);
-  return aSpan + Millis(draw(mRandom));
+  return aMean + Millis(draw(mRandom));
 }
 
 Millis
-PolicyLog::RetrySpan(unsigned aFailures)
+PolicyLog::RetryDelay(unsigned aFailures)
 {
-  const int64_t factor = int64_t{ 1 } << std::min(aFailures, kMostDoublings);
-  return Jittered(
+  const int64_t factor = int64_t{ 1 } << std::min(aFailures, kMaxDoublings);
+  return WithJitter(
     std::min(mOptions.mInitialRetryDelay * factor, mOptions.mMaxRetryDelay));
 }
 
--- a/src/libtrefoilarch/policyoperation.h
+++ b/src/libtrefoilarch/policyoperation.h
@@ -11,7 +11,7 @@
 
 namespace trefoilarch {
 
-/** Adds a class or puts it in place of the one of that name. */
+/** Adds a class or replaces the class of the same name. */
 struct SetClass
 {
   RequestClass mClass;
@@ -48,7 +48,7 @@
   bool operator==(const RemoveSelector&) const = default;
 };
 
-/** Sets some of an upstream's labels; a label without a value goes away. */
+/** Sets some labels of an upstream; a label without a value is removed. */
 struct SetUpstreamLabels
 {
   std::string mUpstream;
@@ -56,7 +56,7 @@
   bool operator==(const SetUpstreamLabels&) const = default;
 };
 
-/** Drains an upstream, or ends that. */
+/** Drains an upstream, or returns it to service. */
 struct SetDrained
 {
   std::string mUpstream;
@@ -64,7 +64,7 @@
   bool operator==(const SetDrained&) const = default;
 };
 
-/** Puts a whole policy in place of what is there. */
+/** Replaces the complete policy. */
 struct ReplacePolicy
 {
   Policy mPolicy;
@@ -72,9 +72,9 @@
 };
 
 /**
- * Rules out for good that the change of that id is accepted. Written where an
- * operator asks what became of a change that the log does not have: its write
- * may still be under way.
+ * Permanently prevents a change from being accepted. It is logged when an
+ * operator queries a change that the log does not contain, because the change's
+ * write may still be in flight.
  */
 struct VoidChange
 {
@@ -93,21 +93,21 @@
                                      ReplacePolicy,
                                      VoidChange>;
 
-/** What an operator asks for: all of its operations or none. */
+/** A change proposed by an operator; its operations are applied atomically. */
 struct PolicyChange
 {
-  /** Unique; a repeat of the same id is accepted once only. */
+  /** Unique; repeated proposals of an id are accepted only once. */
   std::string mId;
   std::string mAuthor;
-  /** The version its author has seen, where conflicts are to be found. */
+  /** The version the author started from; unset: conflicts are ignored. */
   std::optional<uint64_t> mBaseVersion;
-  int64_t mUnixSeconds = 0; /**< for people's eyes alone */
+  int64_t mUnixSeconds = 0; /**< for display only */
   std::vector<PolicyOperation> mOperations;
 
   bool operator==(const PolicyChange&) const = default;
 };
 
-/** An accepted change in its place in the log. */
+/** An accepted change and its version in the log. */
 struct LoggedChange
 {
   uint64_t mVersion = 0;
--- a/src/libtrefoilarch/policystate.h
+++ b/src/libtrefoilarch/policystate.h
@@ -9,7 +9,7 @@
 
 namespace trefoilarch {
 
-/** Who changed an object of the policy last. */
+/** The last change of a policy object. */
 struct ObjectRevision
 {
   uint64_t mVersion = 0;
@@ -18,7 +18,7 @@
   bool operator==(const ObjectRevision&) const = default;
 };
 
-/** Where a change's id stands: accepted in a version, or ruled out in it. */
+/** The version in which a change was accepted or voided. */
 struct ChangeIdRecord
 {
   uint64_t mVersion = 0;
@@ -28,24 +28,23 @@
 };
 
 /**
- * The policy at one version, with what later changes are judged by. Every
- * process that applies the same log has the same state.
+ * The policy at one version, with the records needed to validate later
+ * changes. Processes that apply the same log have the same state.
  */
 struct PolicyState
 {
   std::shared_ptr<const Policy> mPolicy = std::make_shared<Policy>();
-  /** By object, such as `class/call`; removed objects too. */
+  /** By object, such as `class/call`; includes removed objects. */
   std::map<std::string, ObjectRevision> mObjectRevisions;
-  /** Ids of the changes that were accepted or ruled out. */
+  /** By id, for changes that were accepted or voided. */
   std::map<std::string, ChangeIdRecord> mChangeIds;
 
   uint64_t Version() const { return mPolicy->mVersion; }
 };
 
-/** Marks and ids older than this many versions are forgotten. */
+/** Object revisions and change ids are kept for this many versions. */
 constexpr uint64_t kRetainedPolicyVersions = 4000;
 
-/** How an id stands in a state. */
 enum class ChangeStatus
 {
   NotSeen,
--- a/src/libtrefoilarch/policyvalidation.cpp
+++ b/src/libtrefoilarch/policyvalidation.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr size_t kLongestName = 128;
-constexpr size_t kLongestValue = 256;
-constexpr size_t kLongestChangeId = 100;
+constexpr size_t kMaxNameLength = 128;
+constexpr size_t kMaxValueLength = 256;
+constexpr size_t kMaxChangeIdLength = 100;
 constexpr size_t kHashDigits = 64;
-/** Rounding of the sum of shares that are given as decimals. */
-constexpr double kFloorSlack = 1e-9;
+/** Rounding error of the sum of shares, which are given as decimals. */
+constexpr double kFloorTolerance = 1e-9;
 
-/** Letters, digits and a few marks: safe in paths, labels and logs. */
+/** Letters, digits and some punctuation: safe in paths, labels and logs. */
 bool
-GoodName(std::string_view aName)
+IsValidName(std::string_view aName)
 {
-  return !aName.empty() && aName.size() <= kLongestName &&
+  return !aName.empty() && aName.size() <= kMaxNameLength &&
          std::all_of(aName.begin(), aName.end(), [](unsigned char aChar) {
            return std::isalnum(aChar) != 0 ||
                   std::string_view("-_.:/@+").find(static_cast<char>(aChar)) !=
@@ -28,16 +28,16 @@
 }
 
 bool
-GoodValue(std::string_view aValue)
+IsValidValue(std::string_view aValue)
 {
-  return aValue.size() <= kLongestValue &&
+  return aValue.size() <= kMaxValueLength &&
          std::none_of(aValue.begin(), aValue.end(), [](unsigned char aChar) {
            return std::iscntrl(aChar) != 0 || aChar == ',';
          });
 }
 
 bool
-GoodHash(std::string_view aHash)
+IsValidHash(std::string_view aHash)
 {
   return aHash.empty() ||
          (aHash.size() == kHashDigits &&
@@ -47,7 +47,7 @@
           }));
 }
 
-/** Checks one policy and collects its faults. */
+/** Collects the faults of one policy. */
 class PolicyValidator
 {
 public:
@@ -56,7 +56,7 @@
   {
   }
 
-  PolicyFaults Run()
+  PolicyFaults Validate()
   {
     CheckClasses();
     for (const auto& [name, workspace] : mPolicy.mWorkspaces) {
@@ -80,40 +80,42 @@
   void CheckClasses()
   {
     double floors = 0;
-    for (const auto& [name, one] : mPolicy.mClasses) {
+    for (const auto& [name, requestClass] : mPolicy.mClasses) {
       const std::string path = "classes[" + name + "]";
       CheckName(path, name);
-      CheckRequirements(path + ".callers", one.mCallers);
-      floors += one.mFloor;
-      if (floors > 1 + kFloorSlack) {
-        Add(path + ".floor", "the floors of all classes add up to more than 1");
-        floors -= one.mFloor;
+      CheckRequirements(path + ".callers", requestClass.mCallers);
+      floors += requestClass.mFloor;
+      if (floors > 1 + kFloorTolerance) {
+        AddFault(path + ".floor",
+                 "the floors of all classes add up to more than 1");
+        floors -= requestClass.mFloor;
       }
     }
   }
 
-  void CheckWorkspace(const std::string& aName, const Workspace& aOne)
+  void CheckWorkspace(const std::string& aName, const Workspace& aWorkspace)
   {
     const std::string path = "workspaces[" + aName + "]";
     CheckName(path, aName);
-    if (!GoodHash(aOne.mTokenHash)) {
-      Add(path + ".token_sha256",
-          "must be empty or 64 lower-case hexadecimal digits");
+    if (!IsValidHash(aWorkspace.mTokenHash)) {
+      AddFault(path + ".token_sha256",
+               "must be empty or 64 lower-case hexadecimal digits");
     }
-    if (!aOne.mDefaultClass.empty() &&
-        !mPolicy.mClasses.contains(aOne.mDefaultClass)) {
-      Add(path + ".default_class", "there is no class " + aOne.mDefaultClass);
+    if (!aWorkspace.mDefaultClass.empty() &&
+        !mPolicy.mClasses.contains(aWorkspace.mDefaultClass)) {
+      AddFault(path + ".default_class",
+               "there is no class " + aWorkspace.mDefaultClass);
     }
     CheckLabels(path,
-                aOne.mLabels,
+                aWorkspace.mLabels,
                 { "workspace", "class", "model", "service", "data_centre" });
   }
 
   void CheckName(const std::string& aPath, const std::string& aName)
   {
-    if (!GoodName(aName)) {
-      Add(aPath + ".name",
-          "must be 1 to 128 letters, digits or any of -_.:/@+");
+    if (!IsValidName(aName)) {
+      AddFault(aPath + ".name",
+               "must be 1 to 128 letters, digits or any of -_.:/@+");
     }
   }
 
@@ -124,60 +126,62 @@
     for (const auto& [key, value] : aLabels) {
       const std::string path =
         std::string(aPath).append(".labels.").append(key);
-      if (!GoodName(key)) {
-        Add(path, "a key must be 1 to 128 letters, digits or any of -_.:/@+");
+      if (!IsValidName(key)) {
+        AddFault(path,
+                 "a key must be 1 to 128 letters, digits or any of -_.:/@+");
       }
-      if (!GoodValue(value)) {
-        Add(path, "a value must be at most 256 characters without a comma");
+      if (!IsValidValue(value)) {
+        AddFault(path,
+                 "a value must be at most 256 characters without a comma");
       }
       if (std::find(aReserved.begin(), aReserved.end(), key) !=
           aReserved.end()) {
-        Add(path, "is set by the system itself");
+        AddFault(path, "is set by the system itself");
       }
     }
   }
 
   void CheckRequirements(const std::string& aPath,
-                         const std::vector<Requirement>& aAll)
+                         const std::vector<Requirement>& aRequirements)
   {
-    size_t place = 0;
-    for (const Requirement& one : aAll) {
-      const std::string path = aPath + "[" + std::to_string(place++) + "]";
-      if (!GoodName(one.mKey)) {
-        Add(path + ".key",
-            "must be 1 to 128 letters, digits or any of "
-            "-_.:/@+");
+    size_t index = 0;
+    for (const Requirement& requirement : aRequirements) {
+      const std::string path = aPath + "[" + std::to_string(index++) + "]";
+      if (!IsValidName(requirement.mKey)) {
+        AddFault(path + ".key",
+                 "must be 1 to 128 letters, digits or any of "
+                 "-_.:/@+");
       }
-      CheckValues(path + ".values", one);
+      CheckValues(path + ".values", requirement);
     }
   }
 
-  void CheckValues(const std::string& aPath, const Requirement& aOne)
+  void CheckValues(const std::string& aPath, const Requirement& aRequirement)
   {
-    const size_t count = aOne.mValues.size();
-    switch (aOne.mOperator) {
+    const size_t count = aRequirement.mValues.size();
+    switch (aRequirement.mOperator) {
       case RequirementOperator::Equals:
       case RequirementOperator::NotEquals:
         if (count != 1) {
-          Add(aPath, "must have one value for equals and not_equals");
+          AddFault(aPath, "must have one value for equals and not_equals");
         }
         return;
       case RequirementOperator::In:
       case RequirementOperator::NotIn:
         if (count == 0) {
-          Add(aPath, "must have a value for in and not_in");
+          AddFault(aPath, "must have a value for in and not_in");
         }
         return;
       case RequirementOperator::Exists:
       case RequirementOperator::NotExists:
         if (count != 0) {
-          Add(aPath, "must be empty for exists and not_exists");
+          AddFault(aPath, "must be empty for exists and not_exists");
         }
         return;
     }
   }
 
-  void Add(std::string aField, std::string aReason)
+  void AddFault(std::string aField, std::string aReason)
   {
     mFaults.push_back({ std::move(aField), std::move(aReason) });
   }
@@ -191,18 +195,18 @@
 PolicyFaults
 ValidatePolicy(const Policy& aPolicy)
 {
-  return PolicyValidator(aPolicy).Run();
+  return PolicyValidator(aPolicy).Validate();
 }
 
 PolicyFaults
 ValidateChange(const PolicyChange& aChange)
 {
   PolicyFaults faults;
-  if (!GoodName(aChange.mId) || aChange.mId.size() > kLongestChangeId) {
+  if (!IsValidName(aChange.mId) || aChange.mId.size() > kMaxChangeIdLength) {
     faults.push_back(
       { "id", "must be 1 to 100 letters, digits or any of -_.:/@+" });
   }
-  if (!GoodValue(aChange.mAuthor)) {
+  if (!IsValidValue(aChange.mAuthor)) {
     faults.push_back(
       { "author", "must be at most 256 characters without a comma" });
   }
--- a/src/libtrefoilarch/policyvalidation.h
+++ b/src/libtrefoilarch/policyvalidation.h
@@ -6,11 +6,11 @@
 
 namespace trefoilarch {
 
-/** Every fault of a policy's fields and references. */
+/** All faults in a policy's fields and references. */
 PolicyFaults
 ValidatePolicy(const Policy& aPolicy);
 
-/** Faults of a change's own fields: its id, its author, no operations. */
+/** Faults in a change's id and author, and a missing operation. */
 PolicyFaults
 ValidateChange(const PolicyChange& aChange);
 
--- a/src/libtrefoilarch/policywarnings.cpp
+++ b/src/libtrefoilarch/policywarnings.cpp
@@ -8,42 +8,48 @@
 
 namespace {
 
-constexpr size_t kMostWarnings = 30;
+constexpr size_t kMaxWarnings = 30;
 
-/** Whether some caller of this workspace and class may meet all of them. */
+/** Whether some caller of the workspace and class can meet them all. */
 bool
-MayMeet(const std::vector<Requirement>& aAll,
+CanMeet(const std::vector<Requirement>& aRequirements,
         const Workspace& aWorkspace,
         const std::string& aClass)
 {
-  return std::all_of(aAll.begin(), aAll.end(), [&](const Requirement& aOne) {
-    if (aOne.mKey == "workspace") {
-      return MeetsRequirement(&aWorkspace.mName, aOne);
-    }
-    if (aOne.mKey == "class") {
-      return MeetsRequirement(&aClass, aOne);
-    }
-    const auto place = aWorkspace.mLabels.find(aOne.mKey);
-    return place == aWorkspace.mLabels.end() ||
-           MeetsRequirement(&place->second, aOne);
-  });
+  return std::all_of(
+    aRequirements.begin(),
+    aRequirements.end(),
+    [&](const Requirement& aRequirement) {
+      if (aRequirement.mKey == "workspace") {
+        return MeetsRequirement(&aWorkspace.mName, aRequirement);
+      }
+      if (aRequirement.mKey == "class") {
+        return MeetsRequirement(&aClass, aRequirement);
+      }
+      const auto found = aWorkspace.mLabels.find(aRequirement.mKey);
+      return found == aWorkspace.mLabels.end() ||
+             MeetsRequirement(&found->second, aRequirement);
+    });
 }
 
-/** Whether an upstream serves what a selector asks of traffic. */
+/** Whether an upstream serves the selector's models and services. */
 bool
-ServesSome(const UpstreamLabels& aLabels, const Selector& aSelector)
+ServesSelector(const UpstreamLabels& aLabels, const Selector& aSelector)
 {
-  const auto& all = aSelector.mTraffic;
-  return std::all_of(all.begin(), all.end(), [&](const Requirement& aOne) {
-    const bool named = aOne.mOperator == RequirementOperator::Equals ||
-                       aOne.mOperator == RequirementOperator::In;
-    const bool served = aOne.mKey == "model" || aOne.mKey == "service";
-    return !(named && served) ||
-           MeetsRequirement(aLabels.Find(aOne.mKey), aOne);
-  });
+  const auto& traffic = aSelector.mTraffic;
+  return std::all_of(
+    traffic.begin(), traffic.end(), [&](const Requirement& aRequirement) {
+      const bool requiresValue =
+        aRequirement.mOperator == RequirementOperator::Equals ||
+        aRequirement.mOperator == RequirementOperator::In;
+      const bool isModelOrService =
+        aRequirement.mKey == "model" || aRequirement.mKey == "service";
+      return !(requiresValue && isModelOrService) ||
+             MeetsRequirement(aLabels.Find(aRequirement.mKey), aRequirement);
+    });
 }
 
-/** Collects the warnings of one policy. */
+/** Collects the warnings about one policy. */
 class WarningCollector
 {
 public:
@@ -54,14 +60,15 @@
   {
   }
 
-  std::vector<std::string> Run()
+  std::vector<std::string> Collect()
   {
     if (mPolicy.mSelectors.empty()) {
-      Add("there is no selector: no request may go anywhere");
+      AddWarning("there is no selector: no request may go anywhere");
       return std::move(mWarnings);
     }
     if (mUpstreams.empty()) {
-      Add("no upstream is known here: where selectors lead was not checked");
+      AddWarning(
+        "no upstream is known here: where selectors lead was not checked");
       return std::move(mWarnings);
     }
     CheckSelectors();
@@ -74,49 +81,52 @@
   void CheckSelectors()
   {
     for (const auto& [name, selector] : mPolicy.mSelectors) {
-      if (LeadsSomewhere(selector)) {
-        mLive.push_back(&selector);
+      if (MatchesAnyUpstream(selector)) {
+        mUsableSelectors.push_back(&selector);
       } else {
-        Add("selector " + name + " leads to no upstream that is in use");
+        AddWarning("selector " + name + " leads to no upstream that is in use");
       }
     }
   }
 
-  bool LeadsSomewhere(const Selector& aSelector) const
+  bool MatchesAnyUpstream(const Selector& aSelector) const
   {
     return std::any_of(
-      mUpstreams.begin(), mUpstreams.end(), [&](const UpstreamView& aOne) {
-        const UpstreamLabels labels(mPolicy, aOne);
+      mUpstreams.begin(), mUpstreams.end(), [&](const UpstreamView& aUpstream) {
+        const UpstreamLabels labels(mPolicy, aUpstream);
         return !labels.Drained() && labels.MeetsAll(aSelector.mUpstreams) &&
-               ServesSome(labels, aSelector);
+               ServesSelector(labels, aSelector);
       });
   }
 
-  bool MaySend(const Workspace& aWorkspace, const RequestClass& aClass) const
+  bool CanSend(const Workspace& aWorkspace, const RequestClass& aClass) const
   {
-    return MayMeet(aClass.mCallers, aWorkspace, aClass.mName) &&
-           std::any_of(
-             mLive.begin(), mLive.end(), [&](const Selector* aSelector) {
-               return MayMeet(aSelector->mTraffic, aWorkspace, aClass.mName);
-             });
+    return CanMeet(aClass.mCallers, aWorkspace, aClass.mName) &&
+           std::any_of(mUsableSelectors.begin(),
+                       mUsableSelectors.end(),
+                       [&](const Selector* aSelector) {
+                         return CanMeet(
+                           aSelector->mTraffic, aWorkspace, aClass.mName);
+                       });
   }
 
   void CheckClasses()
   {
     if (mPolicy.mWorkspaces.empty()) {
-      Add("there is no workspace: no caller is admitted");
+      AddWarning("there is no workspace: no caller is admitted");
       return;
     }
     for (const auto& entry : mPolicy.mClasses) {
-      const RequestClass& one = entry.second;
-      const auto& all = mPolicy.mWorkspaces;
-      const bool served =
-        std::any_of(all.begin(), all.end(), [&](const auto& aEntry) {
-          return MaySend(aEntry.second, one);
+      const RequestClass& requestClass = entry.second;
+      const auto& workspaces = mPolicy.mWorkspaces;
+      const bool served = std::any_of(
+        workspaces.begin(), workspaces.end(), [&](const auto& aEntry) {
+          return CanSend(aEntry.second, requestClass);
         });
       if (!served) {
-        mUnserved.push_back(one.mName);
-        Add("class " + one.mName + " is left without any upstream");
+        mUnservedClasses.push_back(requestClass.mName);
+        AddWarning("class " + requestClass.mName +
+                   " is left without any upstream");
       }
     }
   }
@@ -124,28 +134,29 @@
   void CheckWorkspaces()
   {
     for (const auto& [name, workspace] : mPolicy.mWorkspaces) {
-      const auto place = mPolicy.mClasses.find(workspace.mDefaultClass);
-      const bool told = std::find(mUnserved.begin(),
-                                  mUnserved.end(),
-                                  workspace.mDefaultClass) != mUnserved.end();
-      if (place != mPolicy.mClasses.end() && !told &&
-          !MaySend(workspace, place->second)) {
-        Add("workspace " + name + " may send its default class nowhere");
+      const auto found = mPolicy.mClasses.find(workspace.mDefaultClass);
+      const bool alreadyReported =
+        std::find(mUnservedClasses.begin(),
+                  mUnservedClasses.end(),
+                  workspace.mDefaultClass) != mUnservedClasses.end();
+      if (found != mPolicy.mClasses.end() && !alreadyReported &&
+          !CanSend(workspace, found->second)) {
+        AddWarning("workspace " + name + " may send its default class nowhere");
       }
     }
   }
 
-  void Add(std::string aText)
+  void AddWarning(std::string aText)
   {
-    if (mWarnings.size() < kMostWarnings) {
+    if (mWarnings.size() < kMaxWarnings) {
       mWarnings.push_back(std::move(aText));
     }
   }
 
   const Policy& mPolicy;
   const std::vector<UpstreamView>& mUpstreams;
-  std::vector<const Selector*> mLive;
-  std::vector<std::string> mUnserved;
+  std::vector<const Selector*> mUsableSelectors;
+  std::vector<std::string> mUnservedClasses;
   std::vector<std::string> mWarnings;
 };
 
@@ -155,7 +166,7 @@
 PolicyWarnings(const Policy& aPolicy,
                const std::vector<UpstreamView>& aUpstreams)
 {
-  return WarningCollector(aPolicy, aUpstreams).Run();
+  return WarningCollector(aPolicy, aUpstreams).Collect();
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/policywarnings.h
+++ b/src/libtrefoilarch/policywarnings.h
@@ -8,14 +8,14 @@
 namespace trefoilarch {
 
 /**
- * What a policy lets happen that its author may not want: selectors that lead
- * to none of the upstreams, classes that none of their callers can get to an
- * upstream, and workspaces whose default class leads nowhere. Sentences for
- * people, a few dozen at the most.
+ * Returns warnings about parts of a valid policy that have no effect: selectors
+ * that match none of the upstreams, classes that reach no upstream for any
+ * workspace, and workspaces whose default class reaches none. They are
+ * human-readable sentences, at most a few dozen.
  *
- * What callers will say of themselves is not known here, nor the model or
- * service they will ask for: a requirement on such a label counts as one that
- * some caller meets. So a warning is certain, and its absence is not.
+ * The labels, models and services of future requests are unknown: a
+ * requirement on such a label is assumed to be met by some caller. A warning
+ * is therefore always right, but some problems go unreported.
  */
 std::vector<std::string>
 PolicyWarnings(const Policy& aPolicy,
--- a/src/libtrefoilarch/requirementoperatornames.h
+++ b/src/libtrefoilarch/requirementoperatornames.h
@@ -5,7 +5,7 @@
 
 namespace trefoilarch {
 
-/** How a requirement's operators are written, in their enumeration's order. */
+/** The operators' names in JSON, in the order of RequirementOperator. */
 inline constexpr std::array<std::string_view, 6> kRequirementOperatorNames = {
   "equals", "not_equals", "in", "not_in", "exists", "not_exists",
 };
--- a/src/libtrefoilarch/routeindex.cpp
+++ b/src/libtrefoilarch/routeindex.cpp
@@ -12,7 +12,7 @@
 }
 
 std::string
-Normalised(std::string_view aHost)
+NormalisedHost(std::string_view aHost)
 {
   std::string host(aHost.substr(0, aHost.find(':')));
   for (char& letter : host) {
@@ -22,9 +22,9 @@
 }
 
 std::string
-KeyOf(std::string_view aHost, std::string_view aPrefix)
+RouteKey(std::string_view aHost, std::string_view aPrefix)
 {
-  std::string key = Normalised(aHost);
+  std::string key = NormalisedHost(aHost);
   key += ' ';
   key += aPrefix;
   return key;
@@ -36,7 +36,7 @@
   : mPolicy(std::move(aPolicy))
 {
   for (const Route& route : mPolicy->mRoutes) {
-    mRoutes[KeyOf(route.mHost, route.mPathPrefix)] = &route;
+    mRoutes[RouteKey(route.mHost, route.mPathPrefix)] = &route;
   }
   for (const KeyedWorkspace& workspace : mPolicy->mWorkspaces) {
     for (const std::string& key : workspace.mKeys) {
@@ -49,14 +49,14 @@
 RouteIndex::Find(std::string_view aHost, std::string_view aPath) const
 {
   const std::string_view path = aPath.substr(0, aPath.find('?'));
-  std::string key = KeyOf(aHost, path);
+  std::string key = RouteKey(aHost, path);
   const size_t start = key.size() - path.size();
   size_t slash = key.rfind('/');
   while (slash != std::string::npos && slash >= start) {
     key.resize(slash + 1);
-    const auto place = mRoutes.find(key);
-    if (place != mRoutes.end()) {
-      return place->second;
+    const auto found = mRoutes.find(key);
+    if (found != mRoutes.end()) {
+      return found->second;
     }
     slash = slash == 0 ? std::string::npos : key.rfind('/', slash - 1);
   }
@@ -66,15 +66,15 @@
 const KeyedWorkspace*
 RouteIndex::WorkspaceForKey(const std::string& aKey) const
 {
-  const auto place = mKeys.find(aKey);
-  return place == mKeys.end() ? nullptr : place->second;
+  const auto found = mKeys.find(aKey);
+  return found == mKeys.end() ? nullptr : found->second;
 }
 
 const RoutedService*
 RouteIndex::FindService(const std::string& aName) const
 {
-  const auto place = mPolicy->mServices.find(aName);
-  return place == mPolicy->mServices.end() ? nullptr : &place->second;
+  const auto found = mPolicy->mServices.find(aName);
+  return found == mPolicy->mServices.end() ? nullptr : &found->second;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/routeindex.h
+++ b/src/libtrefoilarch/routeindex.h
@@ -10,8 +10,8 @@
 namespace trefoilarch {
 
 /**
- * Looks up routes and keys of one RoutePolicy. Immutable. A lookup costs one
- * hash for each slash of the path, whatever the number of routes.
+ * Looks up the routes and keys of one RoutePolicy. Immutable. A route lookup
+ * costs one hash per slash in the path, regardless of the number of routes.
  */
 class RouteIndex
 {
@@ -19,16 +19,15 @@
   explicit RouteIndex(std::shared_ptr<const RoutePolicy> aPolicy);
 
   /**
-   * The route of the host with the longest prefix that begins the path, or
-   * null. The host is compared without its port and without regard to case;
-   * a query is not part of the path.
+   * The host's route with the longest matching path prefix, or null. The
+   * host's port and case and the path's query are ignored.
    */
   const Route* Find(std::string_view aHost, std::string_view aPath) const;
 
-  /** Whose key it is, or null. */
+  /** The workspace that owns the key, or null. */
   const KeyedWorkspace* WorkspaceForKey(const std::string& aKey) const;
 
-  /** Null where the policy does not describe the service. */
+  /** Null if the policy does not contain the service. */
   const RoutedService* FindService(const std::string& aName) const;
 
   const RoutePolicy& Policy() const { return *mPolicy; }
@@ -36,7 +35,7 @@
 
 private:
   std::shared_ptr<const RoutePolicy> mPolicy;
-  /** By host, a space and the prefix. */
+  /** By host, a space and the path prefix. */
   std::unordered_map<std::string, const Route*> mRoutes;
   std::unordered_map<std::string, const KeyedWorkspace*> mKeys;
 };
--- a/src/libtrefoilarch/routepolicy.h
+++ b/src/libtrefoilarch/routepolicy.h
@@ -11,15 +11,15 @@
 
 namespace trefoilarch {
 
-/** What of a route's requests may be sent to a second upstream. */
+/** When a request may be retried at another upstream. */
 enum class RetryMode : uint8_t
 {
-  AtMostOnce, /**< only what surely has not run */
-  Idempotent, /**< as a whole, at any time */
-  Resumable,  /**< an event stream that goes on after the last event */
+  AtMostOnce, /**< only if it has certainly not run */
+  Idempotent, /**< always, from its beginning */
+  Resumable,  /**< an event stream that continues after the last event */
 };
 
-/** A service and its share of a route's requests. */
+/** A service and its weight among a route's targets. */
 struct WeightedTarget
 {
   std::string mService;
@@ -28,7 +28,7 @@
   bool operator==(const WeightedTarget&) const = default;
 };
 
-/** Requests of one host below one path, and what they are owed. */
+/** The requests for one host and path prefix, and how they are served. */
 struct Route
 {
   std::string mName;
@@ -36,50 +36,49 @@
   std::string mPathPrefix; /**< begins and ends with a slash */
   RetryMode mRetryMode = RetryMode::AtMostOnce;
   bool mStream = false;
-  /** The longest that a caller is kept waiting. */
+  /** Maximum time that a caller waits. */
   Millis mTimeout{ 60000 };
   Millis mFirstTokenTarget{ 1000 };
-  /** The longest pause between events of a stream that is on time. */
+  /** Maximum gap between the events of a stream that is on time. */
   Millis mGapTarget{ 1000 };
   /** 0 is the most urgent. */
   uint8_t mPriority = 0;
   std::vector<WeightedTarget> mTargets;
-  /** Upstreams that one request may be sent to, the first one included. */
+  /** Maximum attempts per request, including the first. */
   uint32_t mMaxAttempts = 1;
-  /** Needs no key. */
+  /** Requests need no key. */
   bool mPublic = false;
 
   bool operator==(const Route&) const = default;
 };
 
-/** What the operators say of a service's model engines. */
+/** Properties of a service's model engines, set by operators. */
 struct EngineTraits
 {
   uint32_t mSlots = 1;
   uint64_t mMemoryTokens = 0;
   uint32_t mBytesPerToken = 0;
-  /** The engines keep copies of running requests on each other. */
+  /** Engines keep copies of running requests on other engines. */
   bool mBackups = false;
-  /** Running requests can be moved between the engines. */
+  /** Running requests can migrate between engines. */
   bool mMoves = false;
-  /** How long a copy is kept. */
   Millis mCopyRetention{ 0 };
 
   bool operator==(const EngineTraits&) const = default;
 };
 
-/** Upstreams that are interchangeable. */
+/** A group of interchangeable upstreams. */
 struct RoutedService
 {
   std::string mName;
-  /** Connections that one upstream takes from all entries together. */
+  /** Connections that an upstream accepts from all entries together. */
   uint32_t mMaxConnections = 100;
   std::optional<EngineTraits> mEngine;
 
   bool operator==(const RoutedService&) const = default;
 };
 
-/** Bounds on what a caller may send. */
+/** Limits on a caller's requests. */
 struct CallerLimits
 {
   uint32_t mMaxHeaderBytes = 16384;
@@ -90,20 +89,20 @@
   bool operator==(const CallerLimits&) const = default;
 };
 
-/** A workspace that shows itself by a key. */
+/** A workspace that is identified by its keys. */
 struct KeyedWorkspace
 {
   std::string mName;
   std::vector<std::string> mKeys;
-  /** Goes before the route's. */
+  /** Overrides the route's priority. */
   std::optional<uint8_t> mPriority;
 
   bool operator==(const KeyedWorkspace&) const = default;
 };
 
 /**
- * A policy that says by host and path where requests go. It is replaced as a
- * whole; versions rise. Never changed in place.
+ * A policy that routes requests by host and path. Each update is a complete
+ * policy with a higher version. Immutable once published.
  */
 struct RoutePolicy
 {
@@ -111,7 +110,7 @@
   std::vector<Route> mRoutes;
   std::map<std::string, RoutedService> mServices;
   CallerLimits mLimits;
-  /** Empty: no request needs a key. */
+  /** If empty, no request needs a key. */
   std::vector<KeyedWorkspace> mWorkspaces;
 
   bool operator==(const RoutePolicy&) const = default;
--- a/src/libtrefoilarch/routepolicyvalidation.cpp
+++ b/src/libtrefoilarch/routepolicyvalidation.cpp
@@ -9,7 +9,7 @@
 using Faults = std::vector<std::string>;
 
 std::string
-Named(const Route& aRoute)
+Describe(const Route& aRoute)
 {
   return "route \"" + aRoute.mName + "\" (" + aRoute.mHost +
          aRoute.mPathPrefix + ")";
@@ -22,53 +22,53 @@
   for (const WeightedTarget& target : aRoute.mTargets) {
     weights += target.mWeight;
     if (!aPolicy.mServices.contains(target.mService)) {
-      aFaults.push_back(Named(aRoute) + ": no service \"" + target.mService +
+      aFaults.push_back(Describe(aRoute) + ": no service \"" + target.mService +
                         "\"");
     }
   }
   if (weights == 0) {
-    aFaults.push_back(Named(aRoute) + ": no target with a weight");
+    aFaults.push_back(Describe(aRoute) + ": no target with a weight");
   }
 }
 
 void
-CheckSpans(const Route& aRoute, Faults& aFaults)
+CheckDurations(const Route& aRoute, Faults& aFaults)
 {
   if (aRoute.mTimeout <= Millis(0)) {
-    aFaults.push_back(Named(aRoute) + ": the timeout must be above 0 ms");
+    aFaults.push_back(Describe(aRoute) + ": the timeout must be above 0 ms");
   }
   if (aRoute.mFirstTokenTarget > aRoute.mTimeout) {
-    aFaults.push_back(Named(aRoute) +
+    aFaults.push_back(Describe(aRoute) +
                       ": the latency target is above the timeout");
   }
 }
 
 void
-CheckPlace(const Route& aRoute, Faults& aFaults)
+CheckHostAndPath(const Route& aRoute, Faults& aFaults)
 {
   const std::string& prefix = aRoute.mPathPrefix;
   if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/') {
-    aFaults.push_back(Named(aRoute) +
+    aFaults.push_back(Describe(aRoute) +
                       ": the path must begin and end with a slash");
   }
   if (aRoute.mHost.empty()) {
-    aFaults.push_back(Named(aRoute) + ": no host");
+    aFaults.push_back(Describe(aRoute) + ": no host");
   }
 }
 
 void
 CheckRoutes(const RoutePolicy& aPolicy, Faults& aFaults)
 {
-  std::map<std::pair<std::string, std::string>, const Route*> places;
+  std::map<std::pair<std::string, std::string>, const Route*> routes;
   for (const Route& route : aPolicy.mRoutes) {
-    CheckPlace(route, aFaults);
+    CheckHostAndPath(route, aFaults);
     CheckTargets(aPolicy, route, aFaults);
-    CheckSpans(route, aFaults);
-    const auto [place, fresh] =
-      places.try_emplace({ route.mHost, route.mPathPrefix }, &route);
-    if (!fresh) {
-      aFaults.push_back(Named(route) + ": the same requests as route \"" +
-                        place->second->mName + "\"");
+    CheckDurations(route, aFaults);
+    const auto [existing, inserted] =
+      routes.try_emplace({ route.mHost, route.mPathPrefix }, &route);
+    if (!inserted) {
+      aFaults.push_back(Describe(route) + ": the same requests as route \"" +
+                        existing->second->mName + "\"");
     }
   }
 }
@@ -76,13 +76,14 @@
 void
 CheckWorkspaces(const RoutePolicy& aPolicy, Faults& aFaults)
 {
-  std::map<std::string, std::string> holders;
+  std::map<std::string, std::string> owners;
   for (const KeyedWorkspace& workspace : aPolicy.mWorkspaces) {
     for (const std::string& key : workspace.mKeys) {
-      const auto [place, fresh] = holders.try_emplace(key, workspace.mName);
-      if (!fresh) {
-        // The key itself is a secret.
-        aFaults.push_back("workspaces \"" + place->second + "\" and \"" +
+      const auto [existing, inserted] =
+        owners.try_emplace(key, workspace.mName);
+      if (!inserted) {
+        // The key is a secret and stays out of the message.
+        aFaults.push_back("workspaces \"" + existing->second + "\" and \"" +
                           workspace.mName + "\" hold the same key");
       }
     }
--- a/src/libtrefoilarch/routepolicyvalidation.h
+++ b/src/libtrefoilarch/routepolicyvalidation.h
@@ -8,9 +8,9 @@
 namespace trefoilarch {
 
 /**
- * What in a policy can't be meant, one line each: two routes for the same
- * requests, a route to a service that is not there, a key of two workspaces,
- * spans and weights of nothing. Empty where there is nothing.
+ * Returns one message for each error in a policy: two routes for the same
+ * requests, a route to an unknown service, a key of two workspaces, a timeout
+ * of zero, targets without weight. Empty for a valid policy.
  */
 std::vector<std::string>
 ValidateRoutePolicy(const RoutePolicy& aPolicy);
--- a/src/libtrefoilarch/trefoilarch.h
+++ b/src/libtrefoilarch/trefoilarch.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * All that an embedder needs: the entry's and the sidecar's cores, which take
- * events and the time and return actions, and the policy that they go by.
- * docs/DESIGN.md, "The library's public face", says who calls what and when;
- * tests/unit/embeddingtest.cpp is a short example.
+ * The public interface for embedders: the cores of the entry and the sidecar,
+ * which take events and the time and return actions, and the policy that they
+ * apply. docs/DESIGN.md, "The library's public face", describes the calls and
+ * their order; tests/unit/embeddingtest.cpp is a short example.
  */
 
 #include "classifier.h"
--- a/src/libtrefoilarch/upstreamlabels.cpp
+++ b/src/libtrefoilarch/upstreamlabels.cpp
@@ -12,10 +12,10 @@
 const std::string kService = "service";
 
 const std::string*
-FindIn(const Labels& aLabels, const std::string& aKey)
+FindLabel(const Labels& aLabels, const std::string& aKey)
 {
-  const auto place = aLabels.find(aKey);
-  return place == aLabels.end() ? nullptr : &place->second;
+  const auto found = aLabels.find(aKey);
+  return found == aLabels.end() ? nullptr : &found->second;
 }
 
 } // namespace
@@ -24,9 +24,9 @@
                                const UpstreamView& aUpstream)
   : mUpstream(aUpstream)
 {
-  const auto place = aPolicy.mUpstreams.find(aUpstream.mName);
-  if (place != aPolicy.mUpstreams.end()) {
-    mSettings = &place->second;
+  const auto found = aPolicy.mUpstreams.find(aUpstream.mName);
+  if (found != aPolicy.mUpstreams.end()) {
+    mSettings = &found->second;
   }
 }
 
@@ -39,17 +39,21 @@
   if (aKey == kDataCentre) {
     return &mUpstream.mDataCentre;
   }
-  const std::string* set =
-    mSettings == nullptr ? nullptr : FindIn(mSettings->mLabels, aKey);
-  return set != nullptr ? set : FindIn(mUpstream.mLabels, aKey);
+  const std::string* overridden =
+    mSettings == nullptr ? nullptr : FindLabel(mSettings->mLabels, aKey);
+  return overridden != nullptr ? overridden
+                               : FindLabel(mUpstream.mLabels, aKey);
 }
 
 bool
-UpstreamLabels::MeetsAll(const std::vector<Requirement>& aAll) const
+UpstreamLabels::MeetsAll(const std::vector<Requirement>& aRequirements) const
 {
-  return std::all_of(aAll.begin(), aAll.end(), [this](const Requirement& aOne) {
-    return MeetsRequirement(Find(aOne.mKey), aOne);
-  });
+  return std::all_of(aRequirements.begin(),
+                     aRequirements.end(),
+                     [this](const Requirement& aRequirement) {
+                       return MeetsRequirement(Find(aRequirement.mKey),
+                                               aRequirement);
+                     });
 }
 
 bool
@@ -61,12 +65,12 @@
 bool
 UpstreamLabels::ServesOne(const Labels& aTraffic, const std::string& aKey) const
 {
-  const std::string* wanted = FindIn(aTraffic, aKey);
-  if (wanted == nullptr) {
+  const std::string* requested = FindLabel(aTraffic, aKey);
+  if (requested == nullptr) {
     return true;
   }
   const std::string* served = Find(aKey);
-  return served != nullptr && *served == *wanted;
+  return served != nullptr && *served == *requested;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamlabels.h
+++ b/src/libtrefoilarch/upstreamlabels.h
@@ -8,18 +8,18 @@
 namespace trefoilarch {
 
 /**
- * An upstream's labels as selectors see them: `upstream` and `data_centre`,
- * then what operators have set, then its own. Refers to its arguments.
+ * An upstream's labels for selectors: `upstream` and `data_centre`, then the
+ * labels set by operators, then its own. Holds references to its arguments.
  */
 class UpstreamLabels
 {
 public:
   UpstreamLabels(const Policy& aPolicy, const UpstreamView& aUpstream);
 
-  /** Null where there is no such label. */
+  /** Null if there is no such label. */
   const std::string* Find(const std::string& aKey) const;
-  bool MeetsAll(const std::vector<Requirement>& aAll) const;
-  /** Whether it has the model and the service that the traffic asks for. */
+  bool MeetsAll(const std::vector<Requirement>& aRequirements) const;
+  /** Whether it has the model and the service that the traffic requests. */
   bool Serves(const Labels& aTraffic) const;
   bool Drained() const { return mSettings != nullptr && mSettings->mDrained; }
 
--- a/tests/unit/classifiertest.cpp
+++ b/tests/unit/classifiertest.cpp
@@ -15,35 +15,41 @@
 
 namespace {
 
-/** The rule of a requirement, put another way than in the library. */
+/** A second implementation of MeetsRequirement, to compare with. */
 bool
-Plainly(const Labels& aLabels, const Requirement& aOne)
+MeetsByDefinition(const Labels& aLabels, const Requirement& aRequirement)
 {
-  const bool there = aLabels.count(aOne.mKey) != 0;
-  const std::vector<std::string>& values = aOne.mValues;
-  const bool hit =
-    there &&
-    std::count(values.begin(), values.end(), aLabels.at(aOne.mKey)) != 0;
-  const bool negated = aOne.mOperator == RequirementOperator::NotEquals ||
-                       aOne.mOperator == RequirementOperator::NotIn ||
-                       aOne.mOperator == RequirementOperator::NotExists;
-  const bool about = aOne.mOperator == RequirementOperator::Exists ||
-                     aOne.mOperator == RequirementOperator::NotExists;
-  return (about ? there : hit) != negated;
+  const bool present = aLabels.count(aRequirement.mKey) != 0;
+  const std::vector<std::string>& values = aRequirement.mValues;
+  const bool contained =
+    present &&
+    std::count(values.begin(), values.end(), aLabels.at(aRequirement.mKey)) !=
+      0;
+  const bool negated =
+    aRequirement.mOperator == RequirementOperator::NotEquals ||
+    aRequirement.mOperator == RequirementOperator::NotIn ||
+    aRequirement.mOperator == RequirementOperator::NotExists;
+  const bool testsPresence =
+    aRequirement.mOperator == RequirementOperator::Exists ||
+    aRequirement.mOperator == RequirementOperator::NotExists;
+  return (testsPresence ? present : contained) != negated;
 }
 
 bool
-AllPlainly(const Labels& aLabels, const std::vector<Requirement>& aAll)
+MeetsAllByDefinition(const Labels& aLabels,
+                     const std::vector<Requirement>& aRequirements)
 {
-  return std::all_of(aAll.begin(), aAll.end(), [&](const Requirement& aOne) {
-    return Plainly(aLabels, aOne);
-  });
+  return std::all_of(aRequirements.begin(),
+                     aRequirements.end(),
+                     [&](const Requirement& aRequirement) {
+                       return MeetsByDefinition(aLabels, aRequirement);
+                     });
 }
 
 bool
-MayGoPlainly(const Policy& aPolicy,
-             const Labels& aTraffic,
-             const UpstreamView& aUpstream)
+IsEligibleByDefinition(const Policy& aPolicy,
+                       const Labels& aTraffic,
+                       const UpstreamView& aUpstream)
 {
   Labels labels = aUpstream.mLabels;
   const auto settings = aPolicy.mUpstreams.find(aUpstream.mName);
@@ -63,15 +69,15 @@
     return false;
   }
   for (const auto& [name, selector] : aPolicy.mSelectors) {
-    if (AllPlainly(aTraffic, selector.mTraffic) &&
-        AllPlainly(labels, selector.mUpstreams)) {
+    if (MeetsAllByDefinition(aTraffic, selector.mTraffic) &&
+        MeetsAllByDefinition(labels, selector.mUpstreams)) {
       return true;
     }
   }
   return false;
 }
 
-/** The classified request, or none where it was refused. */
+/** The classified request, or nullopt if it was rejected. */
 std::optional<ClassifiedRequest>
 Classify(const Classifier& aClassifier, const CallerClaims& aClaims)
 {
@@ -99,7 +105,7 @@
 }
 
 Policy
-OneWorkspace()
+PolicyWithOneWorkspace()
 {
   Policy policy;
   policy.mVersion = 7;
@@ -118,32 +124,34 @@
 
 } // namespace
 
-Test(classifier, traffic_goes_where_the_rules_say)
+Test(classifier, eligibility_matches_a_second_implementation)
 {
   size_t allowed = 0;
   size_t refused = 0;
   const bool holds = rc::check([&](uint32_t aSeed) {
-    Generator draw(aSeed);
-    const auto policy = std::make_shared<Policy>(draw.Policy());
+    Generator generator(aSeed);
+    const auto policy = std::make_shared<Policy>(generator.Policy());
     const auto classifier = std::make_shared<Classifier>(policy);
-    const std::vector<UpstreamView> upstreams = draw.Upstreams();
+    const std::vector<UpstreamView> upstreams = generator.Upstreams();
     EligibleSets sets(4);
     sets.SetClassifier(classifier);
     sets.SetUpstreams(upstreams);
     for (int request = 0; request < 20; ++request) {
-      const auto classified = Classify(*classifier, draw.Claims());
+      const auto classified = Classify(*classifier, generator.Claims());
       if (!classified) {
         continue;
       }
       const Labels& traffic = classified->mTraffic;
       const auto eligible = sets.For(traffic);
-      for (uint32_t place = 0; place < upstreams.size(); ++place) {
-        const bool may = MayGoPlainly(*policy, traffic, upstreams[place]);
-        RC_ASSERT(classifier->IsEligible(traffic, upstreams[place]) == may);
-        RC_ASSERT(
-          std::binary_search(eligible->begin(), eligible->end(), place) == may);
-        allowed += may;
-        refused += !may;
+      for (uint32_t index = 0; index < upstreams.size(); ++index) {
+        const bool expected =
+          IsEligibleByDefinition(*policy, traffic, upstreams[index]);
+        RC_ASSERT(classifier->IsEligible(traffic, upstreams[index]) ==
+                  expected);
+        RC_ASSERT(std::binary_search(
+                    eligible->begin(), eligible->end(), index) == expected);
+        allowed += expected;
+        refused += !expected;
       }
     }
   });
@@ -151,40 +159,41 @@
   cr_assert(allowed > 500 && refused > 500, "%zu, %zu", allowed, refused);
 }
 
-Test(classifier, sets_follow_each_new_policy_and_list)
+Test(classifier, eligible_sets_follow_policies_and_upstream_lists)
 {
   const bool holds = rc::check([](uint32_t aSeed) {
-    Generator draw(aSeed);
+    Generator generator(aSeed);
     EligibleSets sets;
     for (int round = 0; round < 5; ++round) {
-      const auto policy = std::make_shared<Policy>(draw.Policy());
-      if (round == 0 || draw.Chance(50)) {
-        sets.SetUpstreams(draw.Upstreams());
+      const auto policy = std::make_shared<Policy>(generator.Policy());
+      if (round == 0 || generator.Chance(50)) {
+        sets.SetUpstreams(generator.Upstreams());
       }
       sets.SetClassifier(std::make_shared<Classifier>(policy));
-      const Labels traffic = draw.Some({ "role", "site", "model" });
+      const Labels traffic =
+        generator.RandomLabels({ "role", "site", "model" });
       const auto eligible = sets.For(traffic);
-      for (uint32_t place = 0; place < sets.Upstreams().size(); ++place) {
+      for (uint32_t index = 0; index < sets.Upstreams().size(); ++index) {
         RC_ASSERT(
-          std::binary_search(eligible->begin(), eligible->end(), place) ==
-          MayGoPlainly(*policy, traffic, sets.Upstreams()[place]));
+          std::binary_search(eligible->begin(), eligible->end(), index) ==
+          IsEligibleByDefinition(*policy, traffic, sets.Upstreams()[index]));
       }
     }
   });
   cr_assert(holds);
 }
 
-Test(classifier, a_warning_of_a_class_is_never_wrong)
+Test(classifier, warnings_about_classes_are_never_wrong)
 {
   size_t warned = 0;
   const bool holds = rc::check([&](uint32_t aSeed) {
-    Generator draw(aSeed);
-    const auto policy = std::make_shared<Policy>(draw.Policy());
+    Generator generator(aSeed);
+    const auto policy = std::make_shared<Policy>(generator.Policy());
     const Classifier classifier(policy);
-    const std::vector<UpstreamView> upstreams = draw.Upstreams();
+    const std::vector<UpstreamView> upstreams = generator.Upstreams();
     const auto warnings = PolicyWarnings(*policy, upstreams);
     for (int request = 0; request < 60; ++request) {
-      const auto classified = Classify(classifier, draw.Claims());
+      const auto classified = Classify(classifier, generator.Claims());
       if (!classified) {
         continue;
       }
@@ -200,12 +209,12 @@
     }
   });
   cr_assert(holds);
-  cr_assert(warned > 20, "too few warnings came up: %zu", warned);
+  cr_assert(warned > 20, "too few warnings occurred: %zu", warned);
 }
 
-Test(classifier, warns_of_what_leads_nowhere)
+Test(classifier, warns_of_selectors_and_classes_without_upstream)
 {
-  Policy policy = OneWorkspace();
+  Policy policy = PolicyWithOneWorkspace();
   const std::vector<UpstreamView> upstreams = {
     { "e1", "riga-1", { { "pool", "calls" } } }
   };
@@ -230,7 +239,7 @@
 
 Test(classifier, refusals_name_their_cause)
 {
-  const auto policy = std::make_shared<Policy>(OneWorkspace());
+  const auto policy = std::make_shared<Policy>(PolicyWithOneWorkspace());
   const Classifier classifier(policy);
   CallerClaims claims;
   claims.mWorkspace = "nobody";
@@ -243,13 +252,13 @@
   claims.mWantedClass = "cal";
   cr_assert(RefusalKind(classifier, claims) == ErrorKind::UnknownClass);
   claims.mWantedClass = "staff";
-  claims.mLabels["role"] = "s"; // the workspace's own label goes first
+  claims.mLabels["role"] = "s"; // overridden by the workspace's label
   cr_assert(RefusalKind(classifier, claims) == ErrorKind::ClassNotAllowed);
 }
 
-Test(classifier, a_request_gets_what_its_class_is_owed)
+Test(classifier, a_request_gets_the_service_level_of_its_class)
 {
-  const auto policy = std::make_shared<Policy>(OneWorkspace());
+  const auto policy = std::make_shared<Policy>(PolicyWithOneWorkspace());
   const Classifier classifier(policy);
   CallerClaims claims;
   claims.mWorkspace = "north";
--- a/tests/unit/idstest.cpp
+++ b/tests/unit/idstest.cpp
@@ -15,19 +15,19 @@
   cr_assert(holds);
 }
 
-Test(ids, other_text_is_refused)
+Test(ids, malformed_text_gives_the_zero_id)
 {
   cr_assert(RequestId::FromText("").Text() == RequestId().Text());
   cr_assert(RequestId::FromText(std::string(32, 'g')) == RequestId());
   cr_assert(RequestId::FromText(std::string(31, 'a')) == RequestId());
 }
 
-Test(errors, table_has_each_kind_in_its_place)
+Test(errors, table_rows_are_in_the_order_of_the_kinds)
 {
-  size_t place = 0;
+  size_t index = 0;
   for (const ErrorAnswer& row : ErrorAnswers()) {
-    cr_assert(static_cast<size_t>(row.mKind) == place++);
+    cr_assert(static_cast<size_t>(row.mKind) == index++);
     cr_assert(row.mHttpStatus >= 400 && row.mHttpStatus < 600);
   }
-  cr_assert(place == static_cast<size_t>(ErrorKind::Internal) + 1);
+  cr_assert(index == static_cast<size_t>(ErrorKind::Internal) + 1);
 }
--- a/tests/unit/policycodectest.cpp
+++ b/tests/unit/policycodectest.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 std::vector<PolicyOperation>
-OneOfEach(Generator& aDraw)
+AllOperations(Generator& aGenerator)
 {
-  const Policy policy = aDraw.Policy();
+  const Policy policy = aGenerator.Policy();
   return { SetClass{ policy.mClasses.at("call") },
            RemoveClass{ "page" },
            SetWorkspace{ policy.mWorkspaces.at("north") },
@@ -23,7 +23,7 @@
            SetSelector{ policy.mSelectors.at("s1") },
            RemoveSelector{ "s2" },
            SetUpstreamLabels{ "a", { { "k", "v" }, { "gone", {} } } },
-           SetDrained{ "a", aDraw.Chance(50) },
+           SetDrained{ "a", aGenerator.Chance(50) },
            ReplacePolicy{ policy },
            VoidChange{ "some" } };
 }
@@ -32,11 +32,11 @@
 FaultsOf(const std::string& aOperation)
 {
   const std::string text = R"({"id":"x","operations":[)" + aOperation + "]}";
-  const ParseResult<PolicyChange> reading = ChangeFromJson(text);
-  if (!reading.IsValid()) {
-    return reading.mFaults;
+  const ParseResult<PolicyChange> result = ChangeFromJson(text);
+  if (!result.IsValid()) {
+    return result.mFaults;
   }
-  return ApplyChange(PolicyState(), reading.mValue).mFaults;
+  return ApplyChange(PolicyState(), result.mValue).mFaults;
 }
 
 void
@@ -57,29 +57,29 @@
 Test(policycodec, text_round_trips)
 {
   const bool holds = rc::check([](uint32_t aSeed) {
-    Generator draw(aSeed);
-    const Policy policy = draw.Policy();
+    Generator generator(aSeed);
+    const Policy policy = generator.Policy();
     RC_ASSERT(PolicyFromJson(PolicyToJson(policy)).IsValid());
     RC_ASSERT(PolicyFromJson(PolicyToJson(policy)).mValue == policy);
     PolicyChange change;
     change.mId = "id";
     change.mAuthor = "someone";
-    change.mUnixSeconds = draw.Draw(1000);
-    if (draw.Chance(50)) {
-      change.mBaseVersion = draw.Draw(1000);
+    change.mUnixSeconds = generator.Draw(1000);
+    if (generator.Chance(50)) {
+      change.mBaseVersion = generator.Draw(1000);
     }
-    change.mOperations = OneOfEach(draw);
+    change.mOperations = AllOperations(generator);
     RC_ASSERT(ChangeFromJson(ChangeToJson(change)).IsValid());
     RC_ASSERT(ChangeFromJson(ChangeToJson(change)).mValue == change);
     PolicyState state;
     state.mPolicy = std::make_shared<Policy>(policy);
     state.mObjectRevisions["class/call"] = { 3, "someone" };
-    state.mChangeIds["x"] = { 3, draw.Chance(50) };
-    const auto reading = StateFromJson(StateToJson(state));
-    RC_ASSERT(reading.IsValid());
-    RC_ASSERT(*reading.mValue.mPolicy == policy);
-    RC_ASSERT(reading.mValue.mObjectRevisions == state.mObjectRevisions);
-    RC_ASSERT(reading.mValue.mChangeIds == state.mChangeIds);
+    state.mChangeIds["x"] = { 3, generator.Chance(50) };
+    const auto result = StateFromJson(StateToJson(state));
+    RC_ASSERT(result.IsValid());
+    RC_ASSERT(*result.mValue.mPolicy == policy);
+    RC_ASSERT(result.mValue.mObjectRevisions == state.mObjectRevisions);
+    RC_ASSERT(result.mValue.mChangeIds == state.mChangeIds);
   });
   cr_assert(holds);
 }
@@ -120,7 +120,7 @@
              "classes[d].floor");
 }
 
-Test(policycodec, text_that_is_no_change_is_refused)
+Test(policycodec, malformed_changes_are_rejected)
 {
   for (const char* text : { "", "{", "[]", "7", "null", "{\"id\":\"x\"}" }) {
     cr_assert(!ChangeFromJson(text).IsValid(), "%s", text);
--- a/tests/unit/policyfleet.cpp
+++ b/tests/unit/policyfleet.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-const Millis kProposalSpan{ 5000 };
+const Millis kProposalTimeout{ 5000 };
 
 RequestClass
-ClassOf(const std::string& aName, int64_t aDeadline)
+MakeClass(const std::string& aName, int64_t aDeadline)
 {
   RequestClass value;
   value.mName = aName;
@@ -26,8 +26,8 @@
 PolicyFleet::PolicyFleet(uint32_t aSeed)
   : ModelRandom(aSeed)
 {
-  for (size_t each = 0; each < kProcesses; ++each) {
-    Boot(each);
+  for (size_t index = 0; index < kProcesses; ++index) {
+    StartProcess(index);
   }
 }
 
@@ -45,24 +45,24 @@
     case 2:
       return QueryChange(Draw(kProcesses));
     case 3:
-      return PauseOrWake(mProcesses[Draw(kProcesses)]);
+      return PauseOrResume(mProcesses[Draw(kProcesses)]);
     case 4:
       if (Fault(20)) {
-        Boot(Draw(kProcesses));
+        StartProcess(Draw(kProcesses));
       }
       return;
     case 5:
       mTableDown = Fault(40);
-      mObjectsDown = Fault(40);
+      mObjectStoreDown = Fault(40);
       return;
     case 6:
-      return Gossip(Draw(kProcesses), Draw(kProcesses));
+      return SendVersion(Draw(kProcesses), Draw(kProcesses));
     case 7:
     case 8:
       return Advance(Millis(static_cast<int64_t>(Draw(1500))));
     default:
       for (int move = 0; move < 4; ++move) {
-        MovePending();
+        StepPending();
       }
   }
 }
@@ -71,14 +71,14 @@
 PolicyFleet::Heal()
 {
   mTableDown = false;
-  mObjectsDown = false;
+  mObjectStoreDown = false;
   mHealed = true;
   for (Process& process : mProcesses) {
     process.mPaused = false;
   }
   for (int round = 0; round < 400; ++round) {
     for (int moves = 0; moves < 30 && !mPending.empty(); ++moves) {
-      MovePending();
+      StepPending();
     }
     Advance(Millis(100));
   }
@@ -88,32 +88,32 @@
 PolicyFleet::CheckAll()
 {
   uint64_t expected = 0;
-  std::map<std::string, uint64_t> placeOf;
+  std::map<std::string, uint64_t> versionById;
   for (const auto& [version, change] : mHistory) {
     RC_ASSERT(version == ++expected);
-    RC_ASSERT(!placeOf.contains(change.mId));
-    placeOf[change.mId] = version;
+    RC_ASSERT(!versionById.contains(change.mId));
+    versionById[change.mId] = version;
   }
   for (const Process& process : mProcesses) {
     RC_ASSERT(process.mLog->State().Version() == expected);
   }
-  for (const auto& [id, told] : mTold) {
-    CheckTold(id, told, placeOf);
+  for (const auto& [id, record] : mProposalRecords) {
+    CheckRecord(id, record, versionById);
   }
   for (const Process& process : mProcesses) {
-    RC_ASSERT(process.mProposals.empty()); // each was answered
-    RC_ASSERT(process.mQuestions.empty());
+    RC_ASSERT(process.mProposals.empty()); // all were answered
+    RC_ASSERT(process.mQueries.empty());
   }
 }
 
 void
-PolicyFleet::PauseOrWake(Process& aProcess)
+PolicyFleet::PauseOrResume(Process& aProcess)
 {
   aProcess.mPaused = aProcess.mPaused ? Chance(85) : Fault(40);
 }
 
 void
-PolicyFleet::Boot(size_t aProcess)
+PolicyFleet::StartProcess(size_t aProcess)
 {
   Process& process = mProcesses[aProcess];
   process.mLog =
@@ -123,15 +123,15 @@
                                                   .mRetainedRows = 5,
                                                   .mSeed = mRandom() });
   process.mLog->SetPeerCount(kProcesses - 1);
-  ++process.mLife;
-  process.mAdopted = 0;
+  ++process.mIncarnation;
+  process.mAdoptedVersion = 0;
   process.mProposals.clear();
-  process.mQuestions.clear();
-  Carry(aProcess, process.mLog->OnTick(mNow));
+  process.mQueries.clear();
+  Execute(aProcess, process.mLog->OnTick(mNow));
 }
 
 PolicyChange
-PolicyFleet::DrawChange(const Process& aProcess)
+PolicyFleet::RandomChange(const Process& aProcess)
 {
   PolicyChange change;
   change.mId = "change-" + std::to_string(++mLastId);
@@ -147,39 +147,40 @@
     change.mOperations.push_back(SetDrained{ name, Chance(50) });
   } else {
     change.mOperations.push_back(
-      SetClass{ ClassOf(name, 1 + static_cast<int64_t>(Draw(1000))) });
+      SetClass{ MakeClass(name, 1 + static_cast<int64_t>(Draw(1000))) });
   }
   return change;
 }
 
 void
-PolicyFleet::Send(size_t aProcess, const PolicyChange& aChange)
+PolicyFleet::ProposeChange(size_t aProcess, const PolicyChange& aChange)
 {
   Process& process = mProcesses[aProcess];
   if (process.mPaused) {
     return;
   }
-  Told& told = mTold[aChange.mId];
-  told.mChange = aChange;
-  ++told.mProposals;
+  ProposalRecord& record = mProposalRecords[aChange.mId];
+  record.mChange = aChange;
+  ++record.mProposals;
   const uint64_t number = ++mLastNumber;
   process.mProposals[number] = aChange.mId;
-  Carry(aProcess,
-        process.mLog->Propose(number, aChange, mNow + kProposalSpan, mNow));
+  Execute(
+    aProcess,
+    process.mLog->Propose(number, aChange, mNow + kProposalTimeout, mNow));
 }
 
 void
 PolicyFleet::Propose(size_t aProcess)
 {
-  Send(aProcess, DrawChange(mProcesses[aProcess]));
+  ProposeChange(aProcess, RandomChange(mProcesses[aProcess]));
 }
 
 void
 PolicyFleet::ProposeAgain(size_t aProcess)
 {
-  const Told* told = DrawTold();
-  if (told != nullptr) {
-    Send(aProcess, PolicyChange(told->mChange));
+  const ProposalRecord* record = RandomRecord();
+  if (record != nullptr) {
+    ProposeChange(aProcess, PolicyChange(record->mChange));
   }
 }
 
@@ -187,63 +188,63 @@
 PolicyFleet::QueryChange(size_t aProcess)
 {
   Process& process = mProcesses[aProcess];
-  const Told* told = DrawTold();
-  if (process.mPaused || told == nullptr) {
+  const ProposalRecord* record = RandomRecord();
+  if (process.mPaused || record == nullptr) {
     return;
   }
   const uint64_t number = ++mLastNumber;
-  process.mQuestions[number] = told->mChange.mId;
-  Carry(aProcess,
-        process.mLog->QueryChange(
-          number, told->mChange.mId, mNow + kProposalSpan, mNow));
+  process.mQueries[number] = record->mChange.mId;
+  Execute(aProcess,
+          process.mLog->QueryChange(
+            number, record->mChange.mId, mNow + kProposalTimeout, mNow));
 }
 
-const Told*
-PolicyFleet::DrawTold()
+const ProposalRecord*
+PolicyFleet::RandomRecord()
 {
-  if (mTold.empty()) {
+  if (mProposalRecords.empty()) {
     return nullptr;
   }
-  auto place = mTold.begin();
-  std::advance(place, Draw(static_cast<uint32_t>(mTold.size())));
-  return &place->second;
+  auto chosen = mProposalRecords.begin();
+  std::advance(chosen, Draw(static_cast<uint32_t>(mProposalRecords.size())));
+  return &chosen->second;
 }
 
 void
-PolicyFleet::Gossip(size_t aFrom, size_t aTo)
+PolicyFleet::SendVersion(size_t aFrom, size_t aTo)
 {
   Process& to = mProcesses[aTo];
   if (!to.mPaused) {
     const uint64_t version = mProcesses[aFrom].mLog->State().Version();
-    Carry(aTo, to.mLog->OnVersionSeen(version, mNow));
+    Execute(aTo, to.mLog->OnVersionSeen(version, mNow));
   }
 }
 
 void
-PolicyFleet::Advance(Millis aSpan)
+PolicyFleet::Advance(Millis aDuration)
 {
-  mNow += aSpan;
-  for (size_t each = 0; each < kProcesses; ++each) {
-    Process& process = mProcesses[each];
+  mNow += aDuration;
+  for (size_t index = 0; index < kProcesses; ++index) {
+    Process& process = mProcesses[index];
     if (!process.mPaused && process.mLog->NextWake() <= mNow) {
-      Carry(each, process.mLog->OnTick(mNow));
+      Execute(index, process.mLog->OnTick(mNow));
     }
   }
 }
 
 void
-PolicyFleet::Carry(size_t aProcess, PolicyLogActions aActions)
+PolicyFleet::Execute(size_t aProcess, PolicyLogActions aActions)
 {
   Process& process = mProcesses[aProcess];
   for (PolicyLogAction& action : aActions) {
     if (const auto* adopted = std::get_if<PolicyAdopted>(&action)) {
       CheckAdopted(process, *adopted->mPolicy);
     } else if (const auto* answer = std::get_if<ProposalAnswered>(&action)) {
-      NoteAnswer(process, *answer);
+      RecordAnswer(process, *answer);
     } else {
-      Pending& pending = mPending.emplace_back();
+      PendingOperation& pending = mPending.emplace_back();
       pending.mProcess = aProcess;
-      pending.mLife = process.mLife;
+      pending.mIncarnation = process.mIncarnation;
       pending.mAction = std::move(action);
       pending.mSlow = Fault(10);
     }
@@ -253,96 +254,98 @@
 void
 PolicyFleet::CheckAdopted(Process& aProcess, const Policy& aPolicy)
 {
-  RC_ASSERT(aPolicy.mVersion > aProcess.mAdopted);
-  aProcess.mAdopted = aPolicy.mVersion;
-  const auto [place, fresh] = mPolicies.try_emplace(aPolicy.mVersion, aPolicy);
-  RC_ASSERT(place->second == aPolicy);
+  RC_ASSERT(aPolicy.mVersion > aProcess.mAdoptedVersion);
+  aProcess.mAdoptedVersion = aPolicy.mVersion;
+  const auto [known, isNew] = mPolicies.try_emplace(aPolicy.mVersion, aPolicy);
+  RC_ASSERT(known->second == aPolicy);
   RC_ASSERT(mHistory.contains(aPolicy.mVersion));
 }
 
 void
-PolicyFleet::NoteAnswer(Process& aProcess, const ProposalAnswered& aAnswer)
+PolicyFleet::RecordAnswer(Process& aProcess, const ProposalAnswered& aAnswer)
 {
   const auto proposal = aProcess.mProposals.find(aAnswer.mProposal);
   const ProposalAnswer& answer = aAnswer.mAnswer;
   if (proposal != aProcess.mProposals.end()) {
-    mTold[proposal->second].mAnswers.push_back(answer);
+    mProposalRecords[proposal->second].mAnswers.push_back(answer);
     if (answer.mOutcome == ProposalOutcome::Accepted) {
-      // In force here before its author hears of it.
-      RC_ASSERT(aProcess.mAdopted >= answer.mVersion);
+      // The policy is in force here before its author is answered.
+      RC_ASSERT(aProcess.mAdoptedVersion >= answer.mVersion);
     }
     aProcess.mProposals.erase(proposal);
     return;
   }
-  const auto question = aProcess.mQuestions.find(aAnswer.mProposal);
-  RC_ASSERT(question != aProcess.mQuestions.end());
-  mTold[question->second].mAskAnswers.push_back(answer);
-  aProcess.mQuestions.erase(question);
+  const auto query = aProcess.mQueries.find(aAnswer.mProposal);
+  RC_ASSERT(query != aProcess.mQueries.end());
+  mProposalRecords[query->second].mQueryAnswers.push_back(answer);
+  aProcess.mQueries.erase(query);
 }
 
 void
-PolicyFleet::MovePending()
+PolicyFleet::StepPending()
 {
   if (mPending.empty()) {
     return;
   }
-  const size_t place = Draw(static_cast<uint32_t>(mPending.size()));
-  Pending& one = mPending[place];
+  const size_t index = Draw(static_cast<uint32_t>(mPending.size()));
+  PendingOperation& pending = mPending[index];
   if (mHealed) {
-    Execute(one);
-    Deliver(place, false);
+    ExecuteOperation(pending);
+    DeliverResult(index, false);
     return;
   }
-  if (!one.mExecuted && !Fault(30) && (!one.mSlow || Chance(1))) {
-    Execute(one);
+  if (!pending.mExecuted && !Fault(30) && (!pending.mSlow || Chance(1))) {
+    ExecuteOperation(pending);
     return;
   }
-  if (one.mForgotten) {
-    if (one.mExecuted || Chance(one.mSlow ? 1 : 10)) {
-      EraseAt(mPending, place);
+  if (pending.mTimedOut) {
+    if (pending.mExecuted || Chance(pending.mSlow ? 1 : 10)) {
+      EraseAt(mPending, index);
     }
     return;
   }
-  if (!mProcesses[one.mProcess].mPaused) {
-    Deliver(place, !one.mExecuted || Fault(50));
+  if (!mProcesses[pending.mProcess].mPaused) {
+    DeliverResult(index, !pending.mExecuted || Fault(50));
   }
 }
 
 void
-PolicyFleet::Execute(Pending& aOne)
+PolicyFleet::ExecuteOperation(PendingOperation& aPending)
 {
-  if (aOne.mExecuted) {
+  if (aPending.mExecuted) {
     return;
   }
-  aOne.mExecuted = true;
-  if (const auto* read = std::get_if<ReadLog>(&aOne.mAction)) {
-    aOne.mRows = TableRead(*read);
-  } else if (const auto* insert = std::get_if<InsertLogRow>(&aOne.mAction)) {
-    aOne.mInsert = TableInsert(insert->mRow);
-  } else if (std::holds_alternative<ReadSnapshot>(aOne.mAction)) {
-    aOne.mSnapshot.mReached = !mObjectsDown;
-    if (!mObjectsDown && !mSnapshots.empty()) {
-      aOne.mSnapshot.mText = mSnapshots.rbegin()->second;
+  aPending.mExecuted = true;
+  if (const auto* read = std::get_if<ReadLog>(&aPending.mAction)) {
+    aPending.mRows = ReadTable(*read);
+  } else if (const auto* insert =
+               std::get_if<InsertLogRow>(&aPending.mAction)) {
+    aPending.mInsert = InsertIntoTable(insert->mRow);
+  } else if (std::holds_alternative<ReadSnapshot>(aPending.mAction)) {
+    aPending.mSnapshot.mReached = !mObjectStoreDown;
+    if (!mObjectStoreDown && !mSnapshots.empty()) {
+      aPending.mSnapshot.mText = mSnapshots.rbegin()->second;
     }
-  } else if (const auto* write = std::get_if<WriteSnapshot>(&aOne.mAction)) {
-    aOne.mWritten = !mObjectsDown;
-    if (!mObjectsDown) {
+  } else if (const auto* write =
+               std::get_if<WriteSnapshot>(&aPending.mAction)) {
+    aPending.mWritten = !mObjectStoreDown;
+    if (!mObjectStoreDown) {
       mSnapshots[write->mVersion] = write->mText;
     }
-  } else if (const auto* compact = std::get_if<CompactLog>(&aOne.mAction)) {
+  } else if (const auto* compact = std::get_if<CompactLog>(&aPending.mAction)) {
     mTable.erase(mTable.begin(), mTable.lower_bound(compact->mRowsBelow));
     mSnapshots.erase(mSnapshots.begin(),
                      mSnapshots.lower_bound(compact->mSnapshotsBelow));
-  } else if (const auto* pull = std::get_if<PullFromPeer>(&aOne.mAction)) {
+  } else if (const auto* pull = std::get_if<PullFromPeer>(&aPending.mAction)) {
     const Process& peer = mProcesses[Draw(kProcesses)];
     if (!peer.mPaused) {
-      aOne.mDelta = peer.mLog->DeltaAfter(pull->mAfter);
+      aPending.mDelta = peer.mLog->DeltaAfter(pull->mAfter);
     }
   }
 }
 
 std::optional<std::vector<LogRow>>
-PolicyFleet::TableRead(const ReadLog& aRead)
+PolicyFleet::ReadTable(const ReadLog& aRead)
 {
   if (mTableDown) {
     return std::nullopt;
@@ -357,17 +360,17 @@
 }
 
 InsertOutcome
-PolicyFleet::TableInsert(const LogRow& aRow)
+PolicyFleet::InsertIntoTable(const LogRow& aRow)
 {
   if (mTableDown) {
     return Chance(30) ? InsertOutcome::Unknown : InsertOutcome::NotSent;
   }
   const bool follows =
-    aRow.mVersion == 1 ? !mBegun : mTable.contains(aRow.mVersion - 1);
+    aRow.mVersion == 1 ? !mLogStarted : mTable.contains(aRow.mVersion - 1);
   if (!follows || mTable.contains(aRow.mVersion)) {
     return InsertOutcome::Refused;
   }
-  mBegun = true;
+  mLogStarted = true;
   mTable[aRow.mVersion] = aRow.mText;
   RC_ASSERT(!mHistory.contains(aRow.mVersion));
   mHistory[aRow.mVersion] = ChangeFromJson(aRow.mText).mValue;
@@ -375,65 +378,69 @@
 }
 
 void
-PolicyFleet::Deliver(size_t aPlace, bool aLost)
+PolicyFleet::DeliverResult(size_t aIndex, bool aLost)
 {
-  Pending one = mPending[aPlace];
-  if (aLost && !one.mExecuted) {
-    mPending[aPlace].mForgotten = true;
+  PendingOperation pending = mPending[aIndex];
+  if (aLost && !pending.mExecuted) {
+    mPending[aIndex].mTimedOut = true;
   } else {
-    EraseAt(mPending, aPlace);
+    EraseAt(mPending, aIndex);
   }
-  Process& process = mProcesses[one.mProcess];
-  if (process.mLife != one.mLife || one.mForgotten) {
+  Process& process = mProcesses[pending.mProcess];
+  if (process.mIncarnation != pending.mIncarnation || pending.mTimedOut) {
     return;
   }
   PolicyLog& log = *process.mLog;
   PolicyLogActions out;
-  if (std::holds_alternative<ReadLog>(one.mAction)) {
-    out = log.OnRows(aLost ? std::nullopt : one.mRows, mNow);
-  } else if (std::holds_alternative<InsertLogRow>(one.mAction)) {
-    out = log.OnInserted(aLost ? InsertOutcome::Unknown : one.mInsert, mNow);
-  } else if (std::holds_alternative<ReadSnapshot>(one.mAction)) {
-    out = log.OnSnapshot(aLost ? SnapshotReadResult() : one.mSnapshot, mNow);
-  } else if (std::holds_alternative<WriteSnapshot>(one.mAction)) {
-    out = log.OnSnapshotWritten(!aLost && one.mWritten, mNow);
-  } else if (std::holds_alternative<PullFromPeer>(one.mAction)) {
-    out = log.OnPulled(aLost ? std::nullopt : one.mDelta, mNow);
-  }
-  Carry(one.mProcess, std::move(out));
+  if (std::holds_alternative<ReadLog>(pending.mAction)) {
+    out = log.OnRows(aLost ? std::nullopt : pending.mRows, mNow);
+  } else if (std::holds_alternative<InsertLogRow>(pending.mAction)) {
+    out =
+      log.OnInserted(aLost ? InsertOutcome::Unknown : pending.mInsert, mNow);
+  } else if (std::holds_alternative<ReadSnapshot>(pending.mAction)) {
+    out =
+      log.OnSnapshot(aLost ? SnapshotReadResult() : pending.mSnapshot, mNow);
+  } else if (std::holds_alternative<WriteSnapshot>(pending.mAction)) {
+    out = log.OnSnapshotWritten(!aLost && pending.mWritten, mNow);
+  } else if (std::holds_alternative<PullFromPeer>(pending.mAction)) {
+    out = log.OnPulled(aLost ? std::nullopt : pending.mDelta, mNow);
+  }
+  Execute(pending.mProcess, std::move(out));
 }
 
 void
-PolicyFleet::CheckTold(const std::string& aId,
-                       const Told& aTold,
-                       const std::map<std::string, uint64_t>& aPlaceOf)
+PolicyFleet::CheckRecord(const std::string& aId,
+                         const ProposalRecord& aRecord,
+                         const std::map<std::string, uint64_t>& aVersionById)
 {
-  const auto place = aPlaceOf.find(aId);
-  const bool logged = place != aPlaceOf.end();
-  std::vector<ProposalAnswer> all = aTold.mAnswers;
-  all.insert(all.end(), aTold.mAskAnswers.begin(), aTold.mAskAnswers.end());
-  for (const ProposalAnswer& answer : all) {
+  const auto found = aVersionById.find(aId);
+  const bool logged = found != aVersionById.end();
+  std::vector<ProposalAnswer> answers = aRecord.mAnswers;
+  answers.insert(
+    answers.end(), aRecord.mQueryAnswers.begin(), aRecord.mQueryAnswers.end());
+  for (const ProposalAnswer& answer : answers) {
     if (answer.mOutcome == ProposalOutcome::Accepted) {
-      RC_ASSERT(logged && place->second == answer.mVersion);
+      RC_ASSERT(logged && found->second == answer.mVersion);
     }
     if (answer.mOutcome == ProposalOutcome::NotAccepted) {
       RC_ASSERT(!logged);
     }
   }
-  if (aTold.mProposals == 1) {
-    for (const ProposalAnswer& answer : aTold.mAnswers) {
+  if (aRecord.mProposals == 1) {
+    for (const ProposalAnswer& answer : aRecord.mAnswers) {
       const bool clear = answer.mOutcome != ProposalOutcome::Accepted &&
                          answer.mOutcome != ProposalOutcome::Unknown;
       RC_ASSERT(!(clear && logged));
     }
   }
-  if (logged && aTold.mChange.mBaseVersion) {
-    CheckNothingBetween(aTold.mChange, place->second);
+  if (logged && aRecord.mChange.mBaseVersion) {
+    CheckNoChangeBetween(aRecord.mChange, found->second);
   }
 }
 
 void
-PolicyFleet::CheckNothingBetween(const PolicyChange& aChange, uint64_t aVersion)
+PolicyFleet::CheckNoChangeBetween(const PolicyChange& aChange,
+                                  uint64_t aVersion)
 {
   const std::string object = ObjectOf(aChange);
   for (const auto& [version, change] : mHistory) {
@@ -446,14 +453,14 @@
 std::string
 PolicyFleet::ObjectOf(const PolicyChange& aChange)
 {
-  const PolicyOperation& one = aChange.mOperations.front();
-  if (const auto* set = std::get_if<SetClass>(&one)) {
+  const PolicyOperation& operation = aChange.mOperations.front();
+  if (const auto* set = std::get_if<SetClass>(&operation)) {
     return "class/" + set->mClass.mName;
   }
-  if (const auto* removal = std::get_if<RemoveClass>(&one)) {
+  if (const auto* removal = std::get_if<RemoveClass>(&operation)) {
     return "class/" + removal->mName;
   }
-  if (const auto* drained = std::get_if<SetDrained>(&one)) {
+  if (const auto* drained = std::get_if<SetDrained>(&operation)) {
     return "upstream/" + drained->mUpstream;
   }
   return "change";
--- a/tests/unit/policyfleet.h
+++ b/tests/unit/policyfleet.h
@@ -17,27 +17,27 @@
 
 using namespace trefoilarch;
 
-/** Processes round the table. */
+/** Processes that share the table. */
 constexpr size_t kProcesses = 3;
 
-/** What an operator was told, and how often it proposed the id. */
-struct Told
+/** A change's proposals by operators and the answers to them. */
+struct ProposalRecord
 {
   PolicyChange mChange;
   int mProposals = 0;
   std::vector<ProposalAnswer> mAnswers;
-  std::vector<ProposalAnswer> mAskAnswers;
+  std::vector<ProposalAnswer> mQueryAnswers;
 };
 
-/** A read or write that a process has asked for and that is under way. */
-struct Pending
+/** A read or write of a process that is in flight. */
+struct PendingOperation
 {
   size_t mProcess = 0;
-  int mLife = 0;
+  int mIncarnation = 0;
   PolicyLogAction mAction;
   bool mSlow = false;
   bool mExecuted = false;
-  bool mForgotten = false; /**< the process was told "no answer" already */
+  bool mTimedOut = false; /**< the process was already told of a timeout */
   std::optional<std::vector<LogRow>> mRows;
   InsertOutcome mInsert = InsertOutcome::Unknown;
   SnapshotReadResult mSnapshot;
@@ -46,9 +46,9 @@
 };
 
 /**
- * Several processes round one table and one object store, in virtual time.
- * Reads and writes take effect late, in any order, and lose their answers;
- * processes pause, restart and hear of each other's versions.
+ * Simulates processes that share a table and an object store, in virtual time.
+ * Reads and writes take effect late and in any order, and results may be lost;
+ * processes pause, restart and receive each other's versions.
  */
 class PolicyFleet : private ModelRandom
 {
@@ -57,7 +57,7 @@
 
   void Step();
 
-  /** Ends all faults and lets everything finish. */
+  /** Ends all faults and completes all operations. */
   void Heal();
 
   void CheckAll();
@@ -68,74 +68,74 @@
   struct Process
   {
     std::unique_ptr<PolicyLog> mLog;
-    int mLife = 0;
+    int mIncarnation = 0;
     bool mPaused = false;
-    uint64_t mAdopted = 0;
+    uint64_t mAdoptedVersion = 0;
     std::map<uint64_t, std::string> mProposals;
-    std::map<uint64_t, std::string> mQuestions;
+    std::map<uint64_t, std::string> mQueries;
   };
 
-  void PauseOrWake(Process& aProcess);
+  void PauseOrResume(Process& aProcess);
 
-  void Boot(size_t aProcess);
+  void StartProcess(size_t aProcess);
 
-  PolicyChange DrawChange(const Process& aProcess);
+  PolicyChange RandomChange(const Process& aProcess);
 
-  void Send(size_t aProcess, const PolicyChange& aChange);
+  void ProposeChange(size_t aProcess, const PolicyChange& aChange);
 
   void Propose(size_t aProcess);
 
-  /** An operator that got no clear answer repeats the id somewhere. */
+  /** An operator without a conclusive answer proposes the id again. */
   void ProposeAgain(size_t aProcess);
 
   void QueryChange(size_t aProcess);
 
-  const Told* DrawTold();
+  const ProposalRecord* RandomRecord();
 
-  void Gossip(size_t aFrom, size_t aTo);
+  void SendVersion(size_t aFrom, size_t aTo);
 
-  void Advance(Millis aSpan);
+  void Advance(Millis aDuration);
 
-  void Carry(size_t aProcess, PolicyLogActions aActions);
+  void Execute(size_t aProcess, PolicyLogActions aActions);
 
-  /** Versions only rise, and a version is the same policy everywhere. */
+  /** Versions only increase, and a version is the same policy everywhere. */
   void CheckAdopted(Process& aProcess, const Policy& aPolicy);
 
-  void NoteAnswer(Process& aProcess, const ProposalAnswered& aAnswer);
+  void RecordAnswer(Process& aProcess, const ProposalAnswered& aAnswer);
 
-  /** One step of one thing under way. */
-  void MovePending();
+  /** One step of a random operation in flight. */
+  void StepPending();
 
-  void Execute(Pending& aOne);
+  void ExecuteOperation(PendingOperation& aPending);
 
-  std::optional<std::vector<LogRow>> TableRead(const ReadLog& aRead);
+  std::optional<std::vector<LogRow>> ReadTable(const ReadLog& aRead);
 
-  InsertOutcome TableInsert(const LogRow& aRow);
+  InsertOutcome InsertIntoTable(const LogRow& aRow);
 
-  /** Tells the process; a write whose answer is lost may still come true. */
-  void Deliver(size_t aPlace, bool aLost);
+  /** Reports a result; a write that seems lost may still take effect. */
+  void DeliverResult(size_t aIndex, bool aLost);
 
-  void CheckTold(const std::string& aId,
-                 const Told& aTold,
-                 const std::map<std::string, uint64_t>& aPlaceOf);
+  void CheckRecord(const std::string& aId,
+                   const ProposalRecord& aRecord,
+                   const std::map<std::string, uint64_t>& aVersionById);
 
-  /** No other change of the same object between base and acceptance. */
-  void CheckNothingBetween(const PolicyChange& aChange, uint64_t aVersion);
+  /** Checks that no change of the object lies between base and aVersion. */
+  void CheckNoChangeBetween(const PolicyChange& aChange, uint64_t aVersion);
 
   static std::string ObjectOf(const PolicyChange& aChange);
 
   Millis mNow{ 1000 };
   std::array<Process, kProcesses> mProcesses;
-  std::vector<Pending> mPending;
+  std::vector<PendingOperation> mPending;
   std::map<uint64_t, std::string> mTable;
   std::map<uint64_t, std::string> mSnapshots;
-  bool mBegun = false;
+  bool mLogStarted = false;
   bool mTableDown = false;
-  bool mObjectsDown = false;
+  bool mObjectStoreDown = false;
   bool mHealed = false;
   std::map<uint64_t, PolicyChange> mHistory;
   std::map<uint64_t, Policy> mPolicies;
-  std::map<std::string, Told> mTold;
+  std::map<std::string, ProposalRecord> mProposalRecords;
   uint64_t mLastNumber = 0;
   uint64_t mLastId = 0;
 };
--- a/tests/unit/policygen.h
+++ b/tests/unit/policygen.h
@@ -9,7 +9,7 @@
 
 namespace policygen {
 
-/** Draws small policies and traffic whose names and labels often meet. */
+/** Generates small policies and traffic whose names often match. */
 class Generator
 {
 public:
@@ -29,7 +29,7 @@
   std::string ClassName() { return Pick({ "call", "draft", "page" }); }
   std::string WorkspaceName() { return Pick({ "north", "south" }); }
 
-  trefoilarch::Labels Some(const std::vector<std::string>& aKeys)
+  trefoilarch::Labels RandomLabels(const std::vector<std::string>& aKeys)
   {
     trefoilarch::Labels labels;
     for (const std::string& key : aKeys) {
@@ -42,43 +42,46 @@
 
   trefoilarch::Requirement Requirement(const std::vector<std::string>& aKeys)
   {
-    trefoilarch::Requirement one;
-    one.mKey = Pick(aKeys);
-    one.mOperator = static_cast<trefoilarch::RequirementOperator>(Draw(6));
-    const bool many = one.mOperator == trefoilarch::RequirementOperator::In ||
-                      one.mOperator == trefoilarch::RequirementOperator::NotIn;
-    const bool none =
-      one.mOperator == trefoilarch::RequirementOperator::Exists ||
-      one.mOperator == trefoilarch::RequirementOperator::NotExists;
-    const size_t count = none ? 0 : many ? 1 + Draw(2) : 1;
-    while (one.mValues.size() < count) {
-      one.mValues.push_back(one.mKey == "workspace" ? WorkspaceName()
-                            : one.mKey == "class"   ? ClassName()
-                                                    : Value());
+    trefoilarch::Requirement requirement;
+    requirement.mKey = Pick(aKeys);
+    requirement.mOperator =
+      static_cast<trefoilarch::RequirementOperator>(Draw(6));
+    const bool takesList =
+      requirement.mOperator == trefoilarch::RequirementOperator::In ||
+      requirement.mOperator == trefoilarch::RequirementOperator::NotIn;
+    const bool takesNone =
+      requirement.mOperator == trefoilarch::RequirementOperator::Exists ||
+      requirement.mOperator == trefoilarch::RequirementOperator::NotExists;
+    const size_t count = takesNone ? 0 : takesList ? 1 + Draw(2) : 1;
+    while (requirement.mValues.size() < count) {
+      requirement.mValues.push_back(requirement.mKey == "workspace"
+                                      ? WorkspaceName()
+                                    : requirement.mKey == "class" ? ClassName()
+                                                                  : Value());
     }
-    return one;
+    return requirement;
   }
 
   std::vector<trefoilarch::Requirement> Requirements(
     const std::vector<std::string>& aKeys)
   {
-    std::vector<trefoilarch::Requirement> all;
+    std::vector<trefoilarch::Requirement> requirements;
     while (Chance(45)) {
-      all.push_back(Requirement(aKeys));
+      requirements.push_back(Requirement(aKeys));
     }
-    return all;
+    return requirements;
   }
 
   trefoilarch::RequestClass Class(const std::string& aName)
   {
-    trefoilarch::RequestClass one;
-    one.mName = aName;
-    one.mTier = static_cast<trefoilarch::Tier>(Draw(4));
-    one.mFloor = Draw(30) / 100.0;
-    one.mDeadline = trefoilarch::Millis(1 + Draw(60000));
-    one.mIdempotent = Chance(50);
-    one.mCallers = Requirements({ "role", "workspace", "site" });
-    return one;
+    trefoilarch::RequestClass requestClass;
+    requestClass.mName = aName;
+    requestClass.mTier = static_cast<trefoilarch::Tier>(Draw(4));
+    requestClass.mFloor = Draw(30) / 100.0;
+    requestClass.mDeadline = trefoilarch::Millis(1 + Draw(60000));
+    requestClass.mIdempotent = Chance(50);
+    requestClass.mCallers = Requirements({ "role", "workspace", "site" });
+    return requestClass;
   }
 
   trefoilarch::Policy Policy()
@@ -89,26 +92,26 @@
       policy.mClasses[name] = Class(name);
     }
     for (const char* name : { "north", "south" }) {
-      trefoilarch::Workspace& one = policy.mWorkspaces[name];
-      one.mName = name;
-      one.mWeight = 1 + Draw(5);
-      one.mDefaultClass = Chance(80) ? ClassName() : "";
-      one.mLabels = Some({ "role", "site" });
+      trefoilarch::Workspace& workspace = policy.mWorkspaces[name];
+      workspace.mName = name;
+      workspace.mWeight = 1 + Draw(5);
+      workspace.mDefaultClass = Chance(80) ? ClassName() : "";
+      workspace.mLabels = RandomLabels({ "role", "site" });
     }
     for (const char* name : { "s1", "s2", "s3" }) {
-      trefoilarch::Selector& one = policy.mSelectors[name];
-      one.mName = name;
-      one.mTraffic = Requirements(
+      trefoilarch::Selector& selector = policy.mSelectors[name];
+      selector.mName = name;
+      selector.mTraffic = Requirements(
         { "role", "site", "workspace", "class", "model", "data_centre" });
-      one.mUpstreams =
+      selector.mUpstreams =
         Requirements({ "pool", "site", "model", "data_centre", "upstream" });
     }
     for (const char* name : { "a", "b" }) {
       if (Chance(50)) {
-        trefoilarch::UpstreamSettings& one = policy.mUpstreams[name];
-        one.mName = name;
-        one.mLabels = Some({ "pool", "site" });
-        one.mDrained = Chance(30);
+        trefoilarch::UpstreamSettings& settings = policy.mUpstreams[name];
+        settings.mName = name;
+        settings.mLabels = RandomLabels({ "pool", "site" });
+        settings.mDrained = Chance(30);
       }
     }
     return policy;
@@ -116,11 +119,12 @@
 
   std::vector<trefoilarch::UpstreamView> Upstreams()
   {
-    std::vector<trefoilarch::UpstreamView> all;
+    std::vector<trefoilarch::UpstreamView> upstreams;
     for (const char* name : { "a", "b", "c", "d" }) {
-      all.push_back({ name, Value(), Some({ "pool", "site", "model" }) });
+      upstreams.push_back(
+        { name, Value(), RandomLabels({ "pool", "site", "model" }) });
     }
-    return all;
+    return upstreams;
   }
 
   trefoilarch::CallerClaims Claims()
@@ -128,7 +132,7 @@
     trefoilarch::CallerClaims claims;
     claims.mWorkspace = WorkspaceName();
     claims.mWantedClass = Chance(70) ? ClassName() : "";
-    claims.mLabels = Some({ "role", "site", "workspace", "class" });
+    claims.mLabels = RandomLabels({ "role", "site", "workspace", "class" });
     claims.mModel = Chance(60) ? Value() : "";
     claims.mDataCentre = Value();
     return claims;
--- a/tests/unit/policylogtest.cpp
+++ b/tests/unit/policylogtest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-Test(policylog, random_faults_break_no_promise)
+Test(policylog, invariants_hold_under_random_faults)
 {
   size_t accepted = 0;
   const bool holds = rc::check([&](uint32_t aSeed) {
--- a/tests/unit/routeindextest.cpp
+++ b/tests/unit/routeindextest.cpp
@@ -27,7 +27,7 @@
 }
 
 std::string
-Found(const RouteIndex& aIndex, const char* aHost, const char* aPath)
+FoundRoute(const RouteIndex& aIndex, const char* aHost, const char* aPath)
 {
   const Route* route = aIndex.Find(aHost, aPath);
   return route == nullptr ? "" : route->mName;
@@ -38,25 +38,25 @@
 Test(routeindex, the_longest_prefix_wins)
 {
   const RouteIndex index = MakeIndex();
-  cr_expect(Found(index, "a.example", "/a/b/c") == "two");
-  cr_expect(Found(index, "a.example", "/a/b/") == "two");
-  cr_expect(Found(index, "a.example", "/a/b") == "one");
-  cr_expect(Found(index, "a.example", "/ab/") == "all");
-  cr_expect(Found(index, "a.example", "/") == "all");
+  cr_expect(FoundRoute(index, "a.example", "/a/b/c") == "two");
+  cr_expect(FoundRoute(index, "a.example", "/a/b/") == "two");
+  cr_expect(FoundRoute(index, "a.example", "/a/b") == "one");
+  cr_expect(FoundRoute(index, "a.example", "/ab/") == "all");
+  cr_expect(FoundRoute(index, "a.example", "/") == "all");
 }
 
-Test(routeindex, hosts_have_no_case_and_no_port)
+Test(routeindex, host_case_and_port_are_ignored)
 {
   const RouteIndex index = MakeIndex();
-  cr_expect(Found(index, "A.EXAMPLE:8080", "/a/x") == "one");
-  cr_expect(Found(index, "b.example", "/a/x").empty());
+  cr_expect(FoundRoute(index, "A.EXAMPLE:8080", "/a/x") == "one");
+  cr_expect(FoundRoute(index, "b.example", "/a/x").empty());
 }
 
-Test(routeindex, a_query_is_no_part_of_the_path)
+Test(routeindex, the_query_is_ignored)
 {
   const RouteIndex index = MakeIndex();
-  cr_expect(Found(index, "a.example", "/a?x=/b/c/") == "all");
-  cr_expect(Found(index, "a.example", "no-slash").empty());
+  cr_expect(FoundRoute(index, "a.example", "/a?x=/b/c/") == "all");
+  cr_expect(FoundRoute(index, "a.example", "no-slash").empty());
 }
 
 Test(routeindex, keys_are_found_exactly)
--- a/tests/unit/routepolicyvalidationtest.cpp
+++ b/tests/unit/routepolicyvalidationtest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Route
-GoodRoute()
+ValidRoute()
 {
   return { .mName = "r",
            .mHost = "h.example",
@@ -28,62 +28,62 @@
   return policy;
 }
 
-/** Whether there is exactly one fault, and it says that. */
+/** Whether there is exactly one fault, and it contains the text. */
 bool
-OnlyFault(const RoutePolicy& aPolicy, const std::string& aPart)
+HasOnlyFault(const RoutePolicy& aPolicy, const std::string& aText)
 {
   const auto faults = ValidateRoutePolicy(aPolicy);
-  return faults.size() == 1 && faults[0].find(aPart) != std::string::npos;
+  return faults.size() == 1 && faults[0].find(aText) != std::string::npos;
 }
 
 } // namespace
 
-Test(policyfaults, a_policy_without_faults_has_none)
+Test(routepolicyvalidation, a_valid_policy_has_no_faults)
 {
-  cr_expect(ValidateRoutePolicy(PolicyWith({ GoodRoute() })).empty());
+  cr_expect(ValidateRoutePolicy(PolicyWith({ ValidRoute() })).empty());
 }
 
-Test(policyfaults, each_fault_is_named_with_its_route)
+Test(routepolicyvalidation, each_fault_is_named_with_its_route)
 {
-  Route route = GoodRoute();
+  Route route = ValidRoute();
   route.mTargets = { { .mService = "s" }, { .mService = "x" } };
-  cr_expect(
-    OnlyFault(PolicyWith({ route }), "\"r\" (h.example/a/): no service \"x\""));
-  route = GoodRoute();
+  cr_expect(HasOnlyFault(PolicyWith({ route }),
+                         "\"r\" (h.example/a/): no service \"x\""));
+  route = ValidRoute();
   route.mTargets[0].mWeight = 0;
-  cr_expect(OnlyFault(PolicyWith({ route }), "no target with a weight"));
-  route = GoodRoute();
+  cr_expect(HasOnlyFault(PolicyWith({ route }), "no target with a weight"));
+  route = ValidRoute();
   route.mTimeout = Millis(0);
   route.mFirstTokenTarget = Millis(0);
-  cr_expect(OnlyFault(PolicyWith({ route }), "above 0 ms"));
-  route = GoodRoute();
+  cr_expect(HasOnlyFault(PolicyWith({ route }), "above 0 ms"));
+  route = ValidRoute();
   route.mFirstTokenTarget = Millis(3001);
-  cr_expect(OnlyFault(PolicyWith({ route }), "target is above the timeout"));
-  route = GoodRoute();
+  cr_expect(HasOnlyFault(PolicyWith({ route }), "target is above the timeout"));
+  route = ValidRoute();
   route.mPathPrefix = "/a";
-  cr_expect(OnlyFault(PolicyWith({ route }), "end with a slash"));
-  route = GoodRoute();
+  cr_expect(HasOnlyFault(PolicyWith({ route }), "end with a slash"));
+  route = ValidRoute();
   route.mHost = "";
-  cr_expect(OnlyFault(PolicyWith({ route }), "no host"));
-  cr_expect(OnlyFault(PolicyWith({}), "no routes"));
+  cr_expect(HasOnlyFault(PolicyWith({ route }), "no host"));
+  cr_expect(HasOnlyFault(PolicyWith({}), "no routes"));
 }
 
-Test(policyfaults, two_routes_for_the_same_requests)
+Test(routepolicyvalidation, two_routes_for_the_same_requests)
 {
-  Route second = GoodRoute();
+  Route second = ValidRoute();
   second.mName = "r2";
-  cr_expect(OnlyFault(PolicyWith({ GoodRoute(), second }),
-                      "the same requests as route \"r\""));
+  cr_expect(HasOnlyFault(PolicyWith({ ValidRoute(), second }),
+                         "the same requests as route \"r\""));
   second.mPathPrefix = "/a/b/";
-  cr_expect(ValidateRoutePolicy(PolicyWith({ GoodRoute(), second })).empty());
+  cr_expect(ValidateRoutePolicy(PolicyWith({ ValidRoute(), second })).empty());
 }
 
-Test(policyfaults, a_key_of_two_workspaces_is_a_fault_and_not_shown)
+Test(routepolicyvalidation, a_shared_key_is_a_fault_and_not_printed)
 {
-  RoutePolicy policy = PolicyWith({ GoodRoute() });
+  RoutePolicy policy = PolicyWith({ ValidRoute() });
   policy.mWorkspaces[1].mKeys = { "secret-key" };
   policy.mWorkspaces[0].mKeys = { "secret-key" };
-  cr_expect(OnlyFault(policy, "\"t\" and \"u\" hold the same key"));
+  cr_expect(HasOnlyFault(policy, "\"t\" and \"u\" hold the same key"));
   cr_expect(ValidateRoutePolicy(policy)[0].find("secret-key") ==
             std::string::npos);
 }
