--- a/src/trefoilarchctl/changesender.cpp
+++ b/src/trefoilarchctl/changesender.cpp
@@ -13,13 +13,13 @@
 using nlohmann::json;
 
 constexpr const char* kChangesPath = "/v1/policy/changes";
-constexpr int kQuestions = 3;
-constexpr std::chrono::milliseconds kBetweenQuestions{ 500 };
-constexpr int kConflict = 409;
-constexpr int kOk = 200;
+constexpr int kMaxQueries = 3;
+constexpr std::chrono::milliseconds kQueryInterval{ 500 };
+constexpr int kStatusConflict = 409;
+constexpr int kStatusOk = 200;
 
 std::string
-DrawId()
+RandomId()
 {
   constexpr std::string_view digits = "0123456789abcdef";
   constexpr int length = 32;
@@ -33,7 +33,7 @@
 }
 
 std::string
-Warnings(const json& aBody)
+FormatWarnings(const json& aBody)
 {
   std::string text;
   for (const json& warning : aBody.value("warnings", json::array())) {
@@ -44,25 +44,26 @@
 }
 
 std::string
-Conflicts(const json& aBody)
+FormatConflicts(const json& aBody)
 {
   std::string text = "conflict: another change came first; nothing was applied";
-  for (const json& one : aBody.value("conflicts", json::array())) {
-    text += "\n  " + one.value("object", "") + " was changed in version " +
-            std::to_string(one.value("changed_in", uint64_t{ 0 })) + " by " +
-            one.value("by", "");
+  for (const json& conflict : aBody.value("conflicts", json::array())) {
+    text += "\n  " + conflict.value("object", "") + " was changed in version " +
+            std::to_string(conflict.value("changed_in", uint64_t{ 0 })) +
+            " by " + conflict.value("by", "");
   }
   return text;
 }
 
 std::string
-Faults(const json& aBody)
+FormatRefusal(const json& aBody)
 {
   const json error = aBody.value("error", json::object());
   std::string text = "refused: " + error.value("message", "") + " (" +
                      error.value("kind", "") + ")";
-  for (const json& one : aBody.value("faults", json::array())) {
-    text += "\n  " + one.value("field", "") + ": " + one.value("reason", "");
+  for (const json& fault : aBody.value("faults", json::array())) {
+    text +=
+      "\n  " + fault.value("field", "") + ": " + fault.value("reason", "");
   }
   return text;
 }
@@ -72,7 +73,7 @@
 {
   return { .mCode = ExitCode::Unknown,
            .mText = "unknown: the change may or may not have been accepted; "
-                    "ask with: trefoilarchctl policy ask " +
+                    "query it with: trefoilarchctl policy ask " +
                     aId,
            .mJson = { { "status", "unknown" }, { "id", aId } } };
 }
@@ -88,29 +89,29 @@
 }
 
 ChangeReport
-Judge(const Answer& aAnswer, const std::string& aId)
+ReportFromAnswer(const Answer& aAnswer, const std::string& aId)
 {
   json body = json::parse(aAnswer.mBody, nullptr, false);
   if (!body.is_object()) {
     return UnknownReport(aId);
   }
   const std::string status = body.value("status", "");
-  if (aAnswer.mStatus == kOk && status == "accepted") {
+  if (aAnswer.mStatus == kStatusOk && status == "accepted") {
     const uint64_t version = body.value("version", uint64_t{ 0 });
     std::string text = "accepted as version " + std::to_string(version);
-    text += Warnings(body);
+    text += FormatWarnings(body);
     return { .mCode = ExitCode::Done,
              .mText = std::move(text),
              .mJson = std::move(body) };
   }
-  if (aAnswer.mStatus == kOk && status == "not_accepted") {
+  if (aAnswer.mStatus == kStatusOk && status == "not_accepted") {
     return { .mCode = ExitCode::Refused,
              .mText = "not accepted: nothing was applied, and the change " +
-                      aId + " can no longer be",
+                      aId + " can no longer be accepted",
              .mJson = std::move(body) };
   }
-  if (aAnswer.mStatus == kConflict) {
-    std::string text = Conflicts(body);
+  if (aAnswer.mStatus == kStatusConflict) {
+    std::string text = FormatConflicts(body);
     return { .mCode = ExitCode::Conflict,
              .mText = std::move(text),
              .mJson = std::move(body) };
@@ -118,9 +119,10 @@
   if (status == "unknown" || !body.contains("error")) {
     return UnknownReport(aId);
   }
-  const bool outage = body["error"].value("kind", "") == "platform_unavailable";
-  std::string text = Faults(body);
-  return { .mCode = outage ? ExitCode::Unreachable : ExitCode::Refused,
+  const bool unavailable =
+    body["error"].value("kind", "") == "platform_unavailable";
+  std::string text = FormatRefusal(body);
+  return { .mCode = unavailable ? ExitCode::Unreachable : ExitCode::Refused,
            .mText = std::move(text),
            .mJson = std::move(body) };
 }
@@ -131,13 +133,13 @@
 QueryChange(OperatorClient& aClient, const std::string& aId)
 {
   ChangeReport report = UnknownReport(aId);
-  for (int i = 0; i < kQuestions; ++i) {
+  for (int i = 0; i < kMaxQueries; ++i) {
     if (i > 0) {
-      std::this_thread::sleep_for(kBetweenQuestions);
+      std::this_thread::sleep_for(kQueryInterval);
     }
     const Answer answer = aClient.Get(std::string(kChangesPath) + "/" + aId);
     if (answer.mKind == Answer::Kind::Complete) {
-      report = Judge(answer, aId);
+      report = ReportFromAnswer(answer, aId);
     }
     if (report.mCode != ExitCode::Unknown &&
         report.mCode != ExitCode::Unreachable) {
@@ -150,7 +152,7 @@
 ChangeReport
 ProposeChange(OperatorClient& aClient, const ChangeProposal& aOrder)
 {
-  const std::string id = DrawId();
+  const std::string id = RandomId();
   const json base = aOrder.mBaseVersion ? json(*aOrder.mBaseVersion) : json();
   const json change{ { "id", id },
                      { "author", aOrder.mAuthor },
@@ -163,7 +165,7 @@
   if (answer.mKind == Answer::Kind::Lost) {
     return QueryChange(aClient, id);
   }
-  ChangeReport report = Judge(answer, id);
+  ChangeReport report = ReportFromAnswer(answer, id);
   return report.mCode == ExitCode::Unknown ? QueryChange(aClient, id) : report;
 }
 
--- a/src/trefoilarchctl/changesender.h
+++ b/src/trefoilarchctl/changesender.h
@@ -12,16 +12,16 @@
 
 class OperatorClient;
 
-/** A change of the policy as an operator wants it. */
+/** A policy change to propose. */
 struct ChangeProposal
 {
   std::string mAuthor;
   nlohmann::json mOperations;
-  /** Objects changed after it are conflicts; empty: nothing is. */
+  /** Objects changed since then are conflicts; unset: no conflicts. */
   std::optional<uint64_t> mBaseVersion{};
 };
 
-/** What the operator is told, for people and for programs. */
+/** The outcome of a change, as text and as JSON. */
 struct ChangeReport
 {
   ExitCode mCode = ExitCode::Unknown;
@@ -30,14 +30,14 @@
 };
 
 /**
- * Proposes a change. Its id is drawn before it is sent, so that a lost answer
- * can be asked for again; asking settles it, since a process that does not
- * find the change rules it out first.
+ * Proposes a change. Its id is generated before it is sent, so that its outcome
+ * can be queried if the response is lost. A query is conclusive, because a
+ * process that does not find the change voids it first.
  */
 ChangeReport
 ProposeChange(OperatorClient& aClient, const ChangeProposal& aOrder);
 
-/** Asks what became of a change. */
+/** Queries the outcome of a change. */
 ChangeReport
 QueryChange(OperatorClient& aClient, const std::string& aId);
 
--- a/src/trefoilarchctl/classcommand.cpp
+++ b/src/trefoilarchctl/classcommand.cpp
@@ -48,7 +48,7 @@
   return kKind;
 }
 
-/** The flags of `class set`; only what was given alters the class. */
+/** The flags of `class set`; omitted flags leave the class unchanged. */
 struct ClassFlags
 {
   explicit ClassFlags(TCLAP::CmdLine& aLine)
@@ -58,7 +58,13 @@
     , mFirst("", "first-token-ms", "target", false, 0, "MS", aLine)
     , mBetween("", "between-token-ms", "target of it", false, 0, "MS", aLine)
     , mDeadline("", "deadline-ms", "for the whole", false, 0, "MS", aLine)
-    , mIdempotent("", "idempotent", "by default", false, "", &mBool, aLine)
+    , mIdempotent("",
+                  "idempotent",
+                  "by default",
+                  false,
+                  "",
+                  &mBoolConstraint,
+                  aLine)
     , mCallers("", "caller", "who may ask", false, "REQUIREMENT", aLine)
     , mAnyCaller("", "any-caller", "everybody may ask", aLine)
   {
@@ -66,11 +72,11 @@
 
   void Apply(json& aClass) const
   {
-    SetGiven(aClass, "tier", mTier);
-    SetGiven(aClass, "floor", mFloor);
-    SetGiven(aClass, "first_token_ms", mFirst);
-    SetGiven(aClass, "between_token_ms", mBetween);
-    SetGiven(aClass, "deadline_ms", mDeadline);
+    SetIfGiven(aClass, "tier", mTier);
+    SetIfGiven(aClass, "floor", mFloor);
+    SetIfGiven(aClass, "first_token_ms", mFirst);
+    SetIfGiven(aClass, "between_token_ms", mBetween);
+    SetIfGiven(aClass, "deadline_ms", mDeadline);
     if (mIdempotent.isSet()) {
       aClass["idempotent"] = mIdempotent.getValue() == "true";
     }
@@ -85,9 +91,9 @@
 
 private:
   template<typename T>
-  static void SetGiven(json& aClass,
-                       const char* aMember,
-                       const TCLAP::ValueArg<T>& aFlag)
+  static void SetIfGiven(json& aClass,
+                         const char* aMember,
+                         const TCLAP::ValueArg<T>& aFlag)
   {
     if (aFlag.isSet()) {
       aClass[aMember] = aFlag.getValue();
@@ -95,7 +101,7 @@
   }
 
   std::vector<std::string> mChoices{ "true", "false" };
-  TCLAP::ValuesConstraint<std::string> mBool{ mChoices };
+  TCLAP::ValuesConstraint<std::string> mBoolConstraint{ mChoices };
   TCLAP::ValueArg<int64_t> mTier;
   TCLAP::ValueArg<double> mFloor;
   TCLAP::ValueArg<int64_t> mFirst;
--- a/src/trefoilarchctl/command.h
+++ b/src/trefoilarchctl/command.h
@@ -7,18 +7,18 @@
 
 namespace trefoilarchctl {
 
-/** One command of the program, such as `policy` or `drain`. */
+/** A command of the program, such as `policy` or `drain`. */
 struct Command
 {
   std::string mName;
   std::string mSummary;
-  /** Forms and examples, for `--help`. */
+  /** Usage and examples for `--help`. */
   std::string mHelp;
-  /** Gets what follows the command's name; throws UsageError. */
+  /** Takes the arguments after the command's name; throws UsageError. */
   ExitCode (*mRun)(const std::vector<std::string>& aArguments);
 };
 
-/** All commands, in the order of the help. */
+/** All commands, in the order of the help text. */
 const std::vector<Command>&
 Commands();
 
--- a/src/trefoilarchctl/commandline.cpp
+++ b/src/trefoilarchctl/commandline.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 std::string
-Variable(const char* aName)
+EnvironmentVariable(const char* aName)
 {
   const char* value = std::getenv(aName);
   return value ? value : "";
 }
 
-/** `--flag=value` as the two arguments that TCLAP expects. */
+/** Splits `--flag=value` into the two arguments that TCLAP expects. */
 std::vector<std::string>
-Separated(const std::vector<std::string>& aArguments)
+SplitFlags(const std::vector<std::string>& aArguments)
 {
   std::vector<std::string> separated;
   for (const std::string& text : aArguments) {
@@ -50,12 +50,12 @@
 void
 CommandLine::Parse(const std::vector<std::string>& aArguments)
 {
-  std::vector<std::string> arguments = Separated(aArguments);
+  std::vector<std::string> arguments = SplitFlags(aArguments);
   arguments.insert(arguments.begin(), "trefoilarchctl " + mCommand);
   try {
     mLine.parse(arguments);
-  } catch (const TCLAP::ArgException& fault) {
-    throw UsageError(fault.argId() + " " + fault.error());
+  } catch (const TCLAP::ArgException& exception) {
+    throw UsageError(exception.argId() + " " + exception.error());
   }
   const std::vector<std::string> operators = Operators();
   if (operators.empty()) {
@@ -77,7 +77,7 @@
 {
   std::vector<std::string> urls = mOperators.getValue();
   if (urls.empty()) {
-    std::istringstream list(Variable("TREFOILARCH_OPERATOR"));
+    std::istringstream list(EnvironmentVariable("TREFOILARCH_OPERATOR"));
     std::string url;
     while (std::getline(list, url, ',')) {
       urls.push_back(url);
@@ -98,7 +98,7 @@
     return mAuthor.getValue();
   }
   for (const char* name : { "TREFOILARCH_AUTHOR", "USER" }) {
-    std::string value = Variable(name);
+    std::string value = EnvironmentVariable(name);
     if (!value.empty()) {
       return value;
     }
--- a/src/trefoilarchctl/commandline.h
+++ b/src/trefoilarchctl/commandline.h
@@ -9,8 +9,8 @@
 namespace trefoilarchctl {
 
 /**
- * The arguments of one command: what every command takes, and what the
- * command adds to Line() before Parse().
+ * The arguments of one command: those common to all commands, and those that
+ * the command adds to Line() before Parse().
  */
 class CommandLine
 {
@@ -19,10 +19,10 @@
 
   TCLAP::CmdLine& Line() { return mLine; }
 
-  /** Throws UsageError; so it does where no operator port is known. */
+  /** Throws UsageError, also if no operator port is configured. */
   void Parse(const std::vector<std::string>& aArguments);
 
-  /** From the flags, else from TREFOILARCH_OPERATOR (comma-separated). */
+  /** From --operator, else from TREFOILARCH_OPERATOR (comma-separated). */
   std::vector<std::string> Operators() const;
   std::string Author() const;
   bool Json() const { return mJson.getValue(); }
--- a/src/trefoilarchctl/explaincommand.cpp
+++ b/src/trefoilarchctl/explaincommand.cpp
@@ -16,8 +16,8 @@
 
 using nlohmann::json;
 
-/** How far from the request's own lines an upstream's news may bear on it. */
-constexpr int64_t kNearMs = 5000;
+/** Margin around a request's lines within which other lines are related. */
+constexpr int64_t kRelatedMarginMs = 5000;
 
 std::vector<json>
 ReadLines(const std::string& aText)
@@ -26,7 +26,7 @@
   std::istringstream text(aText);
   std::string line;
   while (std::getline(text, line)) {
-    // What stands before the object, such as a collector's time, is skipped.
+    // Skips a prefix, such as the timestamp of a log collector.
     const size_t start = line.find('{');
     if (start == std::string::npos) {
       continue;
@@ -40,56 +40,59 @@
 }
 
 std::string
-TextOf(const json& aValue)
+ToText(const json& aValue)
 {
   return aValue.is_string() ? aValue.get<std::string>() : aValue.dump();
 }
 
-/** Upstreams that the request's lines name, and the span of those lines. */
-struct Trail
+/** A request's log lines, and their upstreams, processes and time range. */
+struct RequestTrace
 {
   std::vector<json> mLines;
   std::set<std::string> mUpstreams;
   std::set<std::string> mProcesses;
-  int64_t mFirst = INT64_MAX;
-  int64_t mLast = 0;
+  int64_t mStartMs = INT64_MAX;
+  int64_t mEndMs = 0;
 };
 
-Trail
-Follow(const std::vector<json>& aAll, const std::string& aId)
+RequestTrace
+TraceRequest(const std::vector<json>& aLines, const std::string& aId)
 {
-  Trail trail;
-  for (const json& line : aAll) {
+  RequestTrace trace;
+  for (const json& line : aLines) {
     if (line.value("id", "") != aId) {
       continue;
     }
-    trail.mLines.push_back(line);
-    trail.mProcesses.insert(line.value("process", ""));
+    trace.mLines.push_back(line);
+    trace.mProcesses.insert(line.value("process", ""));
     const std::string upstream = line.value("upstream", "");
     if (!upstream.empty()) {
-      trail.mUpstreams.insert(upstream);
+      trace.mUpstreams.insert(upstream);
     }
-    const int64_t at = line.value("t_ms", int64_t{ 0 });
-    trail.mFirst =
-      std::min(trail.mFirst, at - line.value("took_ms", int64_t{ 0 }));
-    trail.mLast = std::max(trail.mLast, at);
+    const int64_t timeMs = line.value("t_ms", int64_t{ 0 });
+    trace.mStartMs =
+      std::min(trace.mStartMs, timeMs - line.value("took_ms", int64_t{ 0 }));
+    trace.mEndMs = std::max(trace.mEndMs, timeMs);
   }
-  return trail;
+  return trace;
 }
 
-/** A line of the same process that may tell why: about one of the upstreams,
- * the store or the process itself. */
+/**
+ * Whether a line of the same process may explain the request's outcome: it is
+ * about one of the upstreams, the store, the policy or the process itself.
+ */
 bool
-Bears(const json& aLine, const Trail& aTrail)
+IsRelated(const json& aLine, const RequestTrace& aTrace)
 {
-  const int64_t at = aLine.value("t_ms", int64_t{ 0 });
-  if (!aTrail.mProcesses.contains(aLine.value("process", "")) ||
-      at < aTrail.mFirst - kNearMs || at > aTrail.mLast + kNearMs) {
+  const int64_t timeMs = aLine.value("t_ms", int64_t{ 0 });
+  if (!aTrace.mProcesses.contains(aLine.value("process", "")) ||
+      timeMs < aTrace.mStartMs - kRelatedMarginMs ||
+      timeMs > aTrace.mEndMs + kRelatedMarginMs) {
     return false;
   }
   const std::string event = aLine.value("event", "");
   if (event.starts_with("upstream_") || event == "attempt_ended") {
-    return aTrail.mUpstreams.contains(aLine.value("upstream", ""));
+    return aTrace.mUpstreams.contains(aLine.value("upstream", ""));
   }
   return event.starts_with("dependency_") || event == "stopping" ||
          event == "stopped" || event == "started" || event == "not_ready" ||
@@ -97,13 +100,13 @@
 }
 
 void
-PrintLine(const json& aLine, int64_t aStart)
+PrintLine(const json& aLine, int64_t aStartMs)
 {
-  std::cout << "  " << aLine.value("t_ms", int64_t{ 0 }) - aStart << " ms  "
+  std::cout << "  " << aLine.value("t_ms", int64_t{ 0 }) - aStartMs << " ms  "
             << aLine.value("process", "") << "  " << aLine.value("event", "");
   for (const auto& [key, value] : aLine.items()) {
     if (key != "t_ms" && key != "process" && key != "event" && key != "id") {
-      std::cout << " " << key << "=" << TextOf(value);
+      std::cout << " " << key << "=" << ToText(value);
     }
   }
   std::cout << "\n";
@@ -114,37 +117,37 @@
 ExitCode
 RunExplain(const std::vector<std::string>& aArguments)
 {
-  std::vector<std::string> words = aArguments;
-  const bool asJson = std::erase(words, "--json") > 0;
-  if (words.empty() || words.size() > 2) {
+  std::vector<std::string> arguments = aArguments;
+  const bool asJson = std::erase(arguments, "--json") > 0;
+  if (arguments.empty() || arguments.size() > 2) {
     throw UsageError("explain: expects ID [FILE]");
   }
-  const std::string file = words.size() == 2 ? words[1] : "-";
-  const std::vector<json> all = ReadLines(ReadInput(file));
-  const Trail trail = Follow(all, words[0]);
-  if (trail.mLines.empty()) {
-    std::cerr << "no line of request " << words[0] << " among " << all.size()
-              << "\n";
+  const std::string file = arguments.size() == 2 ? arguments[1] : "-";
+  const std::vector<json> lines = ReadLines(ReadInput(file));
+  const RequestTrace trace = TraceRequest(lines, arguments[0]);
+  if (trace.mLines.empty()) {
+    std::cerr << "no line of request " << arguments[0] << " among "
+              << lines.size() << "\n";
     return ExitCode::Refused;
   }
-  std::vector<json> near;
-  for (const json& line : all) {
-    if (line.value("id", "") != words[0] && Bears(line, trail)) {
-      near.push_back(line);
+  std::vector<json> related;
+  for (const json& line : lines) {
+    if (line.value("id", "") != arguments[0] && IsRelated(line, trace)) {
+      related.push_back(line);
     }
   }
   if (asJson) {
-    std::cout << json{ { "request", trail.mLines }, { "near", near } }.dump()
+    std::cout << json{ { "request", trace.mLines }, { "near", related } }.dump()
               << "\n";
     return ExitCode::Done;
   }
-  std::cout << "request " << words[0] << "\n";
-  for (const json& line : trail.mLines) {
-    PrintLine(line, trail.mFirst);
+  std::cout << "request " << arguments[0] << "\n";
+  for (const json& line : trace.mLines) {
+    PrintLine(line, trace.mStartMs);
   }
-  std::cout << (near.empty() ? "nothing else near it\n" : "near it\n");
-  for (const json& line : near) {
-    PrintLine(line, trail.mFirst);
+  std::cout << (related.empty() ? "nothing else near it\n" : "near it\n");
+  for (const json& line : related) {
+    PrintLine(line, trace.mStartMs);
   }
   return ExitCode::Done;
 }
--- a/src/trefoilarchctl/fleetcommands.cpp
+++ b/src/trefoilarchctl/fleetcommands.cpp
@@ -16,9 +16,9 @@
 
 using nlohmann::json;
 
-/** The members of an object on one line, `key=value` each. */
+/** Formats an object's members on one line, as `key=value`. */
 std::string
-OneLine(const json& aObject)
+FormatMembers(const json& aObject)
 {
   std::string text;
   for (const auto& [key, value] : aObject.items()) {
@@ -36,12 +36,12 @@
             << ", open requests "
             << aStatus.value("open_requests", uint64_t{ 0 }) << "\n";
   Table rows{ { "UPSTREAM", "DATA CENTRE", "STATE", "LABELS", "LOAD" } };
-  for (const json& one : aStatus.value("upstreams", json::array())) {
-    rows.push_back({ one.value("name", ""),
-                     one.value("data_centre", ""),
-                     one.value("state", ""),
-                     OneLine(one.value("labels", json::object())),
-                     OneLine(one.value("load", json::object())) });
+  for (const json& upstream : aStatus.value("upstreams", json::array())) {
+    rows.push_back({ upstream.value("name", ""),
+                     upstream.value("data_centre", ""),
+                     upstream.value("state", ""),
+                     FormatMembers(upstream.value("labels", json::object())),
+                     FormatMembers(upstream.value("load", json::object())) });
   }
   PrintTable(rows);
 }
@@ -59,12 +59,13 @@
 }
 
 ExitCode
-Release(OperatorClient& aClient, const std::string& aFingerprint)
+ReleaseQuarantined(OperatorClient& aClient, const std::string& aFingerprint)
 {
   const Answer answer =
     aClient.Post("/v1/quarantine/release/" + aFingerprint, "");
-  constexpr int kNotFound = 404;
-  if (answer.mKind == Answer::Kind::Complete && answer.mStatus == kNotFound) {
+  constexpr int kStatusNotFound = 404;
+  if (answer.mKind == Answer::Kind::Complete &&
+      answer.mStatus == kStatusNotFound) {
     std::cerr << "no such request is in quarantine\n";
     return ExitCode::Refused;
   }
@@ -77,15 +78,15 @@
   Table rows{
     { "FINGERPRINT", "SUSPECT FOR MS", "LAST SENT MS AGO", "CRASHED" }
   };
-  for (const json& one : aQuarantine.value("quarantined", json::array())) {
+  for (const json& request : aQuarantine.value("quarantined", json::array())) {
     std::string crashed;
-    for (const json& crash : one.value("crashes", json::array())) {
+    for (const json& crash : request.value("crashes", json::array())) {
       crashed += (crashed.empty() ? "" : " ") + crash.value("upstream", "");
     }
     rows.push_back(
-      { one.value("fingerprint", ""),
-        std::to_string(one.value("suspect_for_ms", int64_t{ 0 })),
-        std::to_string(one.value("last_sent_ms_ago", int64_t{ 0 })),
+      { request.value("fingerprint", ""),
+        std::to_string(request.value("suspect_for_ms", int64_t{ 0 })),
+        std::to_string(request.value("last_sent_ms_ago", int64_t{ 0 })),
         crashed });
   }
   PrintTable(rows);
@@ -104,10 +105,10 @@
   line.Parse(aArguments);
   OperatorClient client(line.Operators());
   if (verb.getValue() == "release" && !fingerprint.getValue().empty()) {
-    return Release(client, fingerprint.getValue());
+    return ReleaseQuarantined(client, fingerprint.getValue());
   }
   if (!verb.getValue().empty()) {
-    throw UsageError("quarantine takes nothing, or release FINGERPRINT");
+    throw UsageError("quarantine takes no arguments, or release FINGERPRINT");
   }
   const Answer answer = client.Get("/v1/quarantine");
   const ExitCode code = CheckAnswer(answer);
@@ -155,8 +156,8 @@
     return code;
   }
   const json state = json::parse(answer.mBody, nullptr, false);
-  const bool plain = line.Json() || state.is_discarded();
-  std::cout << (plain ? answer.mBody : state.dump(2)) << "\n";
+  const bool unformatted = line.Json() || state.is_discarded();
+  std::cout << (unformatted ? answer.mBody : state.dump(2)) << "\n";
   return code;
 }
 
--- a/src/trefoilarchctl/main.cpp
+++ b/src/trefoilarchctl/main.cpp
@@ -37,14 +37,14 @@
 }
 
 bool
-AsksForHelp(const std::string& aText)
+IsHelpFlag(const std::string& aText)
 {
   return aText == "--help" || aText == "-h";
 }
 
-/** Puts flags that stand before the command behind it. */
+/** Moves the flags before the command behind it. */
 std::vector<std::string>
-CommandFirst(std::vector<std::string> aArguments)
+MoveFlagsBehindCommand(std::vector<std::string> aArguments)
 {
   size_t flags = 0;
   while (flags < aArguments.size()) {
@@ -72,7 +72,7 @@
     throw UsageError("no command given; see trefoilarchctl --help");
   }
   const std::string& name = aArguments.front();
-  if (AsksForHelp(name) || name == "help") {
+  if (IsHelpFlag(name) || name == "help") {
     PrintHelp();
     return ExitCode::Done;
   }
@@ -84,13 +84,13 @@
     if (command.mName != name) {
       continue;
     }
-    if (std::ranges::any_of(aArguments, AsksForHelp)) {
+    if (std::ranges::any_of(aArguments, IsHelpFlag)) {
       std::cout << command.mHelp << "\n" << kCommonHelp;
       return ExitCode::Done;
     }
     return command.mRun({ aArguments.begin() + 1, aArguments.end() });
   }
-  throw UsageError("no command is called " + name);
+  throw UsageError("unknown command: " + name);
 }
 
 } // namespace
@@ -99,13 +99,14 @@
 main(int aCount, char** aArguments)
 {
   try {
-    const std::vector<std::string> given(aArguments + 1, aArguments + aCount);
-    return static_cast<int>(Run(CommandFirst(given)));
-  } catch (const UsageError& fault) {
-    std::cerr << "usage: " << fault.what() << "\n";
+    const std::vector<std::string> arguments(aArguments + 1,
+                                             aArguments + aCount);
+    return static_cast<int>(Run(MoveFlagsBehindCommand(arguments)));
+  } catch (const UsageError& error) {
+    std::cerr << "usage: " << error.what() << "\n";
     return static_cast<int>(ExitCode::Usage);
-  } catch (const UnreachableError& fault) {
-    std::cerr << "unreachable: " << fault.what() << "\n";
+  } catch (const UnreachableError& error) {
+    std::cerr << "unreachable: " << error.what() << "\n";
     return static_cast<int>(ExitCode::Unreachable);
   }
 }
--- a/src/trefoilarchctl/objectcommand.cpp
+++ b/src/trefoilarchctl/objectcommand.cpp
@@ -15,7 +15,7 @@
 using Arguments = std::vector<std::string>;
 
 json
-FindOrMake(const json& aObjects, const std::string& aName)
+FindOrCreate(const json& aObjects, const std::string& aName)
 {
   for (const json& object : aObjects) {
     if (object.value("name", "") == aName) {
@@ -71,7 +71,7 @@
 {
   OperatorClient client(aLine.Operators());
   const json policy = FetchPolicy(client);
-  json object = FindOrMake(policy.value(aKind.mPlural, json::array()), aName);
+  json object = FindOrCreate(policy.value(aKind.mPlural, json::array()), aName);
   aChange(object);
   json operation{ { "op", "set_" + aKind.mName },
                   { aKind.mName, std::move(object) } };
--- a/src/trefoilarchctl/objectcommand.h
+++ b/src/trefoilarchctl/objectcommand.h
@@ -12,16 +12,16 @@
 
 class CommandLine;
 
-/** A kind of named object in the policy: classes, workspaces, selectors. */
+/** A kind of named policy object: class, workspace or selector. */
 struct ObjectKind
 {
-  std::string mName;   /**< in operations and commands, such as `class` */
-  std::string mPlural; /**< the policy's member, such as `classes` */
+  std::string mName;   /**< as in operations and commands, such as `class` */
+  std::string mPlural; /**< the policy's JSON member, such as `classes` */
   std::vector<std::string> mColumns;
   std::function<std::vector<std::string>(const nlohmann::json&)> mRow;
 };
 
-/** `list`: a table, or the objects as JSON. */
+/** `list`: prints the objects as a table or as JSON. */
 ExitCode
 ListObjects(const ObjectKind& aKind,
             const std::vector<std::string>& aArguments);
@@ -32,9 +32,9 @@
              const std::vector<std::string>& aArguments);
 
 /**
- * `set NAME`: reads the object as it is, or starts a new one, lets aChange
- * alter it, and proposes it on the version that was read, so that a change
- * by another operator in between is a conflict and not undone.
+ * `set NAME`: reads or creates the object, modifies it with aChange and
+ * proposes it based on the version that was read, so that a concurrent change
+ * by another operator is a conflict and is not overwritten.
  */
 ExitCode
 SetObject(const ObjectKind& aKind,
@@ -42,7 +42,7 @@
           const std::string& aName,
           const std::function<void(nlohmann::json&)>& aChange);
 
-/** Splits off the verb and calls the one that fits; throws UsageError. */
+/** Runs the subcommand list, set or remove; throws UsageError. */
 ExitCode
 RunObject(const ObjectKind& aKind,
           const std::vector<std::string>& aArguments,
--- a/src/trefoilarchctl/operatorclient.cpp
+++ b/src/trefoilarchctl/operatorclient.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/** Longer than a process takes to settle a change with the platform. */
-constexpr std::chrono::seconds kLongestCall{ 15 };
+/** Longer than a process takes to resolve a change with the platform. */
+constexpr std::chrono::seconds kCallTimeout{ 15 };
 
-/** Collects an answer on the call runner's thread. */
+/** Collects a response on the call runner's thread. */
 struct Collector
 {
   Answer mAnswer{};
@@ -88,7 +88,7 @@
     request.mHeaders = { { "Content-Type", "application/json" } };
   }
   const uint64_t call = mRunner.Start(std::move(request), HooksFor(collector));
-  if (done.wait_for(kLongestCall) != std::future_status::ready) {
+  if (done.wait_for(kCallTimeout) != std::future_status::ready) {
     mRunner.Cancel(call);
     return { .mKind = Answer::Kind::Lost };
   }
--- a/src/trefoilarchctl/operatorclient.h
+++ b/src/trefoilarchctl/operatorclient.h
@@ -7,14 +7,14 @@
 
 namespace trefoilarchctl {
 
-/** What became of one HTTP call. */
+/** The result of one HTTP call. */
 struct Answer
 {
   enum class Kind
   {
     Complete,
-    NeverSent, /**< nobody has seen the call */
-    Lost,      /**< somebody may have seen it */
+    NeverSent, /**< no process received the call */
+    Lost,      /**< a process may have received it */
   };
 
   Kind mKind = Kind::NeverSent;
@@ -22,17 +22,17 @@
   std::string mBody{};
 };
 
-/** Speaks to the operator ports of one or more processes, in turn. */
+/** Calls the operator ports of one or more processes in turn. */
 class OperatorClient
 {
 public:
   /** Base URLs such as http://127.0.0.1:7100. */
   explicit OperatorClient(std::vector<std::string> aBases);
 
-  /** Asks each in turn until one answers whole; safe to repeat. */
+  /** Tries each port until one returns a complete response; idempotent. */
   Answer Get(const std::string& aPath);
 
-  /** Sends to the first that is reached, and to one only. */
+  /** Sends to the first port that can be reached, and to no other. */
   Answer Post(const std::string& aPath, const std::string& aBody);
 
 private:
--- a/src/trefoilarchctl/output.cpp
+++ b/src/trefoilarchctl/output.cpp
@@ -18,11 +18,11 @@
 
 using nlohmann::json;
 
-constexpr int kLeastError = 400;
-constexpr int kLeastServerError = 500;
+constexpr int kMinErrorStatus = 400;
+constexpr int kMinServerErrorStatus = 500;
 
 std::string
-Padded(std::string aText, size_t aWidth)
+Pad(std::string aText, size_t aWidth)
 {
   aText.resize(std::max(aWidth, aText.size()), ' ');
   return aText;
@@ -43,7 +43,7 @@
     std::string line;
     for (size_t i = 0; i < row.size(); ++i) {
       const bool last = i + 1 == row.size();
-      line += last ? row[i] : Padded(row[i], widths[i] + 2);
+      line += last ? row[i] : Pad(row[i], widths[i] + 2);
     }
     std::cout << line << "\n";
   }
@@ -56,8 +56,8 @@
     std::cout << aReport.mJson.dump() << "\n";
     return aReport.mCode;
   }
-  const bool good = aReport.mCode == ExitCode::Done;
-  (good ? std::cout : std::cerr) << aReport.mText << "\n";
+  const bool done = aReport.mCode == ExitCode::Done;
+  (done ? std::cout : std::cerr) << aReport.mText << "\n";
   return aReport.mCode;
 }
 
@@ -68,11 +68,11 @@
     std::cerr << "unreachable: no operator port answered\n";
     return ExitCode::Unreachable;
   }
-  if (aAnswer.mStatus >= kLeastError) {
+  if (aAnswer.mStatus >= kMinErrorStatus) {
     std::cerr << "refused with status " << aAnswer.mStatus << ": "
               << aAnswer.mBody << "\n";
-    return aAnswer.mStatus >= kLeastServerError ? ExitCode::Unreachable
-                                                : ExitCode::Refused;
+    return aAnswer.mStatus >= kMinServerErrorStatus ? ExitCode::Unreachable
+                                                    : ExitCode::Refused;
   }
   return ExitCode::Done;
 }
@@ -82,9 +82,10 @@
 {
   const Answer answer = aClient.Get("/v1/policy");
   json policy = json::parse(answer.mBody, nullptr, false);
-  if (answer.mKind != Answer::Kind::Complete || answer.mStatus >= kLeastError ||
-      !policy.is_object()) {
-    throw UnreachableError("no operator port gave the policy; ask an entry's");
+  if (answer.mKind != Answer::Kind::Complete ||
+      answer.mStatus >= kMinErrorStatus || !policy.is_object()) {
+    throw UnreachableError("no operator port returned the policy; use the "
+                           "operator port of an entry");
   }
   return policy;
 }
@@ -109,8 +110,8 @@
 {
   try {
     return json::parse(ReadInput(aFile));
-  } catch (const json::parse_error& fault) {
-    throw UsageError(aFile + " is not JSON: " + fault.what());
+  } catch (const json::parse_error& error) {
+    throw UsageError(aFile + " is not JSON: " + error.what());
   }
 }
 
--- a/src/trefoilarchctl/output.h
+++ b/src/trefoilarchctl/output.h
@@ -13,19 +13,19 @@
 class OperatorClient;
 struct Answer;
 
-/** Rows of equal length, the first with the columns' names. */
+/** Rows of equal length; the first contains the column names. */
 using Table = std::vector<std::vector<std::string>>;
 
 void
 PrintTable(const Table& aRows);
 
-/** Says what became of a change: faults to standard error. */
+/** Prints the outcome of a change; errors go to standard error. */
 ExitCode
 PrintReport(const CommandLine& aLine, const ChangeReport& aReport);
 
 /**
- * Prints why a question has no good answer and gives the exit code for it;
- * Done where the answer is good.
+ * Prints the error of a failed call and returns its exit code; Done if the call
+ * succeeded.
  */
 ExitCode
 CheckAnswer(const Answer& aAnswer);
@@ -34,11 +34,11 @@
 nlohmann::json
 FetchPolicy(OperatorClient& aClient);
 
-/** Reads a whole file, or standard input for "-"; throws UsageError. */
+/** Reads a file, or standard input for "-"; throws UsageError. */
 std::string
 ReadInput(const std::string& aFile);
 
-/** Reads a whole JSON file the same way. */
+/** Reads a JSON file, or standard input for "-"; throws UsageError. */
 nlohmann::json
 ReadJson(const std::string& aFile);
 
--- a/src/trefoilarchctl/policycommand.cpp
+++ b/src/trefoilarchctl/policycommand.cpp
@@ -39,9 +39,9 @@
   return text.data();
 }
 
-/** What an operation does, in a few words. */
+/** A short description of an operation. */
 std::string
-Summary(const json& aOperation)
+Summarise(const json& aOperation)
 {
   std::string text = aOperation.value("op", "");
   for (const char* member : { "class", "workspace", "selector" }) {
@@ -58,11 +58,11 @@
 }
 
 std::string
-Summaries(const json& aOperations)
+SummariseAll(const json& aOperations)
 {
   std::string text;
   for (const json& operation : aOperations) {
-    text += (text.empty() ? "" : ", ") + Summary(operation);
+    text += (text.empty() ? "" : ", ") + Summarise(operation);
   }
   return text;
 }
@@ -88,7 +88,7 @@
   line.Parse(aArguments);
   json policy = ReadJson(file.getValue());
   const std::optional<uint64_t> version = VersionOf(policy, "version");
-  const bool based = version && *version > 0 && !force.getValue();
+  const bool hasBase = version && *version > 0 && !force.getValue();
   OperatorClient client(line.Operators());
   json operation{ { "op", "replace_policy" }, { "policy", std::move(policy) } };
   return PrintReport(
@@ -96,7 +96,7 @@
     ProposeChange(client,
                   { .mAuthor = line.Author(),
                     .mOperations = json::array({ std::move(operation) }),
-                    .mBaseVersion = based ? version : std::nullopt }));
+                    .mBaseVersion = hasBase ? version : std::nullopt }));
 }
 
 ExitCode
@@ -116,7 +116,7 @@
   json operations =
     input.is_object() ? input.value("operations", json()) : std::move(input);
   if (!operations.is_array()) {
-    throw UsageError("the file must hold a list of operations, or an object "
+    throw UsageError("the file must contain a list of operations, or an object "
                      "with \"operations\"");
   }
   OperatorClient client(line.Operators());
@@ -150,19 +150,19 @@
     return code;
   }
   Table rows{ { "VERSION", "TIME", "AUTHOR", "ID", "CHANGE" } };
-  for (const json& one : body.value("changes", json::array())) {
-    rows.push_back({ std::to_string(one.value("version", uint64_t{ 0 })),
-                     UtcTime(one.value("unix_seconds", int64_t{ 0 })),
-                     one.value("author", ""),
-                     one.value("id", ""),
-                     Summaries(one.value("operations", json::array())) });
+  for (const json& change : body.value("changes", json::array())) {
+    rows.push_back({ std::to_string(change.value("version", uint64_t{ 0 })),
+                     UtcTime(change.value("unix_seconds", int64_t{ 0 })),
+                     change.value("author", ""),
+                     change.value("id", ""),
+                     SummariseAll(change.value("operations", json::array())) });
   }
   PrintTable(rows);
   return code;
 }
 
 ExitCode
-Ask(const Arguments& aArguments)
+QueryChangeOutcome(const Arguments& aArguments)
 {
   CommandLine line("policy ask");
   TCLAP::UnlabeledValueArg<std::string> id(
@@ -193,7 +193,7 @@
     return History(rest);
   }
   if (verb == "ask") {
-    return Ask(rest);
+    return QueryChangeOutcome(rest);
   }
   throw UsageError("policy takes get, set, edit, history or ask");
 }
--- a/src/trefoilarchctl/requirementtext.cpp
+++ b/src/trefoilarchctl/requirementtext.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view kNotIn = " not in ";
 
 std::string
-Trimmed(const std::string& aText)
+Trim(const std::string& aText)
 {
   const size_t first = aText.find_first_not_of(' ');
   if (first == std::string::npos) {
@@ -26,12 +26,13 @@
 }
 
 json
-Make(const std::string& aKey, const char* aOperator, json aValues)
+MakeRequirement(const std::string& aKey, const char* aOperator, json aValues)
 {
-  const std::string key = Trimmed(aKey);
+  const std::string key = Trim(aKey);
   if (key.empty() || key.find_first_of(" =!,") != std::string::npos) {
-    throw UsageError("a requirement needs a key without blanks: \"" + aKey +
-                     "\"");
+    throw UsageError("a requirement's key must not be empty or contain a "
+                     "space, =, ! or a comma: \"" +
+                     aKey + "\"");
   }
   return { { "key", key },
            { "op", aOperator },
@@ -39,22 +40,22 @@
 }
 
 json
-List(const std::string& aText)
+ParseValues(const std::string& aText)
 {
   json values = json::array();
   std::istringstream text(aText);
   std::string value;
   while (std::getline(text, value, ',')) {
-    values.push_back(Trimmed(value));
+    values.push_back(Trim(value));
   }
   if (values.empty()) {
-    throw UsageError("a requirement with \"in\" needs values");
+    throw UsageError("\"in\" and \"not in\" require at least one value");
   }
   return values;
 }
 
 std::string
-Joined(const json& aValues)
+JoinValues(const json& aValues)
 {
   std::string text;
   for (const json& value : aValues) {
@@ -68,27 +69,29 @@
 json
 RequirementFromText(const std::string& aText)
 {
-  const std::string text = Trimmed(aText);
-  if (const size_t place = text.find(kNotIn); place != std::string::npos) {
-    return Make(text.substr(0, place),
-                "not_in",
-                List(text.substr(place + kNotIn.size())));
+  const std::string text = Trim(aText);
+  if (const size_t position = text.find(kNotIn);
+      position != std::string::npos) {
+    return MakeRequirement(text.substr(0, position),
+                           "not_in",
+                           ParseValues(text.substr(position + kNotIn.size())));
   }
-  if (const size_t place = text.find(kIn); place != std::string::npos) {
-    return Make(
-      text.substr(0, place), "in", List(text.substr(place + kIn.size())));
+  if (const size_t position = text.find(kIn); position != std::string::npos) {
+    return MakeRequirement(text.substr(0, position),
+                           "in",
+                           ParseValues(text.substr(position + kIn.size())));
   }
   if (text.starts_with('!')) {
-    return Make(text.substr(1), "not_exists", json::array());
+    return MakeRequirement(text.substr(1), "not_exists", json::array());
   }
   const size_t equals = text.find('=');
   if (equals == std::string::npos) {
-    return Make(text, "exists", json::array());
+    return MakeRequirement(text, "exists", json::array());
   }
   const bool negated = equals > 0 && text[equals - 1] == '!';
-  return Make(text.substr(0, negated ? equals - 1 : equals),
-              negated ? "not_equals" : "equals",
-              json::array({ Trimmed(text.substr(equals + 1)) }));
+  return MakeRequirement(text.substr(0, negated ? equals - 1 : equals),
+                         negated ? "not_equals" : "equals",
+                         json::array({ Trim(text.substr(equals + 1)) }));
 }
 
 json
@@ -106,7 +109,7 @@
 {
   const std::string key = aRequirement.value("key", "");
   const std::string name = aRequirement.value("op", "");
-  const std::string values = Joined(aRequirement.value("values", json()));
+  const std::string values = JoinValues(aRequirement.value("values", json()));
   if (name == "equals") {
     return key + "=" + values;
   }
--- a/src/trefoilarchctl/unreachableerror.h
+++ b/src/trefoilarchctl/unreachableerror.h
@@ -4,7 +4,7 @@
 
 namespace trefoilarchctl {
 
-/** No operator port gave an answer of use; nothing was changed. */
+/** No operator port gave a usable response; nothing was changed. */
 class UnreachableError : public std::runtime_error
 {
 public:
--- a/src/trefoilarchctl/upstreamcommands.cpp
+++ b/src/trefoilarchctl/upstreamcommands.cpp
@@ -15,7 +15,7 @@
 using Arguments = std::vector<std::string>;
 
 ExitCode
-SendOne(CommandLine& aLine, json aOperation)
+ProposeOperation(CommandLine& aLine, json aOperation)
 {
   OperatorClient client(aLine.Operators());
   return PrintReport(
@@ -32,8 +32,8 @@
   TCLAP::UnlabeledValueArg<std::string> upstream(
     "upstream", "its name", true, "", "UPSTREAM", line.Line());
   line.Parse(aArguments);
-  return SendOne(line,
-                 { { "op", aOperation }, { "upstream", upstream.getValue() } });
+  return ProposeOperation(
+    line, { { "op", aOperation }, { "upstream", upstream.getValue() } });
 }
 
 json
@@ -64,10 +64,10 @@
   TCLAP::UnlabeledMultiArg<std::string> labels(
     "labels", "KEY=VALUE sets, KEY- removes", true, "LABEL", line.Line());
   line.Parse(aArguments);
-  return SendOne(line,
-                 { { "op", "set_upstream_labels" },
-                   { "upstream", upstream.getValue() },
-                   { "labels", LabelsFromTexts(labels.getValue()) } });
+  return ProposeOperation(line,
+                          { { "op", "set_upstream_labels" },
+                            { "upstream", upstream.getValue() },
+                            { "labels", LabelsFromTexts(labels.getValue()) } });
 }
 
 ExitCode
--- a/src/trefoilarchctl/usageerror.h
+++ b/src/trefoilarchctl/usageerror.h
@@ -4,7 +4,7 @@
 
 namespace trefoilarchctl {
 
-/** The command line, or a file it names, is not as it must be. */
+/** The command line or a file that it names is invalid. */
 class UsageError : public std::runtime_error
 {
 public:
--- a/src/trefoilarchctl/workspacecommand.cpp
+++ b/src/trefoilarchctl/workspacecommand.cpp
@@ -64,16 +64,16 @@
   return text;
 }
 
-/** The token's hash; line ends at the file's end are not part of it. */
+/** Hashes a token file without its trailing line ends. */
 std::string
-HashOfFile(const std::string& aFile)
+HashTokenFile(const std::string& aFile)
 {
   std::string token = ReadInput(aFile);
   while (token.ends_with('\n') || token.ends_with('\r')) {
     token.pop_back();
   }
   if (token.empty()) {
-    throw UsageError(aFile + " holds no token");
+    throw UsageError(aFile + " contains no token");
   }
   return Sha256(token);
 }
@@ -88,7 +88,7 @@
   aLabels[aText.substr(0, equals)] = aText.substr(equals + 1);
 }
 
-/** The flags of `workspace set`; only what was given alters it. */
+/** The flags of `workspace set`; omitted flags leave it unchanged. */
 struct WorkspaceFlags
 {
   explicit WorkspaceFlags(TCLAP::CmdLine& aLine)
@@ -125,7 +125,7 @@
         "--token-file, --token-sha256 and --no-token exclude each other");
     }
     if (mFile.isSet()) {
-      aWorkspace["token_sha256"] = HashOfFile(mFile.getValue());
+      aWorkspace["token_sha256"] = HashTokenFile(mFile.getValue());
     } else if (mHash.isSet()) {
       aWorkspace["token_sha256"] = mHash.getValue();
     } else if (mNoToken.isSet()) {
@@ -160,8 +160,8 @@
   CommandLine line("workspace set");
   WorkspaceFlags flags(line.Line());
   line.Parse(aArguments);
-  return SetObject(Kind(), line, flags.mName.getValue(), [&](json& aOne) {
-    flags.Apply(aOne);
+  return SetObject(Kind(), line, flags.mName.getValue(), [&](json& aWorkspace) {
+    flags.Apply(aWorkspace);
   });
 }
 
