--- a/src/libtrefoilarch/upstreamlabels.cpp
+++ b/src/libtrefoilarch/upstreamlabels.cpp
@@ -39,10 +39,10 @@
   if (aKey == kDataCentre) {
     return &mUpstream.mDataCentre;
   }
-  const std::string* overridden =
+  const std::string* operatorLabel =
     mSettings == nullptr ? nullptr : FindLabel(mSettings->mLabels, aKey);
-  return overridden != nullptr ? overridden
-                               : FindLabel(mUpstream.mLabels, aKey);
+  return operatorLabel != nullptr ? operatorLabel
+                                  : FindLabel(mUpstream.mLabels, aKey);
 }
 
 bool
@@ -59,11 +59,12 @@
 bool
 UpstreamLabels::Serves(const Labels& aTraffic) const
 {
-  return ServesOne(aTraffic, kModel) && ServesOne(aTraffic, kService);
+  return MatchesLabel(aTraffic, kModel) && MatchesLabel(aTraffic, kService);
 }
 
 bool
-UpstreamLabels::ServesOne(const Labels& aTraffic, const std::string& aKey) const
+UpstreamLabels::MatchesLabel(const Labels& aTraffic,
+                             const std::string& aKey) const
 {
   const std::string* requested = FindLabel(aTraffic, aKey);
   if (requested == nullptr) {
--- a/src/libtrefoilarch/upstreamlabels.h
+++ b/src/libtrefoilarch/upstreamlabels.h
@@ -24,7 +24,7 @@
   bool Drained() const { return mSettings != nullptr && mSettings->mDrained; }
 
 private:
-  bool ServesOne(const Labels& aTraffic, const std::string& aKey) const;
+  bool MatchesLabel(const Labels& aTraffic, const std::string& aKey) const;
 
   const UpstreamView& mUpstream;
   const UpstreamSettings* mSettings = nullptr;
