--- a/src/libtrefoilarch/arrivalrate.cpp
+++ b/src/libtrefoilarch/arrivalrate.cpp
@@ -6,30 +6,30 @@
 
 namespace {
 
-/** Bursts double a load within a second or two; thirty requests of an entry
- * of many come in this span. */
-constexpr double kMemoryMs = 2000;
+/** A burst can double the load within a second or two. An entry in a large
+ * fleet receives some thirty requests in this time. */
+constexpr double kDecayTimeMs = 2000;
 
 } // namespace
 
 void
 ArrivalRate::OnArrival(Millis aNow)
 {
-  mCount = Faded(aNow) + 1;
-  mAt = aNow;
+  mCount = Decayed(aNow) + 1;
+  mUpdatedAt = aNow;
 }
 
 double
 ArrivalRate::PerMs(Millis aNow) const
 {
-  return Faded(aNow) / kMemoryMs;
+  return Decayed(aNow) / kDecayTimeMs;
 }
 
 double
-ArrivalRate::Faded(Millis aNow) const
+ArrivalRate::Decayed(Millis aNow) const
 {
-  const auto span = static_cast<double>((aNow - mAt).Count());
-  return mCount * std::exp(-span / kMemoryMs);
+  const auto elapsed = static_cast<double>((aNow - mUpdatedAt).Count());
+  return mCount * std::exp(-elapsed / kDecayTimeMs);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/arrivalrate.h
+++ b/src/libtrefoilarch/arrivalrate.h
@@ -4,8 +4,8 @@
 
 namespace trefoilarch {
 
-/** How many requests come in a millisecond, counted with a memory that fades:
- * an entry of many sees some fifteen requests a second. */
+/** The arrival rate of requests, from an exponentially decaying count. An entry
+ * in a large fleet receives some fifteen requests a second. */
 class ArrivalRate
 {
 public:
@@ -13,10 +13,10 @@
   double PerMs(Millis aNow) const;
 
 private:
-  double Faded(Millis aNow) const;
+  double Decayed(Millis aNow) const;
 
   double mCount = 0;
-  Millis mAt;
+  Millis mUpdatedAt;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/dedicatedpools.cpp
+++ b/src/libtrefoilarch/dedicatedpools.cpp
@@ -9,32 +9,33 @@
 
 namespace {
 
-/** Fewer engines than this for each lane are not worth dividing. */
-constexpr size_t kLeastEngines = 2;
+/** A service with fewer engines than this per pool is not divided. */
+constexpr size_t kMinEnginesPerPool = 2;
 
-/** Less demand than this many requests says nothing. */
-constexpr double kLeastCount = 1;
+/** Routes with less demand than this many requests are ignored. */
+constexpr double kMinDemand = 1;
 
-/** Less of a route than this is not worth telling. */
-constexpr double kLeastTold = 0.05;
+/** Routes with less demand than this are not reported to peers. */
+constexpr double kMinReportedDemand = 0.05;
 
-/** What others told of open requests says so much of now for so long: three
- * messages of a large fleet's entry. */
-constexpr Millis kFreshSpan{ 1800 };
+/** Age up to which a peer's open requests count as current: three updates of an
+ * entry in a large fleet. */
+constexpr Millis kMaxReportAge{ 1800 };
 
-/** Of what is at upstreams, one part less urgent to so many as urgent is enough
- * to bear an overload. At 1 the most urgent class of a morning at twice what
- * the engines can do was whole in 0.983, at 3 in 1.000 and the third class in
- * 0.86 and 1.00, at 6 the least urgent got 0.19 for 0.22 (virtual time). */
-constexpr double kShareToShed = 3;
+/** One less urgent request at the upstreams for this many as urgent ones is
+ * enough to absorb an overload. On a morning at twice the engines' capacity
+ * 0.983 of the most urgent class got complete responses at 1 and 1.000 at 3, of
+ * the third class 0.86 and 1.00; at 6 the least urgent got 0.19 instead of 0.22
+ * (virtual time). */
+constexpr double kUrgentPerLessUrgent = 3;
 
-/** How long a route's distances are good for. */
-constexpr Millis kKnownSpan{ 250 };
+/** How long a route's computed positions are used. */
+constexpr Millis kPositionsLifetime{ 250 };
 
-/** Output tokens of a request of which nothing is known. */
-constexpr double kUsualOutput = 50;
+/** Output tokens of a request without an estimate. */
+constexpr double kDefaultOutput = 50;
 
-/** The share of the allowed output that answers have on average. */
+/** The mean share of the allowed output that responses have. */
 constexpr double kOutputShare = 0.25;
 
 double
@@ -44,42 +45,43 @@
     return aPrompt.mExpectedOutput;
   }
   return aPrompt.mMaxOutput > 0 ? aPrompt.mMaxOutput * kOutputShare
-                                : kUsualOutput;
+                                : kDefaultOutput;
 }
 
-/** Engines between that place and the nearer end of the lane that goes from
- * aFirst to before aLast; an end of the order itself is no boundary. */
+/** Engines between that index and the nearer boundary of the pool [aFirst,
+ * aLast). The ends of the order are not boundaries. */
 uint32_t
-FromEdge(size_t aPlace, size_t aFirst, size_t aLast, size_t aEngines)
+BoundaryDistance(size_t aIndex, size_t aFirst, size_t aLast, size_t aEngines)
 {
   size_t nearest = PoolPosition::kFarFromBoundary;
   if (aFirst > 0) {
-    nearest = aPlace < aFirst ? aFirst - aPlace - 1 : aPlace - aFirst;
+    nearest = aIndex < aFirst ? aFirst - aIndex - 1 : aIndex - aFirst;
   }
   if (aLast < aEngines) {
     nearest =
-      std::min(nearest, aPlace < aLast ? aLast - aPlace - 1 : aPlace - aLast);
+      std::min(nearest, aIndex < aLast ? aLast - aIndex - 1 : aIndex - aLast);
   }
   return static_cast<uint32_t>(nearest);
 }
 
-/** Adds a demand to what is known of its route. */
+/** Adds a demand to the totals of its route. */
 void
-Add(std::map<std::string, RouteDemand>& aWhole, const RouteDemand& aMore)
+AddDemand(std::map<std::string, RouteDemand>& aTotals,
+          const RouteDemand& aDemand)
 {
-  const auto [place, fresh] = aWhole.try_emplace(aMore.mRoute, aMore);
-  if (fresh) {
+  const auto [it, inserted] = aTotals.try_emplace(aDemand.mRoute, aDemand);
+  if (inserted) {
     return;
   }
-  RouteDemand& sums = place->second;
-  sums.mCount += aMore.mCount;
-  sums.mPromptTokens += aMore.mPromptTokens;
-  sums.mOutputTokens += aMore.mOutputTokens;
-  sums.mOpen += aMore.mOpen;
+  RouteDemand& sums = it->second;
+  sums.mCount += aDemand.mCount;
+  sums.mPromptTokens += aDemand.mPromptTokens;
+  sums.mOutputTokens += aDemand.mOutputTokens;
+  sums.mOpen += aDemand.mOpen;
 }
 
 std::vector<const ListedUpstream*>
-InOrder(const std::vector<const ListedUpstream*>& aAll)
+HashOrder(const std::vector<const ListedUpstream*>& aAll)
 {
   std::vector<std::pair<uint64_t, const ListedUpstream*>> ranked;
   for (const ListedUpstream* each : aAll) {
@@ -115,9 +117,10 @@
     return;
   }
   Demand& demand = mServices[aService].mRoutes[aRoute.mName];
-  Fade(demand, aNow);
-  // Whole prompts: shared parts are read too, wherever they are not held, and
-  // a lane that has no room for that refuses while others idle.
+  Decay(demand, aNow);
+  // Whole prompts: shared segments are prefilled too wherever they are not
+  // cached, and a pool without capacity for that would reject requests while
+  // others are idle.
   RouteDemand& sums = demand.mSums;
   sums.mService = aService;
   sums.mRoute = aRoute.mName;
@@ -133,10 +136,10 @@
 DedicatedPools::Demands(Millis aNow)
 {
   std::vector<RouteDemand> demands;
-  for (auto& [service, known] : mServices) {
-    for (auto& [route, demand] : known.mRoutes) {
-      Fade(demand, aNow);
-      if (demand.mSums.mCount >= kLeastTold) {
+  for (auto& [name, service] : mServices) {
+    for (auto& [route, demand] : service.mRoutes) {
+      Decay(demand, aNow);
+      if (demand.mSums.mCount >= kMinReportedDemand) {
         demands.push_back(demand.mSums);
       }
     }
@@ -149,10 +152,10 @@
                               const std::vector<RouteDemand>& aDemands,
                               Millis aNow)
 {
-  Told& told = mTold[aFrom];
-  told = { .mAt = aNow };
+  PeerDemands& peer = mPeerDemands[aFrom];
+  peer = { .mAt = aNow };
   for (const RouteDemand& each : aDemands) {
-    told.mDemands.push_back({ .mSums = each, .mAt = aNow });
+    peer.mDemands.push_back({ .mSums = each, .mAt = aNow });
   }
 }
 
@@ -163,147 +166,151 @@
 {
   double less = 0;
   double asUrgent = 0;
-  for (const auto& [entry, told] : mTold) {
-    const bool fresh = aNow - told.mAt < kFreshSpan;
-    for (const Demand& demand : told.mDemands) {
+  for (const auto& [entry, peer] : mPeerDemands) {
+    const bool fresh = aNow - peer.mAt < kMaxReportAge;
+    for (const Demand& demand : peer.mDemands) {
       const RouteDemand& sums = demand.mSums;
       if (fresh && sums.mService == aService) {
         (sums.mUrgency > aUrgency ? less : asUrgent) += sums.mOpen;
       }
     }
   }
-  return less * kShareToShed > asUrgent;
+  return less * kUrgentPerLessUrgent > asUrgent;
 }
 
 const PoolPositions&
 DedicatedPools::PositionsFor(const std::string& aService,
                              const Route& aRoute,
                              const std::vector<const ListedUpstream*>& aAll,
-                             const PoolSizingInfo& aFacts,
+                             const PoolSizingInfo& aInfo,
                              Millis aNow)
 {
-  Known& known = mServices[aService].mKnown[aRoute.mName];
-  if (aNow >= known.mUntil) {
-    known.mPlaces = WorkOut(aService, aRoute, aAll, aFacts, aNow);
-    // After the work: moved boundaries void what is known of every route.
-    known.mUntil = aNow + kKnownSpan;
+  CachedPositions& cached = mServices[aService].mCachedPositions[aRoute.mName];
+  if (aNow >= cached.mValidUntil) {
+    cached.mPositions = ComputePositions(aService, aRoute, aAll, aInfo, aNow);
+    // After the computation, since a moved boundary invalidates all cached
+    // positions.
+    cached.mValidUntil = aNow + kPositionsLifetime;
   }
-  return known.mPlaces;
+  return cached.mPositions;
 }
 
 std::map<std::string, RouteDemand>
-DedicatedPools::WholeDemand(const std::string& aService, Millis aNow)
+DedicatedPools::TotalDemand(const std::string& aService, Millis aNow)
 {
-  std::map<std::string, RouteDemand> whole;
+  std::map<std::string, RouteDemand> totals;
   for (auto& [name, demand] : mServices[aService].mRoutes) {
-    Fade(demand, aNow);
-    whole[name] = demand.mSums;
+    Decay(demand, aNow);
+    totals[name] = demand.mSums;
   }
-  // Of entries that have gone silent, what they told last fades away.
-  for (auto told = mTold.begin(); told != mTold.end();) {
+  // The last demands of entries that have become silent decay.
+  for (auto peer = mPeerDemands.begin(); peer != mPeerDemands.end();) {
     double count = 0;
-    for (Demand& demand : told->second.mDemands) {
-      Fade(demand, aNow);
+    for (Demand& demand : peer->second.mDemands) {
+      Decay(demand, aNow);
       count += demand.mSums.mCount;
       if (demand.mSums.mService == aService) {
-        Add(whole, demand.mSums);
+        AddDemand(totals, demand.mSums);
       }
     }
-    told = count < kLeastTold ? mTold.erase(told) : std::next(told);
+    peer =
+      count < kMinReportedDemand ? mPeerDemands.erase(peer) : std::next(peer);
   }
-  return whole;
+  return totals;
 }
 
 PoolPositions
-DedicatedPools::WorkOut(const std::string& aService,
-                        const Route& aRoute,
-                        const std::vector<const ListedUpstream*>& aAll,
-                        const PoolSizingInfo& aFacts,
-                        Millis aNow)
+DedicatedPools::ComputePositions(const std::string& aService,
+                                 const Route& aRoute,
+                                 const std::vector<const ListedUpstream*>& aAll,
+                                 const PoolSizingInfo& aInfo,
+                                 Millis aNow)
 {
-  PoolPositions places;
+  PoolPositions positions;
   Service& service = mServices[aService];
-  const auto demands = WholeDemand(aService, aNow);
-  const std::vector<Lane> lanes = LanesOf(service, demands, aFacts);
-  const std::vector<const ListedUpstream*> order = InOrder(aAll);
-  size_t own = lanes.size();
-  for (size_t lane = 0; lane < lanes.size(); ++lane) {
-    const auto& routes = lanes[lane].mRoutes;
+  const auto demands = TotalDemand(aService, aNow);
+  const std::vector<Pool> pools = PoolsFor(service, demands, aInfo);
+  const std::vector<const ListedUpstream*> order = HashOrder(aAll);
+  size_t ownPool = pools.size();
+  for (size_t pool = 0; pool < pools.size(); ++pool) {
+    const auto& routes = pools[pool].mRoutes;
     if (std::find(routes.begin(), routes.end(), aRoute.mName) != routes.end()) {
-      own = lane;
+      ownPool = pool;
     }
   }
-  if (lanes.size() < 2 || own == lanes.size() ||
-      order.size() < kLeastEngines * lanes.size()) {
-    return places;
+  if (pools.size() < 2 || ownPool == pools.size() ||
+      order.size() < kMinEnginesPerPool * pools.size()) {
+    return positions;
   }
-  MoveEnds(service, SharesOf(lanes, order.size()), order.size());
-  const std::vector<size_t> laneOf = LanesInOrder(service, order.size());
-  const auto begin = std::find(laneOf.begin(), laneOf.end(), own);
+  MoveBoundaries(service, SharesOf(pools, order.size()), order.size());
+  const std::vector<size_t> poolOf = PoolOfEachEngine(service, order.size());
+  const auto begin = std::find(poolOf.begin(), poolOf.end(), ownPool);
   const auto end = std::find_if(
-    begin, laneOf.end(), [own](size_t aLane) { return aLane != own; });
-  const auto first = static_cast<size_t>(begin - laneOf.begin());
-  const auto last = static_cast<size_t>(end - laneOf.begin());
+    begin, poolOf.end(), [ownPool](size_t aPool) { return aPool != ownPool; });
+  const auto first = static_cast<size_t>(begin - poolOf.begin());
+  const auto last = static_cast<size_t>(end - poolOf.begin());
   for (size_t each = 0; each < order.size(); ++each) {
-    const size_t lane = laneOf[each];
-    places[order[each]->mId] = {
-      .mDistance = static_cast<uint32_t>(lane > own ? lane - own : own - lane),
-      .mBoundaryDistance = FromEdge(each, first, last, order.size())
+    const size_t pool = poolOf[each];
+    positions[order[each]->mId] = {
+      .mDistance =
+        static_cast<uint32_t>(pool > ownPool ? pool - ownPool : ownPool - pool),
+      .mBoundaryDistance = BoundaryDistance(each, first, last, order.size())
     };
   }
-  return places;
+  return positions;
 }
 
 std::vector<size_t>
-DedicatedPools::LanesInOrder(const Service& aService, size_t aEngines)
+DedicatedPools::PoolOfEachEngine(const Service& aService, size_t aEngines)
 {
-  std::vector<size_t> lanes;
-  size_t lane = 0;
+  std::vector<size_t> pools;
+  size_t pool = 0;
   for (size_t each = 0; each < aEngines; ++each) {
-    const double place =
+    const double position =
       (static_cast<double>(each) + 0.5) / static_cast<double>(aEngines);
-    while (lane < aService.mEnds.size() && place > aService.mEnds[lane]) {
-      lane++;
+    while (pool < aService.mBoundaries.size() &&
+           position > aService.mBoundaries[pool]) {
+      pool++;
     }
-    lanes.push_back(lane);
+    pools.push_back(pool);
   }
-  return lanes;
+  return pools;
 }
 
 void
-DedicatedPools::Fade(Demand& aDemand, Millis aNow) const
+DedicatedPools::Decay(Demand& aDemand, Millis aNow) const
 {
-  const double span = static_cast<double>((aNow - aDemand.mAt).Count());
-  const double kept =
-    std::exp(-span / static_cast<double>(mOptions.mDemandDecayTime.Count()));
+  const double elapsed = static_cast<double>((aNow - aDemand.mAt).Count());
+  const double factor =
+    std::exp(-elapsed / static_cast<double>(mOptions.mDemandDecayTime.Count()));
   RouteDemand& sums = aDemand.mSums;
-  sums.mCount *= kept;
-  sums.mPromptTokens *= kept;
-  sums.mOutputTokens *= kept;
-  sums.mOpen *= kept;
+  sums.mCount *= factor;
+  sums.mPromptTokens *= factor;
+  sums.mOutputTokens *= factor;
+  sums.mOpen *= factor;
   aDemand.mAt = aNow;
 }
 
 double
 DedicatedPools::EnginesFor(const RouteDemand& aDemand,
-                           const PoolSizingInfo& aFacts) const
+                           const PoolSizingInfo& aInfo) const
 {
-  const double workMs = aDemand.mPromptTokens / aFacts.mPrefillPerMs +
+  const double workMs = aDemand.mPromptTokens / aInfo.mPrefillPerMs +
                         aDemand.mOutputTokens * mOptions.mTokenMs;
   const double byWork =
     workMs / static_cast<double>(mOptions.mDemandDecayTime.Count());
-  const double bySlots = aFacts.mSlots > 0 ? aDemand.mOpen / aFacts.mSlots : 0;
-  return std::max(byWork, bySlots) * aFacts.mDemandScale;
+  const double bySlots = aInfo.mSlots > 0 ? aDemand.mOpen / aInfo.mSlots : 0;
+  return std::max(byWork, bySlots) * aInfo.mDemandScale;
 }
 
-std::vector<DedicatedPools::Lane>
-DedicatedPools::LanesOf(Service& aService,
-                        const std::map<std::string, RouteDemand>& aDemands,
-                        const PoolSizingInfo& aFacts) const
+std::vector<DedicatedPools::Pool>
+DedicatedPools::PoolsFor(Service& aService,
+                         const std::map<std::string, RouteDemand>& aDemands,
+                         const PoolSizingInfo& aInfo) const
 {
   std::vector<const RouteDemand*> byPause;
   for (const auto& [name, demand] : aDemands) {
-    if (demand.mCount >= kLeastCount) {
+    if (demand.mCount >= kMinDemand) {
       byPause.push_back(&demand);
     }
   }
@@ -311,107 +318,112 @@
     byPause.begin(), byPause.end(), [](const auto* aLeft, const auto* aRight) {
       return aLeft->mMaxPause < aRight->mMaxPause;
     });
-  std::vector<Lane> lanes;
+  std::vector<Pool> pools;
   for (const RouteDemand* demand : byPause) {
     const double prompt = demand->mPromptTokens / demand->mCount;
-    if (lanes.empty() || IsApart(aService, *demand, lanes.back(), aFacts)) {
-      lanes.push_back({ .mMaxPause = demand->mMaxPause,
-                        .mPrompt = prompt,
+    if (pools.empty() || NeedsOwnPool(aService, *demand, pools.back(), aInfo)) {
+      pools.push_back({ .mMaxPause = demand->mMaxPause,
+                        .mMeanPrompt = prompt,
                         .mUrgency = demand->mUrgency });
     }
-    Lane& lane = lanes.back();
-    lane.mRoutes.push_back(demand->mRoute);
-    lane.mUrgency = std::min(lane.mUrgency, demand->mUrgency);
-    lane.mEngines += EnginesFor(*demand, aFacts);
+    Pool& pool = pools.back();
+    pool.mRoutes.push_back(demand->mRoute);
+    pool.mUrgency = std::min(pool.mUrgency, demand->mUrgency);
+    pool.mEnginesNeeded += EnginesFor(*demand, aInfo);
   }
-  std::reverse(lanes.begin(), lanes.end());
-  return lanes;
+  std::reverse(pools.begin(), pools.end());
+  return pools;
 }
 
 bool
-DedicatedPools::IsApart(Service& aService,
-                        const RouteDemand& aDemand,
-                        const Lane& aStricter,
-                        const PoolSizingInfo& aFacts) const
+DedicatedPools::NeedsOwnPool(Service& aService,
+                             const RouteDemand& aDemand,
+                             const Pool& aStricter,
+                             const PoolSizingInfo& aInfo) const
 {
   const double prompt = aDemand.mPromptTokens / aDemand.mCount;
-  if (prompt < mOptions.mPromptFactor * aStricter.mPrompt) {
+  if (prompt < mOptions.mPromptFactor * aStricter.mMeanPrompt) {
     return false;
   }
   const std::string& strict = aStricter.mRoutes.front();
-  if (!aFacts.mPauses.HasEnoughData(strict, aDemand.mRoute)) {
+  if (!aInfo.mPauses.HasEnoughData(strict, aDemand.mRoute)) {
     return static_cast<double>(aDemand.mMaxPause.Count()) >=
            mOptions.mPauseFactor *
              static_cast<double>(aStricter.mMaxPause.Count());
   }
   const double late =
-    aFacts.mPauses.LateShare(strict, aDemand.mRoute, aStricter.mMaxPause);
-  const bool before = aService.mApart.contains(aDemand.mRoute);
-  const bool apart =
-    late >= (before ? mOptions.mMergeLateShare : mOptions.mSplitLateShare);
-  if (apart) {
-    aService.mApart.insert(aDemand.mRoute);
+    aInfo.mPauses.LateShare(strict, aDemand.mRoute, aStricter.mMaxPause);
+  const bool wasSplit = aService.mSplitRoutes.contains(aDemand.mRoute);
+  const bool split =
+    late >= (wasSplit ? mOptions.mMergeLateShare : mOptions.mSplitLateShare);
+  if (split) {
+    aService.mSplitRoutes.insert(aDemand.mRoute);
   } else {
-    aService.mApart.erase(aDemand.mRoute);
+    aService.mSplitRoutes.erase(aDemand.mRoute);
   }
-  return apart;
+  return split;
 }
 
 std::vector<double>
-DedicatedPools::SharesOf(const std::vector<Lane>& aLanes, size_t aEngines) const
+DedicatedPools::SharesOf(const std::vector<Pool>& aPools, size_t aEngines) const
 {
-  double left = 0;
-  for (const Lane& lane : aLanes) {
-    left += lane.mEngines;
+  double remaining = 0;
+  for (const Pool& pool : aPools) {
+    remaining += pool.mEnginesNeeded;
   }
-  std::vector<size_t> order(aLanes.size());
+  std::vector<size_t> order(aPools.size());
   std::iota(order.begin(), order.end(), size_t{ 0 });
   std::stable_sort(
     order.begin(), order.end(), [&](size_t aLeft, size_t aRight) {
-      return aLanes[aLeft].mUrgency < aLanes[aRight].mUrgency;
+      return aPools[aLeft].mUrgency < aPools[aRight].mUrgency;
     });
-  std::vector<double> shares(aLanes.size());
-  double free = 1 - mOptions.mMinShare * static_cast<double>(aLanes.size());
+  std::vector<double> shares(aPools.size());
+  double unassigned =
+    1 - mOptions.mMinShare * static_cast<double>(aPools.size());
   for (size_t each = 0; each < order.size(); ++each) {
-    const Lane& lane = aLanes[order[each]];
-    const double even = left > 0 ? free * lane.mEngines / left : 0;
+    const Pool& pool = aPools[order[each]];
+    const double proportional =
+      remaining > 0 ? unassigned * pool.mEnginesNeeded / remaining : 0;
     const bool urgent = each + 1 < order.size() &&
-                        lane.mUrgency < aLanes[order[each + 1]].mUrgency;
-    const double enough = lane.mEngines / mOptions.mTargetUtilization /
-                            static_cast<double>(aEngines) -
-                          mOptions.mMinShare;
-    const double extra =
-      urgent ? std::clamp(enough, even, std::max(even, free)) : even;
+                        pool.mUrgency < aPools[order[each + 1]].mUrgency;
+    const double sufficient = pool.mEnginesNeeded /
+                                mOptions.mTargetUtilization /
+                                static_cast<double>(aEngines) -
+                              mOptions.mMinShare;
+    const double extra = urgent ? std::clamp(sufficient,
+                                             proportional,
+                                             std::max(proportional, unassigned))
+                                : proportional;
     shares[order[each]] = mOptions.mMinShare + extra;
-    free -= extra;
-    left -= lane.mEngines;
+    unassigned -= extra;
+    remaining -= pool.mEnginesNeeded;
   }
   return shares;
 }
 
 void
-DedicatedPools::MoveEnds(Service& aService,
-                         const std::vector<double>& aShares,
-                         size_t aEngines) const
+DedicatedPools::MoveBoundaries(Service& aService,
+                               const std::vector<double>& aShares,
+                               size_t aEngines) const
 {
   const double slack =
     std::max(mOptions.mBoundarySlack,
              mOptions.mBoundarySlackEngines / static_cast<double>(aEngines));
-  std::vector<double> wanted;
+  std::vector<double> target;
   double end = 0;
-  for (size_t lane = 0; lane + 1 < aShares.size(); ++lane) {
-    end += aShares[lane];
-    wanted.push_back(end);
+  for (size_t pool = 0; pool + 1 < aShares.size(); ++pool) {
+    end += aShares[pool];
+    target.push_back(end);
   }
-  bool moves = wanted.size() != aService.mEnds.size();
-  for (size_t each = 0; !moves && each < wanted.size(); ++each) {
-    moves = std::abs(wanted[each] - aService.mEnds[each]) > slack;
+  bool moved = target.size() != aService.mBoundaries.size();
+  for (size_t each = 0; !moved && each < target.size(); ++each) {
+    moved = std::abs(target[each] - aService.mBoundaries[each]) > slack;
   }
-  if (moves) {
-    aService.mEnds = wanted;
-    // No route may go by the old boundaries while another goes by the new.
-    for (auto& [route, known] : aService.mKnown) {
-      known.mUntil = Millis(0);
+  if (moved) {
+    aService.mBoundaries = target;
+    // All routes must use the same boundaries.
+    for (auto& [route, cached] : aService.mCachedPositions) {
+      cached.mValidUntil = Millis(0);
     }
   }
 }
--- a/src/libtrefoilarch/dedicatedpools.h
+++ b/src/libtrefoilarch/dedicatedpools.h
@@ -17,60 +17,61 @@
 
 namespace trefoilarch {
 
-/** How DedicatedPools divides a service's engines. */
 struct DedicatedPoolsOptions
 {
-  /** Demand fades by this time constant; an entry of many sees some twenty
-   * requests a second, too few for a shorter one. */
+  /** Time constant by which demand decays. An entry in a large fleet sees some
+   * twenty requests a second, too few for a shorter one. */
   Millis mDemandDecayTime{ 6000 };
-  /** A route may have a lane of its own beside a stricter one if its prompts
-   * are this many times as long... */
+  /** A route may get a pool of its own beside a stricter one if its prompts are
+   * at least this many times as long. */
   double mPromptFactor = 2;
-  /** ...and this share of the stricter one's streams would be late by a pause
-   * beside it. */
+  /** Share of the stricter route's streams with a late pause beside it from
+   * which it gets one. */
   double mSplitLateShare = 0.25;
-  /** It keeps the lane until the share is below this. */
+  /** Share below which it loses its own pool. */
   double mMergeLateShare = 0.12;
-  /** While too little was seen of pauses: it has a lane of its own if it
-   * allows this many times the pause. */
+  /** Without enough samples of pauses, a route gets a pool of its own if its
+   * maximum pause is at least this many times the stricter one's. */
   double mPauseFactor = 1.4;
-  /** An output token's share of a step in a well filled batch, in ms. */
+  /** An output token's share of a step in a well filled batch, in
+   * milliseconds. */
   double mTokenMs = 0.3;
-  /** Every lane has at least this share of the engines. */
+  /** Minimum share of the engines for each pool. */
   double mMinShare = 0.12;
-  /** Where there are too few engines for all, a lane has enough if it is busy
-   * for this share of the time; the most urgent lane is the first to have it.
-   * Beyond it, waits grow faster than the load. */
+  /** If there are too few engines for all, a pool that is busy for this share
+   * of the time has enough; the most urgent comes first. Above it waits grow
+   * faster than the load. */
   double mTargetUtilization = 0.75;
-  /** A boundary moves when it is off by this share of the engines: a session
-   * whose engine changes lanes is read again elsewhere. */
+  /** A boundary moves when it is off by this share of the engines. A session
+   * whose engine changes pools is prefilled again elsewhere. */
   double mBoundarySlack = 0.06;
-  /** ...and by this many engines: a small fleet's demand wavers more. */
+  /** It must also be off by this many engines: the demand of a small fleet
+   * varies more. */
   double mBoundarySlackEngines = 1.5;
 };
 
-/** Where an engine is, as seen from a route. */
+/** The position of an engine relative to a route's pool. */
 struct PoolPosition
 {
-  /** 0 in the route's own lane, 1 in the next one, and so on. */
+  /** 0 in the route's own pool, 1 in an adjacent one, and so on. */
   uint32_t mDistance = 0;
-  /** Engines between it and the nearest boundary of the route's lane: other
-   * entries may have the boundary elsewhere. */
+  /** Engines between it and the nearest boundary of the route's pool, which may
+   * differ at other entries. */
   uint32_t mBoundaryDistance = kFarFromBoundary;
 
   static constexpr uint32_t kFarFromBoundary = 1000000;
 };
 
-/** What lanes are worked out from, besides the demand. */
+/** Inputs for the sizes of pools, besides the demand. */
 struct PoolSizingInfo
 {
   const PauseRecord& mPauses;
-  /** Prompt tokens that an engine reads in a millisecond. */
+  /** Prompt tokens that an engine prefills in a millisecond. */
   double mPrefillPerMs = 0;
-  /** Requests that an engine runs at once; 0: not known. */
+  /** Requests that an engine runs concurrently; 0 if unknown. */
   uint32_t mSlots = 0;
-  /** How many times what is known of the demand the whole is: entries for each
-   * one whose demand is known here. */
+  /** Factor from the known to the total demand: entries per entry whose demand
+   * is known here. */
   double mDemandScale = 1;
 };
 
@@ -78,125 +79,123 @@
 using PoolPositions = std::unordered_map<UpstreamId, PoolPosition>;
 
 /**
- * Keeps long prompts away from streams that allow no long pause: an engine
- * reads prompts between the tokens of the requests beside them, so a few long
- * ones in a row are a pause for all. How long a pause is the engines show:
- * where they read in chunks that are short enough, there are no lanes, and any
- * engine may take what the others have no room for. A service's engines are put
- * in an order that all entries work out alike, and are dealt to the lanes in
- * that order, longest prompts first, by the work that this entry sees for each.
+ * Separates long prompts from streams that don't allow long pauses. An engine
+ * prefills prompts between the tokens of its running responses, so a few long
+ * prompts in a row pause all of them. The observed pauses decide: if engines
+ * prefill in short chunks there is one pool, and any engine may take any
+ * request. A service's engines are sorted in an order that is the same at all
+ * entries, and are assigned to the pools in that order, longest prompts first,
+ * by demand.
  */
 class DedicatedPools
 {
 public:
   explicit DedicatedPools(DedicatedPoolsOptions aOptions = {});
 
-  /** A request of the route came; aOpen: those that have not ended. */
+  /** aOpen: the route's requests that have not ended. */
   void OnRequest(const std::string& aService,
                  const Route& aRoute,
                  const PromptShape& aPrompt,
                  Millis aNow,
                  double aOpen = 0);
-  /** What came to this entry, for others to know. */
+  /** The demand at this entry, for updates to peers. */
   std::vector<RouteDemand> Demands(Millis aNow);
-  /** What came to another entry, by its own word. */
   void OnPeerDemands(const std::string& aFrom,
                      const std::vector<RouteDemand>& aDemands,
                      Millis aNow);
-  /** By what others told of late, enough of their requests at upstreams of the
-   * service are less urgent to be refused first. */
+  /** Whether recent updates of peers show enough less urgent requests at the
+   * service's upstreams to reject first. */
   bool PeersSendLessUrgent(const std::string& aService,
                            uint8_t aUrgency,
                            Millis aNow) const;
 
   /**
-   * How far each engine is from the route's lane. Worked out four times
-   * a second at the most, as thousands of engines take a millisecond; an engine
-   * that has come since is in no lane yet.
+   * The position of each engine relative to the route's pool. Computed at most
+   * four times a second, since thousands of engines take a millisecond. An
+   * engine that was added since has no position yet.
    */
   const PoolPositions& PositionsFor(
     const std::string& aService,
     const Route& aRoute,
     const std::vector<const ListedUpstream*>& aAll,
-    const PoolSizingInfo& aFacts,
+    const PoolSizingInfo& aInfo,
     Millis aNow);
 
 private:
-  /** A demand as of that instant. */
+  /** A decaying demand and the time of its last update. */
   struct Demand
   {
     RouteDemand mSums;
     Millis mAt;
   };
-  /** What another entry told, and when. */
-  struct Told
+  struct PeerDemands
   {
     std::vector<Demand> mDemands;
     Millis mAt;
   };
-  /** Routes that share engines, and their work. */
-  struct Lane
+  /** Routes that share engines, and their load. */
+  struct Pool
   {
     std::vector<std::string> mRoutes;
     Millis mMaxPause;
-    double mPrompt = 0;
-    /** Engines that it would keep busy without a break. */
-    double mEngines = 0;
+    double mMeanPrompt = 0;
+    /** Engines that its load would keep busy all the time. */
+    double mEnginesNeeded = 0;
     /** Of its most urgent route. */
     uint8_t mUrgency = 0;
   };
-  /** A route's distances and until when they are good. */
-  struct Known
+  struct CachedPositions
   {
-    PoolPositions mPlaces;
-    Millis mUntil;
+    PoolPositions mPositions;
+    Millis mValidUntil;
   };
   struct Service
   {
     std::map<std::string, Demand> mRoutes;
-    /** Where each lane but the last ends, as shares of the engines. */
-    std::vector<double> mEnds;
-    std::map<std::string, Known> mKnown;
-    /** Routes with a lane of their own beside a stricter one. */
-    std::set<std::string> mApart;
+    /** Upper boundary of each pool but the last, as shares of the engines. */
+    std::vector<double> mBoundaries;
+    std::map<std::string, CachedPositions> mCachedPositions;
+    /** Routes that have a pool of their own beside a stricter one. */
+    std::set<std::string> mSplitRoutes;
   };
 
-  PoolPositions WorkOut(const std::string& aService,
-                        const Route& aRoute,
-                        const std::vector<const ListedUpstream*>& aAll,
-                        const PoolSizingInfo& aFacts,
-                        Millis aNow);
-  /** The lane of each place in the order. */
-  static std::vector<size_t> LanesInOrder(const Service& aService,
-                                          size_t aEngines);
-  void Fade(Demand& aDemand, Millis aNow) const;
-  /** The service's routes with what came of them here and elsewhere. */
-  std::map<std::string, RouteDemand> WholeDemand(const std::string& aService,
+  PoolPositions ComputePositions(const std::string& aService,
+                                 const Route& aRoute,
+                                 const std::vector<const ListedUpstream*>& aAll,
+                                 const PoolSizingInfo& aInfo,
+                                 Millis aNow);
+  /** The pool of each engine in the order. */
+  static std::vector<size_t> PoolOfEachEngine(const Service& aService,
+                                              size_t aEngines);
+  void Decay(Demand& aDemand, Millis aNow) const;
+  /** The service's routes with their demand at all known entries. */
+  std::map<std::string, RouteDemand> TotalDemand(const std::string& aService,
                                                  Millis aNow);
-  /** Each lane's share of the engines. */
-  std::vector<double> SharesOf(const std::vector<Lane>& aLanes,
+  /** Each pool's share of the engines. */
+  std::vector<double> SharesOf(const std::vector<Pool>& aPools,
                                size_t aEngines) const;
-  /** Engines that a route would keep busy without a break: by what they have to
-   * do for it, or by the slots that it holds, whichever is scarcer. */
+  /** Engines that a route would keep busy all the time, by its work or by its
+   * slots, whichever needs more. */
   double EnginesFor(const RouteDemand& aDemand,
-                    const PoolSizingInfo& aFacts) const;
-  /** From the longest prompts to the strictest streams. */
-  std::vector<Lane> LanesOf(Service& aService,
-                            const std::map<std::string, RouteDemand>& aDemands,
-                            const PoolSizingInfo& aFacts) const;
-  /** The route's prompts hold up the lane's streams. */
-  bool IsApart(Service& aService,
-               const RouteDemand& aDemand,
-               const Lane& aStricter,
-               const PoolSizingInfo& aFacts) const;
-  void MoveEnds(Service& aService,
-                const std::vector<double>& aShares,
-                size_t aEngines) const;
+                    const PoolSizingInfo& aInfo) const;
+  /** Pools from the longest prompts to the strictest streams. */
+  std::vector<Pool> PoolsFor(Service& aService,
+                             const std::map<std::string, RouteDemand>& aDemands,
+                             const PoolSizingInfo& aInfo) const;
+  /** Whether the route's prompts delay the streams of the stricter pool too
+   * much. */
+  bool NeedsOwnPool(Service& aService,
+                    const RouteDemand& aDemand,
+                    const Pool& aStricter,
+                    const PoolSizingInfo& aInfo) const;
+  void MoveBoundaries(Service& aService,
+                      const std::vector<double>& aShares,
+                      size_t aEngines) const;
 
   DedicatedPoolsOptions mOptions;
   std::map<std::string, Service> mServices;
   /** By entry. */
-  std::map<std::string, Told> mTold;
+  std::map<std::string, PeerDemands> mPeerDemands;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/directdump.cpp
+++ b/src/libtrefoilarch/directdump.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-/** What DirectRouter shows of itself. */
+/** State dumps and status of DirectRouter. */
 namespace trefoilarch {
 
 std::string
--- a/src/libtrefoilarch/directplacing.cpp
+++ b/src/libtrefoilarch/directplacing.cpp
@@ -3,40 +3,39 @@
 #include <algorithm>
 #include <array>
 
-/** Where DirectRouter sends requests, and when it takes none. */
+/** Upstream selection and overload checks of DirectRouter. */
 namespace trefoilarch {
 
 namespace {
 
-/** How much longer a wait than others' a request of that priority may face
- * before it is refused, so that the less urgent are refused first. */
+/** Factor on the wait that a request of this priority may have before it is
+ * rejected. Less urgent requests are rejected first. */
 double
-FavourOf(uint8_t aPriority)
+PriorityWeightOf(uint8_t aPriority)
 {
-  constexpr std::array kFavours = { 1.3, 1.0, 0.8, 0.65 };
-  return kFavours[std::min<size_t>(aPriority, kFavours.size() - 1)];
+  constexpr std::array kPriorityWeights = { 1.3, 1.0, 0.8, 0.65 };
+  return kPriorityWeights[std::min<size_t>(aPriority,
+                                           kPriorityWeights.size() - 1)];
 }
 
-/** A copy of a running request costs its prompt's memory on the links; it is
- * made where the answer may be at least so long beside the prompt. */
+/** A copy of a running request costs the transfer of its prompt's memory. It is
+ * made if the response may reach this share of the prompt's length. */
 constexpr double kBackupOutputShare = 0.5;
 
-/** An engine may say nothing for so long while it reads a long prompt. */
-constexpr Millis kSilentHolder{ 800 };
+/** An engine may send nothing for this long while it prefills a long prompt. */
+constexpr Millis kMaxHolderSilence{ 800 };
 
-/** An entry that hears the others refuses by its own rate of starts only at
- * so many times the wait: beyond what waits to be read, which it knows, there
- * are slots and memory, which it does not. Without it 0.96 of the most urgent
- * requests got whole answers in an overload of slots and memory, with it 0.998
- * (gatestest). */
-constexpr double kHeardFavour = 1.8;
+/** Factor on the wait that the start rate allows while peers send updates. This
+ * entry then knows the pending prefill, but not the slots and memory in use.
+ * Without it 0.96 of the most urgent requests got complete responses in an
+ * overload of slots and memory, with it 0.998 (gatestest). */
+constexpr double kReportingPeersWeight = 1.8;
 
-/** Callers come back when they are told to, if that is within a third of the
- * time that they have. */
-constexpr int64_t kReturnPart = 3;
+/** Callers obey Retry-After if it is within a third of their timeout. */
+constexpr int64_t kRetryAfterDivisor = 3;
 
-/** A lane's distance in open attempts, when a copy's place is chosen. */
-constexpr double kLaneLoad = 20;
+/** Load of one pool of distance, in open attempts, when a copy is placed. */
+constexpr double kPoolDistanceLoad = 20;
 
 } // namespace
 
@@ -45,22 +44,24 @@
 {
   const Route& route = *aRequest.mRoute;
   const Millis limit = aRequest.mDeadline - aRequest.mArrivedAt;
-  const double favour = FavourOf(aRequest.mRoutePriority);
-  // An entry that hears no other knows its own part of the work alone: then
-  // the rate at which its requests start says more than any forecast.
-  const bool knows = aRequest.mPrompt.mPromptTokens > 0 && mPeers.Peers() > 0;
-  StartMeter& meter = mMeters[route.mName];
-  if (!knows) {
-    return meter.Refuse(route.mFirstTokenTarget, limit, favour, aNow);
+  const double weight = PriorityWeightOf(aRequest.mRoutePriority);
+  // Without updates from peers an entry knows only its own share of the load.
+  // The rate of its starts is then more reliable than a forecast.
+  const bool hasForecast =
+    aRequest.mPrompt.mPromptTokens > 0 && mPeers.Peers() > 0;
+  StartMeter& meter = mStartMeters[route.mName];
+  if (!hasForecast) {
+    return meter.Refuse(route.mFirstTokenTarget, limit, weight, aNow);
   }
   if (const auto late = meter.Refuse(
-        route.mFirstTokenTarget, limit, favour * kHeardFavour, aNow)) {
+        route.mFirstTokenTarget, limit, weight * kReportingPeersWeight, aNow)) {
     return late;
   }
-  const StartRequirements terms{ .mTarget = route.mFirstTokenTarget,
-                                 .mLimit = limit,
-                                 .mPriorityWeight = favour };
-  const auto late = mEngineAdmission.Refuse(ForecastFor(aRequest, aNow), terms);
+  const StartRequirements requirements{ .mTarget = route.mFirstTokenTarget,
+                                        .mLimit = limit,
+                                        .mPriorityWeight = weight };
+  const auto late =
+    mEngineAdmission.Refuse(ForecastFor(aRequest, aNow), requirements);
   if (!late) {
     return std::nullopt;
   }
@@ -69,12 +70,12 @@
 
 Millis
 DirectRouter::ReturnIn(const BoundRequest& aRequest,
-                       Millis aLeast,
-                       Millis aSpread)
+                       Millis aMin,
+                       Millis aJitter)
 {
   const Millis limit = aRequest.mDeadline - aRequest.mArrivedAt;
-  std::uniform_int_distribution<int64_t> spread(0, aSpread.Count());
-  return std::min(aLeast + Millis(spread(mRandom)), limit / kReturnPart);
+  std::uniform_int_distribution<int64_t> jitter(0, aJitter.Count());
+  return std::min(aMin + Millis(jitter(mRandom)), limit / kRetryAfterDivisor);
 }
 
 StartForecast
@@ -84,38 +85,40 @@
   if (candidates.empty()) {
     return {};
   }
-  const EngineInfo facts = FactsOf(aRequest, aNow);
+  const EngineInfo info = EngineInfoFor(aRequest, aNow);
   const uint8_t urgency = aRequest.mRoutePriority;
-  const PlacementChoice placed =
-    mPlacement.Choose(candidates, aRequest.mPrompt, urgency, facts, aNow);
-  return { .mWaitMs = placed.mWaitMs,
-           .mPrefillMs = placed.mWork.mPrefill / facts.mPrefillPerMs +
-                         mEngines.MinWaitMs(aRequest.mService),
-           .mAnswerMs = mMeters[aRequest.mRoute->mName].AnswerMs() };
+  const PlacementChoice choice =
+    mPlacement.Choose(candidates, aRequest.mPrompt, urgency, info, aNow);
+  return { .mWaitMs = choice.mWaitMs,
+           .mPrefillMs = choice.mWork.mPrefill / info.mPrefillPerMs +
+                         mEngineModel.MinWaitMs(aRequest.mService),
+           .mAnswerMs = mStartMeters[aRequest.mRoute->mName].AnswerMs() };
 }
 
 EngineInfo
-DirectRouter::FactsOf(const BoundRequest& aRequest, Millis aNow) const
+DirectRouter::EngineInfoFor(const BoundRequest& aRequest, Millis aNow) const
 {
   const std::string& service = aRequest.mService;
   const RoutedService* listed = mIndex ? mIndex->FindService(service) : nullptr;
   const bool engine = listed != nullptr && listed->mEngine.has_value();
-  const double perMs = mEngines.PrefillPerMs(service);
-  const auto arrivals = mArrivals.find(service);
+  const double perMs = mEngineModel.PrefillPerMs(service);
+  const auto arrivals = mArrivalRates.find(service);
   const double rate =
-    arrivals == mArrivals.end() ? 0 : arrivals->second.PerMs(aNow);
+    arrivals == mArrivalRates.end() ? 0 : arrivals->second.PerMs(aNow);
   const size_t engines =
     std::max<size_t>(1, mDirectory.OfService(service).size());
   const double perEngine = rate / static_cast<double>(engines);
-  const size_t heard = mPeers.Peers();
-  const size_t others = std::max(heard, mEntries - 1);
+  const size_t reportingPeers = mPeers.Peers();
+  const size_t peers = std::max(reportingPeers, mEntries - 1);
   return { .mPrefillPerMs = perMs,
-           .mBehindCost = mEngines.PrefillMs(service, { .mBehind = 1 }) * perMs,
+           .mBehindCost =
+             mEngineModel.PrefillMs(service, { .mBehind = 1 }) * perMs,
            .mMemoryTokens = engine ? listed->mEngine->mMemoryTokens : 0,
-           .mAnswerMs = mEngines.AnswerMs(service),
-           .mPeersReporting = heard > 0,
-           .mReportedPerMs = perEngine * static_cast<double>(heard),
-           .mUnreportedPerMs = perEngine * static_cast<double>(others - heard),
+           .mAnswerMs = mEngineModel.AnswerMs(service),
+           .mPeersReporting = reportingPeers > 0,
+           .mReportedPerMs = perEngine * static_cast<double>(reportingPeers),
+           .mUnreportedPerMs =
+             perEngine * static_cast<double>(peers - reportingPeers),
            .mReportIntervalMs = mPeers.MeanIntervalMs() };
 }
 
@@ -128,14 +131,14 @@
                             .mIncarnationNumber =
                               aBroken.mBackupIncarnationNumber };
   const ListedUpstream* backup = mDirectory.Find(aBroken.mBackup);
-  // A caller in the middle of its answer waits for no permit.
+  // A caller in the middle of its response doesn't wait for a permit.
   if (!TakesWork(copy) || mLimits.Of(aBroken.mBackup)) {
     return std::nullopt;
   }
   const AttemptWork work{ .mOutput = aBroken.mWork.mOutput };
   mTracked[backup->mId].mWork.OnSent(work, aNow);
   RecordAttempt(aRequest, aNow);
-  mMeters[aRequest.mRoute->mName].OnSent(aNow);
+  mStartMeters[aRequest.mRoute->mName].OnSent(aNow);
   return PlacedAttempt{ .mUpstream = backup->mId,
                         .mIncarnationNumber = backup->mIncarnationNumber,
                         .mFingerprint = aRequest.mFingerprint,
@@ -165,11 +168,15 @@
   Candidates candidates = CandidatesFor(aRequest, aTried, aWait, aNow);
   const uint8_t urgency = aRequest.mRoutePriority;
   while (!candidates.empty()) {
-    const PlacementChoice placed = mPlacement.Choose(
-      candidates, aRequest.mPrompt, urgency, FactsOf(aRequest, aNow), aNow);
-    const UpstreamId& upstream = placed.mUpstream;
+    const PlacementChoice choice =
+      mPlacement.Choose(candidates,
+                        aRequest.mPrompt,
+                        urgency,
+                        EngineInfoFor(aRequest, aNow),
+                        aNow);
+    const UpstreamId& upstream = choice.mUpstream;
     if (TakePermit(upstream, urgency, aNow)) {
-      return Send(aRequest, placed, candidates, aNow);
+      return Send(aRequest, choice, candidates, aNow);
     }
     if (mPermits.StateOf(upstream, urgency, aNow) == PermitState::Requested) {
       aWait.mUpstream = upstream;
@@ -186,33 +193,33 @@
 
 PlacedAttempt
 DirectRouter::Send(const BoundRequest& aRequest,
-                   const PlacementChoice& aPlaced,
+                   const PlacementChoice& aChoice,
                    const Candidates& aCandidates,
                    Millis aNow)
 {
   const uint8_t urgency = aRequest.mRoutePriority;
-  const ListedUpstream* listed = mDirectory.Find(aPlaced.mUpstream);
-  UpstreamWork& work = mTracked[aPlaced.mUpstream].mWork;
-  work.OnSent(aPlaced.mWork, aNow);
+  const ListedUpstream* listed = mDirectory.Find(aChoice.mUpstream);
+  UpstreamWork& work = mTracked[aChoice.mUpstream].mWork;
+  work.OnSent(aChoice.mWork, aNow);
   RecordAttempt(aRequest, aNow);
   PendingPrefill pending = work.Pending();
-  pending += mPeers.Pending(aPlaced.mUpstream);
-  TakeNote(aRequest.mPrompt, aPlaced, aNow);
+  pending += mPeers.Pending(aChoice.mUpstream);
+  RecordSentPrompt(aRequest.mPrompt, aChoice, aNow);
   if (aRequest.mPrompt.mPromptTokens > 0) {
-    mArrivals[aRequest.mService].OnArrival(aNow);
+    mArrivalRates[aRequest.mService].OnArrival(aNow);
   }
-  mMeters[aRequest.mRoute->mName].OnSent(aNow);
+  mStartMeters[aRequest.mRoute->mName].OnSent(aNow);
   const ListedUpstream* backup =
-    BackupFor(aRequest, aCandidates, aPlaced.mUpstream);
-  const ListedUpstream* holder = HolderAt(aPlaced.mHolder, aNow);
+    BackupFor(aRequest, aCandidates, aChoice.mUpstream);
+  const ListedUpstream* holder = HolderAt(aChoice.mHolder, aNow);
   return PlacedAttempt{
-    .mUpstream = aPlaced.mUpstream,
+    .mUpstream = aChoice.mUpstream,
     .mIncarnationNumber = listed->mIncarnationNumber,
     .mFingerprint = aRequest.mFingerprint,
     .mService = listed->mService,
     .mRoute = aRequest.mRoute->mName,
     .mAddress = listed->mAddress,
-    .mWork = aPlaced.mWork,
+    .mWork = aChoice.mWork,
     .mPrefillBacklog = { .mAhead = pending.Ahead(urgency),
                          .mBehind = pending.Behind(urgency) },
     .mHolderAddress = holder != nullptr ? holder->mAddress : "",
@@ -227,10 +234,10 @@
 const ListedUpstream*
 DirectRouter::HolderAt(const UpstreamId& aHolder, Millis aNow) const
 {
-  // One that gives no answer would hold the request up.
+  // Fetching from an upstream that doesn't respond would delay the request.
   const auto tracked = mTracked.find(aHolder);
   const bool silent = tracked != mTracked.end() &&
-                      tracked->second.mWork.Silence(aNow) > kSilentHolder;
+                      tracked->second.mWork.Silence(aNow) > kMaxHolderSilence;
   return IsHealthy(aHolder, aNow) && !silent ? mDirectory.Find(aHolder)
                                              : nullptr;
 }
@@ -249,16 +256,16 @@
                             Millis aNow)
 {
   const bool repeatable = aRequest.mRoute->mRetryMode != RetryMode::AtMostOnce;
-  const uint32_t most = ConnectionsFor(aRequest);
+  const uint32_t maxOpen = ConnectionsFor(aRequest);
   Candidates healthy;
-  Candidates others;
+  Candidates unhealthy;
   const auto& all = mDirectory.OfService(aRequest.mService);
-  const PoolPositions& lanes = mLanes.PositionsFor(
+  const PoolPositions& positions = mPools.PositionsFor(
     aRequest.mService,
     *aRequest.mRoute,
     all,
     { .mPauses = mPauses,
-      .mPrefillPerMs = mEngines.PrefillPerMs(aRequest.mService),
+      .mPrefillPerMs = mEngineModel.PrefillPerMs(aRequest.mService),
       .mSlots = all.empty() ? 0 : all.front()->mSlots,
       .mDemandScale = DemandScale() },
     aNow);
@@ -268,28 +275,29 @@
     }
     const TrackedUpstream& tracked = mTracked[each->mId];
     const UpstreamWork& work = tracked.mWork;
-    if (work.Open() >= most ||
+    if (work.Open() >= maxOpen ||
         !MayHavePermit(each->mId, aRequest.mRoutePriority, aWait, aNow)) {
       continue;
     }
-    const auto lane = lanes.find(each->mId);
+    const auto position = positions.find(each->mId);
     const PlacementCandidate candidate{
       .mListed = each,
       .mWork = &work,
       .mCold = aNow < tracked.mColdUntil,
       .mPeerPending = mPeers.Pending(each->mId),
       .mPeerSilence = tracked.mPeerSilence.Silence(aNow),
-      .mSlowness = mEngines.Slowness(each->mId, aNow),
-      .mPoolPosition = lane == lanes.end() ? PoolPosition{} : lane->second
+      .mSlowness = mEngineModel.Slowness(each->mId, aNow),
+      .mPoolPosition =
+        position == positions.end() ? PoolPosition{} : position->second
     };
     const OutlierState state = mOutliers.State(each->mId, aNow);
-    const bool tries = repeatable || mProbeProbability(mRandom);
-    if (state == OutlierState::Probing && tries && work.Open() == 0) {
+    const bool mayProbe = repeatable || mProbeProbability(mRandom);
+    if (state == OutlierState::Probing && mayProbe && work.Open() == 0) {
       return { candidate };
     }
-    (state == OutlierState::Healthy ? healthy : others).push_back(candidate);
+    (state == OutlierState::Healthy ? healthy : unhealthy).push_back(candidate);
   }
-  return healthy.empty() ? others : healthy;
+  return healthy.empty() ? unhealthy : healthy;
 }
 
 const ListedUpstream*
@@ -300,22 +308,22 @@
   const RoutedService* service =
     aRequest.mIndex->FindService(aRequest.mService);
   const PromptShape& prompt = aRequest.mPrompt;
-  const bool worthIt =
+  const bool needsBackup =
     service != nullptr && service->mEngine && service->mEngine->mBackups &&
     aRequest.mRoute->mStream && prompt.mPromptTokens > 0 &&
     static_cast<double>(prompt.mMaxOutput) >=
       kBackupOutputShare * static_cast<double>(prompt.mPromptTokens);
-  if (!worthIt) {
+  if (!needsBackup) {
     return nullptr;
   }
   const ListedUpstream* best = nullptr;
-  double least = 0;
+  double leastLoad = 0;
   for (const PlacementCandidate& each : aCandidates) {
     const double load =
-      each.mWork->Open() + each.mPoolPosition.mDistance * kLaneLoad;
-    if (each.mListed->mId != aChosen && (best == nullptr || load < least)) {
+      each.mWork->Open() + each.mPoolPosition.mDistance * kPoolDistanceLoad;
+    if (each.mListed->mId != aChosen && (best == nullptr || load < leastLoad)) {
       best = each.mListed;
-      least = load;
+      leastLoad = load;
     }
   }
   return best;
--- a/src/libtrefoilarch/directrouter.cpp
+++ b/src/libtrefoilarch/directrouter.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/** Why a caller should come back soon: another entry may know more. */
-constexpr Millis kComeBack{ 250 };
+/** Retry delay of most rejections: another entry may know more. */
+constexpr Millis kRetryAfter{ 250 };
 
-/** When to come back after a refusal for the sake of more urgent requests. */
-constexpr Millis kPressedReturn{ 500 };
+/** Retry delay of requests rejected in favour of more urgent ones. */
+constexpr Millis kShedRetryAfter{ 500 };
 
 Refusal
 Refuse(ErrorKind aKind, std::string aMessage)
@@ -19,13 +19,13 @@
   return Refusal{ .mKind = aKind,
                   .mRan = Ran::No,
                   .mRetryAfter =
-                    AnswerFor(aKind).mRetryable ? kComeBack : Millis(0),
+                    AnswerFor(aKind).mRetryable ? kRetryAfter : Millis(0),
                   .mMessage = std::move(aMessage) };
 }
 
-/** Prompts that are kept to be told to other entries; what is beyond these
- * others read again at worst. */
-constexpr size_t kMostSent = 64;
+/** Prompts kept for the next update to peers, which at worst prefill others
+ * again. */
+constexpr size_t kMaxSentPrompts = 64;
 
 } // namespace
 
@@ -57,20 +57,20 @@
 std::vector<UpstreamId>
 DirectRouter::OnDirectoryChanged(Millis aNow)
 {
-  std::vector<UpstreamId> startedAgain;
+  std::vector<UpstreamId> restarted;
   for (auto& [id, tracked] : mTracked) {
     tracked.mListed = false;
   }
   for (const auto& [id, listed] : mDirectory.All()) {
-    const auto [place, fresh] = mTracked.try_emplace(id);
-    TrackedUpstream& tracked = place->second;
+    const auto [it, inserted] = mTracked.try_emplace(id);
+    TrackedUpstream& tracked = it->second;
     tracked.mListed = true;
-    if (!fresh && tracked.mIncarnationNumber != listed.mIncarnationNumber) {
+    if (!inserted && tracked.mIncarnationNumber != listed.mIncarnationNumber) {
       if (!tracked.mLeaving) {
         OnIncarnationEnded(tracked.mIncarnation, "replaced", aNow);
       }
       ForgetIncarnation(id, tracked);
-      startedAgain.push_back(id);
+      restarted.push_back(id);
     }
     if (tracked.mIncarnationNumber != listed.mIncarnationNumber) {
       tracked.mIncarnationNumber = listed.mIncarnationNumber;
@@ -94,12 +94,12 @@
       OnIncarnationEnded(tracked.mIncarnation, "unlisted", aNow);
     }
     mOutliers.Remove(id);
-    mEngines.Forget(id);
+    mEngineModel.Forget(id);
     mPlacement.PrefixCaches().Forget(id);
     ForgetLimit(id);
     return tracked.mWork.Open() == 0;
   });
-  return startedAgain;
+  return restarted;
 }
 
 void
@@ -108,7 +108,7 @@
 {
   mOutliers.Reset(aUpstream);
   ForgetLimit(aUpstream);
-  mEngines.Forget(aUpstream);
+  mEngineModel.Forget(aUpstream);
   mPlacement.PrefixCaches().Forget(aUpstream);
   aTracked.mWork = UpstreamWork();
   aTracked.mPeerSilence = PeerSilence();
@@ -133,14 +133,14 @@
 }
 
 Result<BoundRequest>
-DirectRouter::Bind(const RequestAttributes& aFacts, Millis aNow)
+DirectRouter::Bind(const RequestAttributes& aAttributes, Millis aNow)
 {
   if (!mIndex) {
     return Fail(Refuse(ErrorKind::PolicyUnknown, "no policy yet"));
   }
   mPeers.Expire(aNow);
   const bool recent = mPolicyFreshness.IsWithin(mOptions.mPolicyMaxAge, aNow);
-  const Route* route = mIndex->Find(aFacts.mHost, aFacts.mPath);
+  const Route* route = mIndex->Find(aAttributes.mHost, aAttributes.mPath);
   if (route == nullptr) {
     return Fail(Refuse(
       recent ? ErrorKind::UnknownRoute : ErrorKind::PolicyStale, "no route"));
@@ -149,42 +149,45 @@
                       .mRoute = route,
                       .mPriority = route->mPriority,
                       .mRoutePriority = route->mPriority,
-                      .mPrompt = aFacts.mPrompt,
-                      .mArrivedAt = aFacts.mArrivedAt };
+                      .mPrompt = aAttributes.mPrompt,
+                      .mArrivedAt = aAttributes.mArrivedAt };
   if (!route->mPublic && !mIndex->Policy().mWorkspaces.empty()) {
     if (!mPolicyFreshness.IsWithin(mOptions.mKeyPolicyMaxAge, aNow)) {
       return Fail(Refuse(ErrorKind::PolicyStale, "keys can't be checked"));
     }
-    const KeyedWorkspace* workspace = mIndex->WorkspaceForKey(aFacts.mKey);
+    const KeyedWorkspace* workspace = mIndex->WorkspaceForKey(aAttributes.mKey);
     if (workspace == nullptr) {
       return Fail(Refuse(recent ? ErrorKind::BadToken : ErrorKind::PolicyStale,
                          "unknown key"));
     }
     bound.mWorkspace = workspace->mName;
-    bound.mKey = aFacts.mKey;
+    bound.mKey = aAttributes.mKey;
     bound.mPriority = workspace->mPriority.value_or(route->mPriority);
   }
-  const Millis span =
-    std::min(route->mTimeout, aFacts.mCallerTimeout.value_or(route->mTimeout));
-  bound.mDeadline = aFacts.mArrivedAt + span;
+  const Millis timeout = std::min(
+    route->mTimeout, aAttributes.mCallerTimeout.value_or(route->mTimeout));
+  bound.mDeadline = aAttributes.mArrivedAt + timeout;
   bound.mService = ServiceFor(*route);
   bound.mPrompt.mSharedSegments =
     mSharedSegments.OnPrompt(route->mName, bound.mPrompt);
-  mLanes.OnRequest(
-    bound.mService, *route, bound.mPrompt, aNow, mMeters[route->mName].Open());
-  const auto comeBack = Overload(bound, aNow);
-  // Asked under an overload alone, as it looks through all entries' demand.
-  const bool othersTakeLess =
-    comeBack &&
-    mLanes.PeersSendLessUrgent(bound.mService, route->mPriority, aNow);
+  mPools.OnRequest(bound.mService,
+                   *route,
+                   bound.mPrompt,
+                   aNow,
+                   mStartMeters[route->mName].Open());
+  const auto retryAfter = Overload(bound, aNow);
+  // Only under overload, since it iterates over the demand of all entries.
+  const bool peersSendLessUrgent =
+    retryAfter &&
+    mPools.PeersSendLessUrgent(bound.mService, route->mPriority, aNow);
   if (mTiers.Refuses(bound.mService,
                      route->mPriority,
-                     comeBack.has_value(),
+                     retryAfter.has_value(),
                      aNow,
-                     othersTakeLess)) {
+                     peersSendLessUrgent)) {
     return Fail(Refusal{ .mKind = ErrorKind::Shed,
                          .mRan = Ran::No,
-                         .mRetryAfter = comeBack.value_or(kPressedReturn),
+                         .mRetryAfter = retryAfter.value_or(kShedRetryAfter),
                          .mMessage = "would start too late" });
   }
   mRetries.OnFirstAttempt(bound.mService);
@@ -211,20 +214,20 @@
 }
 
 void
-DirectRouter::TakeNote(const PromptShape& aPrompt,
-                       const PlacementChoice& aPlaced,
-                       Millis aNow)
+DirectRouter::RecordSentPrompt(const PromptShape& aPrompt,
+                               const PlacementChoice& aChoice,
+                               Millis aNow)
 {
   if (aPrompt.mPromptTokens == 0) {
     return;
   }
-  SentPrompt sent{ .mUpstream = aPlaced.mUpstream,
+  SentPrompt sent{ .mUpstream = aChoice.mUpstream,
                    .mSegments = aPrompt.SharedIds(),
-                   .mTokens = aPlaced.mWork.mPrefill + aPlaced.mWork.mOutput };
+                   .mTokens = aChoice.mWork.mPrefill + aChoice.mWork.mOutput };
   mPlacement.PrefixCaches().OnSent(
     sent.mUpstream, sent.mSegments, sent.mTokens, aNow);
   mHasPeerUpdate = true;
-  if (mSent.size() < kMostSent) {
+  if (mSent.size() < kMaxSentPrompts) {
     mSent.push_back(std::move(sent));
   }
 }
@@ -232,83 +235,83 @@
 PeerUpdate
 DirectRouter::TakePeerUpdate(Millis aNow)
 {
-  PeerUpdate notes{ .mFrom = mOptions.mName,
-                    .mProcess = mProcess,
-                    .mSequence = ++mNotes,
-                    .mSent = std::exchange(mSent, {}),
-                    .mDemands = mLanes.Demands(aNow),
-                    .mLimits = mLimits.TakeReports(aNow) };
+  PeerUpdate update{ .mFrom = mOptions.mName,
+                     .mProcess = mProcess,
+                     .mSequence = ++mUpdateSequence,
+                     .mSent = std::exchange(mSent, {}),
+                     .mDemands = mPools.Demands(aNow),
+                     .mLimits = mLimits.TakeReports(aNow) };
   for (const auto& [id, tracked] : mTracked) {
     if (tracked.mWork.Pending().All() > 0) {
-      notes.mPending.push_back({ id, tracked.mWork.Pending() });
+      update.mPending.push_back({ id, tracked.mWork.Pending() });
     }
     const Millis silence = tracked.mWork.Silence(aNow);
     if (silence >= mPlacement.NormalSilence()) {
-      notes.mSilent.push_back({ .mUpstream = id, .mSilence = silence });
+      update.mSilent.push_back({ .mUpstream = id, .mSilence = silence });
     }
   }
   const auto reports = std::exchange(mReports, {});
-  if (AllHeard()) {
+  if (AllPeersReporting()) {
     for (const auto& [id, report] : reports) {
-      notes.mReports.push_back(
+      update.mReports.push_back(
         { .mUpstream = id, .mLoad = report.mLoad, .mAge = aNow - report.mAt });
     }
   }
   const auto answered = std::exchange(mAnswered, {});
-  notes.mAnswered.assign(answered.begin(), answered.end());
+  update.mAnswered.assign(answered.begin(), answered.end());
   mHasPeerUpdate = false;
-  return notes;
+  return update;
 }
 
 bool
-DirectRouter::AllHeard() const
+DirectRouter::AllPeersReporting() const
 {
   return mPeers.Peers() + 1 >= mEntries;
 }
 
 void
-DirectRouter::OnPeerUpdate(const PeerUpdate& aNotes, Millis aNow)
+DirectRouter::OnPeerUpdate(const PeerUpdate& aUpdate, Millis aNow)
 {
   mPeers.Expire(aNow);
-  if (!mPeers.Take(aNotes, aNow)) {
+  if (!mPeers.Take(aUpdate, aNow)) {
     return;
   }
-  const bool allHeard = AllHeard();
-  for (const SentPrompt& each : aNotes.mSent) {
+  const bool allReporting = AllPeersReporting();
+  for (const SentPrompt& each : aUpdate.mSent) {
     const auto tracked = mTracked.find(each.mUpstream);
     if (tracked != mTracked.end()) {
-      if (allHeard) {
+      if (allReporting) {
         tracked->second.mWork.OnSentByPeer(aNow);
       }
       mPlacement.PrefixCaches().OnSent(
         each.mUpstream, each.mSegments, each.mTokens, aNow);
     }
   }
-  for (const LimitReport& each : aNotes.mLimits) {
+  for (const LimitReport& each : aUpdate.mLimits) {
     mLimits.OnPeerReport(each, aNow);
   }
   ReportLimitChanges();
-  mLanes.OnPeerDemands(aNotes.mFrom, aNotes.mDemands, aNow);
-  TakeSilence(aNotes, aNow);
-  for (const ReceivedLoadReport& each : aNotes.mReports) {
+  mPools.OnPeerDemands(aUpdate.mFrom, aUpdate.mDemands, aNow);
+  ApplyPeerSilence(aUpdate, aNow);
+  for (const ReceivedLoadReport& each : aUpdate.mReports) {
     const auto tracked = mTracked.find(each.mUpstream);
-    if (allHeard && tracked != mTracked.end()) {
+    if (allReporting && tracked != mTracked.end()) {
       tracked->second.mWork.OnReport(each.mLoad, aNow - each.mAge);
     }
   }
 }
 
 void
-DirectRouter::TakeSilence(const PeerUpdate& aNotes, Millis aNow)
+DirectRouter::ApplyPeerSilence(const PeerUpdate& aUpdate, Millis aNow)
 {
-  for (const SilentUpstream& each : aNotes.mSilent) {
+  for (const SilentUpstream& each : aUpdate.mSilent) {
     const auto tracked = mTracked.find(each.mUpstream);
     if (tracked != mTracked.end()) {
       tracked->second.mPeerSilence.OnPeerReport(
-        aNotes.mFrom, aNow - each.mSilence, aNow);
+        aUpdate.mFrom, aNow - each.mSilence, aNow);
     }
   }
-  for (const UpstreamId& each : aNotes.mAnswered) {
+  for (const UpstreamId& each : aUpdate.mAnswered) {
     const auto tracked = mTracked.find(each);
     if (tracked != mTracked.end()) {
       tracked->second.mPeerSilence.OnAnswered();
@@ -350,18 +353,18 @@
   }
   aAttempt.mStarted = true;
   aAttempt.mStartedAt = aNow;
-  mMeters[aAttempt.mRoute].OnStarted(aAttempt.mSentAt, aNow);
+  mStartMeters[aAttempt.mRoute].OnStarted(aAttempt.mSentAt, aNow);
   if (TrackedUpstream* tracked = FindTracked(aAttempt)) {
     tracked->mWork.OnStarted(aAttempt.mWork);
-    const Millis took = aNow - aAttempt.mSentAt;
-    mOutliers.OnFirstToken(aAttempt.mUpstream, took, aNow);
+    const Millis firstTokenTime = aNow - aAttempt.mSentAt;
+    mOutliers.OnFirstToken(aAttempt.mUpstream, firstTokenTime, aNow);
     mAnswered.insert(aAttempt.mUpstream);
     if (aAttempt.mWork.mPrefill > 0) {
-      mEngines.OnStarted(aAttempt.mService,
-                         aAttempt.mUpstream,
-                         aAttempt.mPrefillBacklog,
-                         took,
-                         aNow);
+      mEngineModel.OnStarted(aAttempt.mService,
+                             aAttempt.mUpstream,
+                             aAttempt.mPrefillBacklog,
+                             firstTokenTime,
+                             aNow);
       mHasPeerUpdate = true;
     }
   }
@@ -401,17 +404,17 @@
     }
   }
   if (aAttempt.mStarted) {
-    mMeters[aAttempt.mRoute].OnEnded(aAttempt.mStartedAt, aNow);
+    mStartMeters[aAttempt.mRoute].OnEnded(aAttempt.mStartedAt, aNow);
     mPauses.OnStreamEnded(aAttempt.mRoute, aNow);
     if (aAttempt.mWork.mOutput > 0) {
-      mEngines.OnEnded(aAttempt.mService, aNow - aAttempt.mStartedAt);
+      mEngineModel.OnEnded(aAttempt.mService, aNow - aAttempt.mStartedAt);
     }
   } else {
-    mMeters[aAttempt.mRoute].OnAbandoned(aAttempt.mSentAt);
+    mStartMeters[aAttempt.mRoute].OnAbandoned(aAttempt.mSentAt);
   }
-  const bool speaksAgainst =
+  const bool countsAsFailure =
     aOutcome != AttemptOutcome::Good && aOutcome != AttemptOutcome::Withdrawn;
-  if (speaksAgainst && tracked != nullptr) {
+  if (countsAsFailure && tracked != nullptr) {
     mOutliers.OnFailure(aAttempt.mUpstream, aNow);
   }
 }
--- a/src/libtrefoilarch/directrouter.h
+++ b/src/libtrefoilarch/directrouter.h
@@ -40,18 +40,17 @@
 
 namespace trefoilarch {
 
-/** How a DirectRouter decides; times in milliseconds. */
 struct DirectRouterOptions
 {
   std::string mDataCentre;
-  /** A keyed request is taken only while the policy was confirmed within
-   * this span: a key that was revoked is honoured no longer than that. */
+  /** A request with a key is accepted only if the policy was confirmed within
+   * this time, which bounds how long a revoked key is valid. */
   Millis mKeyPolicyMaxAge{ 4500 };
-  /** Without a confirmation for this long, an unknown route or key is not
-   * called unknown: the policy may have been changed. */
+  /** Without a confirmation within this time, an unknown route or key is
+   * reported as a stale policy: the policy may have changed. */
   Millis mPolicyMaxAge{ 3000 };
-  /** An upstream's connections are shared among entries; this entry takes
-   * one in so many at the most. */
+  /** Entries share an upstream's connections. Each uses at most one in this
+   * many. */
   uint32_t mConnectionShare = 6;
   RetryBudgetOptions mRetries{ .mPercent = 15, .mInitial = 2, .mMax = 5 };
   OutlierOptions mOutliers{ .mFailuresInRow = 3,
@@ -62,38 +61,37 @@
                             .mInitialEjection = Millis(1500),
                             .mMaxEjection = Millis(6000),
                             .mMaxEjectedShare = 0.5 };
-  /** This entry's name to others. */
+  /** This entry's name in updates to peers. */
   std::string mName;
   /** See WorkPlacementOptions::mCost. */
   PlacementCost mPlacementCost;
   QuarantineOptions mQuarantine;
   DirectoryOptions mDirectory;
-  /** There is news of crashes that others should hear at once, or something to
-   * be logged. */
+  /** Called for crash updates that peers need at once, or changes to be
+   * logged. */
   std::function<void()> mOnCrashUpdate = [] {};
-  /** An upstream's rate limit began, changed or ended. */
+  /** Called when an upstream's rate limit starts, changes or ends. */
   std::function<void(const LimitChange&)> mOnLimitChange =
     [](const LimitChange&) {};
-  /** Sends an ask for a permit to another entry. */
   std::function<void(const AddressedPermitRequest&)> mOnPermitRequest =
     [](const AddressedPermitRequest&) {};
   uint64_t mSeed = 1;
 };
 
-/** What a caller's request says of itself; views into the request. */
+/** Attributes of a caller's request; views into the request. */
 struct RequestAttributes
 {
   std::string_view mHost;
   std::string_view mPath;
   std::string mKey;
-  /** When its first byte came. */
+  /** When its first byte was received. */
   Millis mArrivedAt;
-  /** How long the caller will wait, from its arrival. */
+  /** How long the caller waits, from mArrivedAt. */
   std::optional<Millis> mCallerTimeout;
   PromptShape mPrompt;
 };
 
-/** A request with what the policy gives it. It keeps its policy alive. */
+/** A request with its route and workspace. Keeps its policy alive. */
 struct BoundRequest
 {
   std::shared_ptr<const RouteIndex> mIndex;
@@ -102,179 +100,174 @@
   /** Empty on a public route. */
   std::string mWorkspace;
   std::string mKey;
-  /** The workspace's, or else the route's. */
+  /** The workspace's or else the route's. */
   uint8_t mPriority = 0;
-  /** The route's own, between requests of the same priority. */
+  /** The route's, which orders requests of the same priority. */
   uint8_t mRoutePriority = 0;
   PromptShape mPrompt;
-  /** Zero where the caller of Bind() sets none: then nothing is told of
-   * crashes under it. */
+  /** Zero if the caller of Bind() sets none: no crash is attributed to it. */
   RequestFingerprint mFingerprint;
   Millis mArrivedAt;
-  /** The caller's deadline or the route's timeout, whichever is first. */
+  /** The earlier of the caller's deadline and the route's timeout. */
   Millis mDeadline;
 };
 
-/** What a request that is to be placed may wait for. */
+/** What a request that is being placed may wait for. */
 struct PermitWait
 {
-  /** Whether a permit may be asked for. */
+  /** Whether a permit may be requested. */
   bool mMayRequest = true;
-  /** The upstream for which this request has asked for a permit, or empty. */
+  /** The upstream whose permit this request has requested, or empty. */
   UpstreamId mUpstream;
-  /** Set where some that could take the request have reached their limits, and
-   * no other can: when there may be room. */
+  /** Set if all suitable upstreams have reached their rate limits: the time
+   * until there may be capacity. */
   std::optional<Millis> mCapacityIn;
 };
 
-/** An attempt at an upstream, to be handed back when it ends. */
+/** An attempt at an upstream, to be passed to OnEnded() when it ends. */
 struct PlacedAttempt
 {
   UpstreamId mUpstream;
-  /** The start of the upstream that it was meant for. */
+  /** The upstream's incarnation to which the attempt is sent. */
   uint64_t mIncarnationNumber = 0;
   RequestFingerprint mFingerprint;
   std::string mService;
   std::string mRoute;
   std::string mAddress;
   AttemptWork mWork;
-  /** What the engine had to read, as it was known when this was sent. */
+  /** The engine's prefill backlog, as known when the attempt was sent. */
   PrefillBacklog mPrefillBacklog;
-  /** Empty, or the address of an upstream that holds more of the prompt. */
+  /** Of an upstream that has more of the prompt cached, or empty. */
   std::string mHolderAddress;
-  /** Empty, or an upstream that keeps a copy of the running request. */
+  /** The upstream that keeps a copy of the running request, or empty. */
   UpstreamId mBackup;
   uint64_t mBackupIncarnationNumber = 0;
   std::string mBackupAddress;
-  /** Empty, or the address of the upstream that ran the request before and
-   * left a copy of it at this one. */
+  /** Of the upstream that ran the request before and left a copy of it at this
+   * one, or empty. */
   std::string mCopySourceAddress;
   Millis mSentAt;
   Millis mStartedAt;
   bool mStarted = false;
-  /** Whether a whole answer clears its request of the suspicion that it crashes
+  /** Whether a complete response proves that the request doesn't crash
    * upstreams. */
   bool mProvesHarmless = true;
 };
 
-/** An upstream's process that ended with requests under way. */
+/** An upstream process that ended with requests in progress. */
 struct UpstreamCrash
 {
   UpstreamIncarnation mIncarnation;
-  /** What showed it. */
+  /** The event that revealed the crash. */
   const char* mReason = "";
-  /** The requests of this entry that broke with it. */
+  /** The requests of this entry that were in progress. */
   std::vector<RequestFingerprint> mSuspects;
 };
 
-/** How an attempt ended. */
 enum class AttemptOutcome : uint8_t
 {
-  Good,        /**< a whole answer */
-  Refused,     /**< the upstream said that it did not run */
-  Failed,      /**< the upstream answered with a failure of its own */
+  Good,        /**< a complete response */
+  Refused,     /**< the upstream reported that it did not run */
+  Failed,      /**< the upstream responded with an error of its own */
   Unreachable, /**< no connection; nothing was sent */
-  Broken,      /**< the connection broke, or what came was no answer */
-  Withdrawn,   /**< we ended it: the caller left or the time was up */
+  Broken,      /**< the connection broke, or the response was invalid */
+  Withdrawn,   /**< ended by the gate: the caller left or the time was up */
 };
 
 /**
- * All of an entry's decisions about requests that go straight to upstreams:
- * which route, workspace and upstream, how fresh the policy has to be, and
- * what may be tried again. Single-threaded and free of I/O.
+ * Makes an entry's decisions about requests to upstreams: route, workspace and
+ * upstream, how recent the policy must be, and which requests may be retried.
+ * Single-threaded and free of I/O.
  */
 class DirectRouter
 {
 public:
   explicit DirectRouter(DirectRouterOptions aOptions);
 
-  /** Takes a policy; an older version than the current one is ignored. */
+  /** Ignores a policy that is not newer than the current one. */
   bool SetPolicy(std::shared_ptr<const RoutePolicy> aPolicy);
-  /** The current policy was the newest at that instant. */
+  /** The current policy was the newest at that time. */
   void ConfirmPolicy(Millis aAt) { mPolicyFreshness.Confirm(aAt); }
-  /** Null before the first. */
+  /** Null before the first policy. */
   const std::shared_ptr<const RouteIndex>& Index() const { return mIndex; }
   const Freshness& PolicyFreshness() const { return mPolicyFreshness; }
-  /** The list of upstreams was the newest at that instant. */
+  /** The list of upstreams was the newest at that time. */
   void ConfirmList(Millis aAt) { mListFreshness.Confirm(aAt); }
   const Freshness& ListFreshness() const { return mListFreshness; }
 
   UpstreamDirectory& Directory() { return mDirectory; }
   const UpstreamDirectory& Directory() const { return mDirectory; }
   /**
-   * To be called after each change of the directory. Returns the upstreams
-   * that have started again under their ids: whatever was known of them is
-   * forgotten.
+   * Must be called after each change of the directory. Returns the upstreams
+   * that have restarted under their ids and discards their state.
    */
   std::vector<UpstreamId> OnDirectoryChanged(Millis aNow);
 
   /**
-   * Fails with PolicyUnknown, PolicyStale, UnknownRoute, BadToken, or Shed
-   * where the request would start too late.
+   * Fails with PolicyUnknown, PolicyStale, UnknownRoute, BadToken, or with Shed
+   * if the request would start too late.
    */
-  Result<BoundRequest> Bind(const RequestAttributes& aFacts, Millis aNow);
+  Result<BoundRequest> Bind(const RequestAttributes& aAttributes, Millis aNow);
 
-  /** Whether its key may still be honoured; to be asked before each send. */
+  /** Whether its key is still valid; must be checked before each send. */
   bool StillAllowed(const BoundRequest& aRequest, Millis aNow) const;
 
-  /** Whether the upstream that was chosen is still there and takes requests. */
+  /** Whether the chosen upstream is still listed and accepts requests. */
   bool TakesWork(const PlacedAttempt& aAttempt) const;
 
-  /** Chooses an upstream and counts the attempt, or says there is none: at
-   * all, or before a permit comes that aWait tells of. */
+  /** Chooses an upstream and counts the attempt. Empty if there is no upstream,
+   * or none before the permit in aWait arrives. */
   std::optional<PlacedAttempt> Place(const BoundRequest& aRequest,
                                      const std::set<UpstreamId>& aTried,
                                      PermitWait& aWait,
                                      Millis aNow);
-  /** The same, waiting for nothing. */
+  /** The same without waiting for a permit. */
   std::optional<PlacedAttempt> Place(const BoundRequest& aRequest,
                                      const std::set<UpstreamId>& aTried,
                                      Millis aNow);
 
   /**
-   * Sends the request on to the upstream that keeps a copy of it, if that is
-   * still there; the copy counts as the same run.
+   * Sends the request to the upstream that keeps a copy of it, if still
+   * available. The copy counts as the same run.
    */
   std::optional<PlacedAttempt> PlaceAtBackup(const BoundRequest& aRequest,
                                              const PlacedAttempt& aBroken,
                                              Millis aNow);
 
-  /** Whether the request may be run, which has waited for so long, or would
-   * crash who runs it. */
+  /** Whether a request that was held for aWaited may run, must wait, or is
+   * rejected since it would crash its upstream. */
   QuarantineVerdict Admit(const BoundRequest& aRequest,
                           Millis aWaited,
                           Millis aNow)
   {
     return mQuarantine.Admit(aRequest.mFingerprint, aWaited, aNow);
   }
-  /** Whether it is being found out if the attempt's upstream has crashed. */
+  /** Whether it is not yet known if the attempt's upstream has crashed. */
   bool IsCrashSuspected(const PlacedAttempt& aAttempt) const;
-  /** Somebody listens at the upstream's address. */
+  /** A connection to the upstream's address was accepted. */
   void OnListening(const UpstreamId& aUpstream);
-  /** The attempt's connection ended before its answer was whole. True where
-   * it is to be found out whether the upstream still listens. */
+  /** The attempt's connection ended before its response was complete. True if
+   * the caller must check whether the upstream still listens. */
   bool OnConnectionLost(const PlacedAttempt& aAttempt, Millis aNow);
-  /** Nobody listens at the upstream's address. */
+  /** A connection to the upstream's address was refused. */
   void OnConnectionRefused(const UpstreamId& aUpstream, Millis aNow);
-  /** What is to be told of crashes; see Quarantine::TakeUpdates(). */
+  /** The crash updates for peers; see Quarantine::TakeUpdates(). */
   std::vector<CrashUpdate> TakeCrashUpdates(bool aAgain, Millis aNow)
   {
     return mQuarantine.TakeUpdates(aAgain, aNow);
   }
-  void OnCrashUpdate(const CrashUpdate& aNews, Millis aNow);
-  /** A few times a second. */
+  void OnCrashUpdate(const CrashUpdate& aUpdate, Millis aNow);
+  /** Must be called a few times a second. */
   void TickCrashes(Millis aNow);
-  /** Crashes since this was last asked, for the log. */
+  /** Crashes since the last call, for the log. */
   std::vector<UpstreamCrash> TakeCrashes();
   uint64_t Crashes() const { return mCrashCount; }
   const Quarantine& CrashQuarantine() const { return mQuarantine; }
   Quarantine& CrashQuarantine() { return mQuarantine; }
 
-  /** Takes a second attempt from the service's budget. */
   bool TakeRetry(const std::string& aService);
-  /** A service's retries that are left. */
   double RetriesLeft(const std::string& aService) const;
-  /** The same of all services that were asked for. */
+  /** Of all services that had requests. */
   const std::unordered_map<std::string, double>& RetriesLeft() const
   {
     return mRetries.All();
@@ -284,31 +277,32 @@
     mRetries.SetOptions(aOptions);
   }
   /** See DirectRouterOptions::mKeyPolicyMaxAge. */
-  void SetKeyPolicyMaxAge(Millis aSpan) { mOptions.mKeyPolicyMaxAge = aSpan; }
+  void SetKeyPolicyMaxAge(Millis aMaxAge)
+  {
+    mOptions.mKeyPolicyMaxAge = aMaxAge;
+  }
 
-  /** Any byte came. */
   void OnBytesReceived(const PlacedAttempt& aAttempt, Millis aNow);
-  /** The first byte of the answer's content came. */
+  /** The first byte of the response's content was received. */
   void OnStarted(PlacedAttempt& aAttempt, Millis aNow);
   void OnReport(const PlacedAttempt& aAttempt,
                 const ReportedLoad& aLoad,
                 Millis aNow);
-  /** The answer's head came; it names that rate limit, or none. */
+  /** The response's head named that rate limit, or none. */
   void OnRateLimit(const PlacedAttempt& aAttempt,
                    const std::optional<NamedLimit>& aLimit,
                    Millis aNow);
   const UpstreamLimits& Limits() const { return mLimits; }
-  /** Where entries ask each other for permits: this one's address and all
-   * others'. */
+  /** The addresses of the entries that exchange permit requests. */
   void SetPermitEntries(std::string aOwn, std::vector<std::string> aOthers)
   {
     mPermits.SetEntries(std::move(aOwn), std::move(aOthers));
   }
-  /** This entry has just joined others. */
+  /** This entry has just joined the fleet. */
   void JoinPermitIssuers(Millis aNow) { mIssuer.Join(aNow); }
-  /** Another entry, or this one, asks for a permit; empty: no answer. */
+  /** Handles a permit request of another entry or this one; empty: no reply. */
   std::optional<PermitReply> OnPermitRequest(const std::string& aFrom,
-                                             const PermitRequest& aAsk,
+                                             const PermitRequest& aRequest,
                                              Millis aNow);
   void OnPermitReply(const PermitReply& aReply, Millis aNow)
   {
@@ -318,27 +312,27 @@
                AttemptOutcome aOutcome,
                Millis aNow);
 
-  /** A part of a stream came so long after the one before. */
+  /** An event of a stream was received aPause after the previous one. */
   void OnPause(const PlacedAttempt& aAttempt, Millis aPause, Millis aNow);
 
-  /** Something is to be told that other entries do not know yet. */
+  /** Whether there is state that peers haven't received yet. */
   bool HasPeerUpdate() const { return mHasPeerUpdate; }
-  /** What is to be told, whole; it is told then. */
+  /** All state that peers need; marks it as sent. */
   PeerUpdate TakePeerUpdate(Millis aNow);
-  /** What another entry tells. */
-  void OnPeerUpdate(const PeerUpdate& aNotes, Millis aNow);
-  /** Entries that were heard lately. */
+  void OnPeerUpdate(const PeerUpdate& aUpdate, Millis aNow);
+  /** Entries that have sent an update recently. */
   size_t Peers() const { return mPeers.Peers(); }
-  /** How many entries there are, this one included. */
+  /** The number of entries, this one included. */
   void SetEntries(size_t aEntries) { mEntries = aEntries; }
-  /** Whether there are entries that this one does not tell. */
+  /** Whether there are entries to which this one doesn't send directly. */
   void SetRelays(bool aRelays) { mQuarantine.SetRelays(aRelays); }
 
   uint64_t Ejections() const { return mOutliers.Ejections(); }
   OutlierState StateOf(const UpstreamId& aUpstream, Millis aNow) const;
-  /** How many listed upstreams are "ready", "ejected" and "draining". */
+  /** Number of listed upstreams by state: "ready", "ejected", "unlisted",
+   * "draining". */
   std::map<std::string, uint32_t> UpstreamsByState(Millis aNow) const;
-  /** Open attempts and the belief about each upstream, as JSON text. */
+  /** Open attempts and the known state of each upstream, as JSON text. */
   std::string DumpState(Millis aNow) const;
   /** The policy's version and each upstream with its state and load. */
   nlohmann::json Status(Millis aNow) const;
@@ -353,7 +347,7 @@
     UpstreamIncarnation mIncarnation;
     bool mListed = false;
     bool mLeaving = false;
-    /** It is slow until then, after its start. */
+    /** End of its slow phase after its start. */
     Millis mColdUntil;
   };
   struct TimedReport
@@ -363,16 +357,16 @@
   };
   using Candidates = std::vector<PlacementCandidate>;
 
-  /** The upstream as the attempt knew it, or null where that start is over. */
+  /** Null if the attempt's incarnation has ended. */
   TrackedUpstream* FindTracked(const PlacedAttempt& aAttempt);
-  /** That process is over, for that reason. */
-  void OnIncarnationEnded(const UpstreamIncarnation& aStart,
-                          const char* aWhy,
+  void OnIncarnationEnded(const UpstreamIncarnation& aIncarnation,
+                          const char* aReason,
                           Millis aNow);
   void TakeCrash(UpstreamCrash aCrash, Millis aNow);
   void ReportLimitChanges();
   void ForgetLimit(const UpstreamId& aUpstream);
-  /** Takes what is needed to send there now: true where it may be sent. */
+  /** Takes what is needed to send there now. True if the request may be
+   * sent. */
   bool TakePermit(const UpstreamId& aUpstream, uint8_t aUrgency, Millis aNow);
   void SendPermitRequest(const UpstreamId& aUpstream,
                          uint8_t aUrgency,
@@ -382,16 +376,16 @@
                      uint8_t aUrgency,
                      const PermitWait& aWait,
                      Millis aNow);
-  /** When there may be room at an upstream that names a limit; empty where
+  /** The time until an upstream with a rate limit may have capacity; empty if
    * there is none that could take the request. */
   std::optional<Millis> CapacityIn(const BoundRequest& aRequest,
                                    const std::set<UpstreamId>& aTried,
                                    Millis aNow);
   void RecordAttempt(const BoundRequest& aRequest, Millis aNow);
-  /** Another process has taken the upstream's place. */
+  /** Another process has replaced the upstream's. */
   void ForgetIncarnation(const UpstreamId& aUpstream,
                          TrackedUpstream& aTracked);
-  /** Its results give no reason to avoid it. */
+  /** Whether the upstream's results give no reason to avoid it. */
   bool IsHealthy(const UpstreamId& aUpstream, Millis aNow) const;
   const char* StateName(const ListedUpstream& aListed, Millis aNow) const;
   const std::string& ServiceFor(const Route& aRoute);
@@ -400,37 +394,38 @@
                            const PermitWait& aWait,
                            Millis aNow);
   PlacedAttempt Send(const BoundRequest& aRequest,
-                     const PlacementChoice& aPlaced,
+                     const PlacementChoice& aChoice,
                      const Candidates& aCandidates,
                      Millis aNow);
-  /** How many times what entries that are heard tell the whole is. */
+  /** Factor from the demand that peers have reported to the total demand. */
   double DemandScale() const;
   /**
-   * No entry's word is missing. What engines reported to others is news only
-   * together with all that was sent there since: a hundred entries that went
-   * by a part of it, late, all sent to the same engines. In an overload of
-   * slots the most urgent route earned 0.63 of its credit with such reports and
-   * with failures told, and 0.80 with neither (one run each).
+   * Whether all entries send updates. Load reports from peers are used only
+   * together with all requests sent since. With only some of these, and late, a
+   * hundred entries all sent to the same engines. In an overload of slots the
+   * most urgent route earned 0.63 of its credit with such reports and with
+   * failures reported, and 0.80 with neither (one run each).
    */
-  bool AllHeard() const;
-  /** Who is silent to others, and who is not. */
-  void TakeSilence(const PeerUpdate& aNotes, Millis aNow);
-  /** What is sent where, for this entry's memory and for the others. */
-  void TakeNote(const PromptShape& aPrompt,
-                const PlacementChoice& aPlaced,
-                Millis aNow);
-  EngineInfo FactsOf(const BoundRequest& aRequest, Millis aNow) const;
-  /** When a request that finds no room is to come back: after aLeast and by
-   * chance up to aSpread later, so that those that are refused together do not
-   * come back together, but while its caller still waits for it. */
-  Millis ReturnIn(const BoundRequest& aRequest, Millis aLeast, Millis aSpread);
-  /** Why the request should come back later, or empty: when. */
+  bool AllPeersReporting() const;
+  /** Applies which upstreams are silent to the peer, and which respond. */
+  void ApplyPeerSilence(const PeerUpdate& aUpdate, Millis aNow);
+  /** Records a sent prompt in the prefix caches and for the next update. */
+  void RecordSentPrompt(const PromptShape& aPrompt,
+                        const PlacementChoice& aChoice,
+                        Millis aNow);
+  EngineInfo EngineInfoFor(const BoundRequest& aRequest, Millis aNow) const;
+  /** The retry delay of a rejected request: aMin plus a random part of aJitter,
+   * so that requests rejected together aren't retried together, but within the
+   * caller's timeout. */
+  Millis ReturnIn(const BoundRequest& aRequest, Millis aMin, Millis aJitter);
+  /** The retry delay if the request would start too late, or empty. */
   std::optional<Millis> Overload(const BoundRequest& aRequest, Millis aNow);
   StartForecast ForecastFor(const BoundRequest& aRequest, Millis aNow);
-  /** The upstream, if something may be fetched from it, or null. */
+  /** The upstream, if it can be fetched from, or null. */
   const ListedUpstream* HolderAt(const UpstreamId& aHolder, Millis aNow) const;
   uint32_t ConnectionsFor(const BoundRequest& aRequest) const;
-  /** An upstream that may keep a copy, where a copy is worth its price. */
+  /** An upstream that can keep a copy, or null if a copy isn't worth its
+   * cost. */
   const ListedUpstream* BackupFor(const BoundRequest& aRequest,
                                   const Candidates& aCandidates,
                                   const UpstreamId& aChosen) const;
@@ -450,31 +445,31 @@
   PermitIssuer mIssuer;
   OutlierDetector mOutliers;
   WorkPlacement mPlacement;
-  EngineModel mEngines;
+  EngineModel mEngineModel;
   PauseRecord mPauses;
   EngineAdmission mEngineAdmission;
-  DedicatedPools mLanes;
+  DedicatedPools mPools;
   SharedSegmentDetector mSharedSegments;
   /** By route. */
-  std::unordered_map<std::string, StartMeter> mMeters;
+  std::unordered_map<std::string, StartMeter> mStartMeters;
   PeerWork mPeers;
   size_t mEntries = 1;
-  /** Requests with a prompt that come to this entry, by service. */
-  std::unordered_map<std::string, ArrivalRate> mArrivals;
+  /** Arrivals of requests with a prompt at this entry, by service. */
+  std::unordered_map<std::string, ArrivalRate> mArrivalRates;
   bool mHasPeerUpdate = false;
   std::vector<SentPrompt> mSent;
-  /** Reports that were not told yet, with the instant at which they came. */
+  /** Reports not yet sent to peers, with their time of arrival. */
   std::unordered_map<UpstreamId, TimedReport> mReports;
-  /** Upstreams that have answered, to be told. */
+  /** Upstreams that have responded, for the next update to peers. */
   std::set<UpstreamId> mAnswered;
-  uint64_t mNotes = 0;
-  /** Tells this process from the next of its name. */
+  uint64_t mUpdateSequence = 0;
+  /** Distinguishes this process from its successors of the same name. */
   uint64_t mProcess = 0;
   TierGuard mTiers;
   RetryBudget mRetries;
   std::mt19937_64 mRandom;
-  /** Whether a request that may run once only tries an upstream that had been
-   * failing: rarely, but where no others come nobody else would. */
+  /** Whether a request that may run only once probes an upstream: rarely, but
+   * if there are no other requests nothing else would probe it. */
   std::bernoulli_distribution mProbeProbability{ 0.2 };
 };
 
--- a/src/libtrefoilarch/engineadmission.cpp
+++ b/src/libtrefoilarch/engineadmission.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Sooner than this the same queue would still stand there. */
-constexpr double kLeastReturnMs = 250;
-constexpr double kLongestReturnMs = 2500;
+/** After a shorter delay the same queue would still be there. */
+constexpr double kMinRetryAfterMs = 250;
+constexpr double kMaxRetryAfterMs = 2500;
 
 } // namespace
 
@@ -19,22 +19,23 @@
 
 std::optional<Millis>
 EngineAdmission::Refuse(const StartForecast& aForecast,
-                        const StartRequirements& aTerms) const
+                        const StartRequirements& aRequirements) const
 {
-  const Millis judged = std::max(aTerms.mTarget, mOptions.mMinTarget);
-  const double mostWait = mOptions.mMaxWaitShare * aTerms.mPriorityWeight *
-                          static_cast<double>(judged.Count());
-  const double mostEnd = mOptions.mMaxTimeShare * aTerms.mPriorityWeight *
-                         static_cast<double>(aTerms.mLimit.Count());
-  const double most =
-    std::min(mostWait, mostEnd - aForecast.mPrefillMs - aForecast.mAnswerMs);
-  // Where nothing waits, to come back later changes nothing.
-  if (aForecast.mWaitMs <= std::max(0.0, most)) {
+  const Millis target = std::max(aRequirements.mTarget, mOptions.mMinTarget);
+  const double maxWait = mOptions.mMaxWaitShare *
+                         aRequirements.mPriorityWeight *
+                         static_cast<double>(target.Count());
+  const double maxEnd = mOptions.mMaxTimeShare * aRequirements.mPriorityWeight *
+                        static_cast<double>(aRequirements.mLimit.Count());
+  const double limit =
+    std::min(maxWait, maxEnd - aForecast.mPrefillMs - aForecast.mAnswerMs);
+  // If nothing is queued, a later retry changes nothing.
+  if (aForecast.mWaitMs <= std::max(0.0, limit)) {
     return std::nullopt;
   }
-  const double over = aForecast.mWaitMs - std::max(0.0, most);
-  return Millis(
-    static_cast<int64_t>(std::clamp(over, kLeastReturnMs, kLongestReturnMs)));
+  const double excess = aForecast.mWaitMs - std::max(0.0, limit);
+  return Millis(static_cast<int64_t>(
+    std::clamp(excess, kMinRetryAfterMs, kMaxRetryAfterMs)));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/engineadmission.h
+++ b/src/libtrefoilarch/engineadmission.h
@@ -6,57 +6,57 @@
 
 namespace trefoilarch {
 
-/** When a request is refused rather than taken too late. */
 struct EngineAdmissionOptions
 {
-  /** A wait of more than this many times the target is too long. At 0.5 and
-   * 0.9 the mean worth of days with trouble was 0.766 and 0.770 at 18 engines
-   * (three runs each), 0.662 and 0.635 at 56, 0.592 and 0.551 at 40 that were
-   * overloaded throughout (one run each)... */
+  /** Maximum wait as a share of the target. At 0.5 and 0.9 the mean score of
+   * days with failures was 0.766 and 0.770 at 18 engines (three runs each),
+   * 0.662 and 0.635 at 56, and 0.592 and 0.551 at 40 that were overloaded
+   * throughout (one run each). */
   double mMaxWaitShare = 0.5;
-  /** ...where a target below this is judged as if it were this: a request that
-   * comes back after a refusal is no sooner. */
+  /** A lower target is raised to this: a request that is retried after a
+   * rejection doesn't start any sooner. */
   Millis mMinTarget{ 800 };
-  /** An answer whose expected end takes more than this share of the time that
-   * its caller has is too late as well. */
+  /** Maximum share of the caller's timeout after which the response is expected
+   * to end. */
   double mMaxTimeShare = 0.9;
 };
 
-/** What a request would get at the engine that it would be sent to. */
+/** The expected times of a request at the engine to which it would be sent. */
 struct StartForecast
 {
-  /** Until its own prompt's turn, in milliseconds. */
+  /** Until its own prefill starts, in milliseconds. */
   double mWaitMs = 0;
-  /** From there to its first token: a long prompt is no overload. */
+  /** From there to its first token, in milliseconds. A long prompt is no
+   * overload. */
   double mPrefillMs = 0;
-  /** From there to its end, as answers of its route take on average. */
+  /** From there to the end of the response, by the mean of its route. */
   double mAnswerMs = 0;
 };
 
-/** What a request is owed. */
+/** The limits that a request must meet. */
 struct StartRequirements
 {
   Millis mTarget;
-  /** The time that its caller has. */
+  /** The caller's timeout. */
   Millis mLimit;
   /** Above 1 for the more urgent. */
   double mPriorityWeight = 1;
 };
 
 /**
- * Refuses requests that engines could not begin or end in time. It answers
- * a load that stands in front of every engine: while one of them is free,
- * nothing is refused, however many requests come.
+ * Rejects requests that engines could not start or finish in time. It reacts to
+ * a load that all engines have queued: while one of them is free nothing is
+ * rejected, whatever the request rate is.
  */
 class EngineAdmission
 {
 public:
   explicit EngineAdmission(EngineAdmissionOptions aOptions = {});
 
-  /** When to come back, where the request can't be taken: about when the wait
-   * will have become short enough. */
+  /** Returns the retry delay if the request can't be accepted: the time after
+   * which the wait is expected to be short enough. */
   std::optional<Millis> Refuse(const StartForecast& aForecast,
-                               const StartRequirements& aTerms) const;
+                               const StartRequirements& aRequirements) const;
 
 private:
   EngineAdmissionOptions mOptions;
--- a/src/libtrefoilarch/enginemodel.cpp
+++ b/src/libtrefoilarch/enginemodel.cpp
@@ -7,25 +7,25 @@
 
 namespace {
 
-/** Weight of an engine's newest sample: four make most of its factor. */
-constexpr double kNewest = 0.3;
+/** Weight of an engine's newest sample: four determine most of its factor. */
+constexpr double kNewestWeight = 0.3;
 
-/** An engine's factor fades by this time constant while it is not asked. */
-constexpr double kFadeMs = 6000;
+/** Time constant by which an unused engine's factor decays to 1. */
+constexpr double kDecayMs = 6000;
 
-/** Under load a sound engine's waits are off by as much, by what was logged of
- * single days; what the threshold gains was not measured by itself. */
-constexpr double kTelling = 3;
+/** Under load the waits of a healthy engine vary by up to this factor, as logs
+ * of single days show. Its effect by itself was not measured. */
+constexpr double kMinReportedSlowness = 3;
 
-constexpr double kLeastSlowness = 0.5;
-constexpr double kMostSlowness = 8;
+constexpr double kMinSlowness = 0.5;
+constexpr double kMaxSlowness = 8;
 
-/** The shortest wait rises by this share with each sample, so that one lucky
- * answer does not hold for ever. */
-constexpr double kLeastWaitRise = 0.002;
+/** The minimum wait rises by this share with each sample, so that one unusually
+ * fast response doesn't fix it forever. */
+constexpr double kMinWaitRise = 0.002;
 
-/** Waits of some milliseconds are mostly chance. */
-constexpr double kLeastReadingMs = 1;
+/** Waits of a few milliseconds are mostly noise. */
+constexpr double kMinPrefillMs = 1;
 
 } // namespace
 
@@ -37,57 +37,58 @@
 void
 EngineModel::OnStarted(const std::string& aService,
                        const UpstreamId& aEngine,
-                       const PrefillBacklog& aReads,
+                       const PrefillBacklog& aBacklog,
                        Millis aWait,
                        Millis aNow)
 {
   Service& service = mServices[aService];
   const auto wait = static_cast<double>(aWait.Count());
-  if (aReads.mAhead < mOptions.mMinTokens) {
-    // The shortest wait of prompts that take no time to read is what is left.
-    SeeLeast(service, wait);
+  if (aBacklog.mAhead < mOptions.mMinTokens) {
+    // The wait of a prompt with almost no prefill is the minimum wait.
+    UpdateMinWait(service, wait);
   }
-  const double expected = PrefillMs(aService, aReads);
-  const double reading = std::max(wait - service.mLeastWait, kLeastReadingMs);
-  if (aReads.mAhead >= mOptions.mMinTokens) {
-    const double taken = std::clamp(reading,
-                                    expected / mOptions.mMaxDeviationFactor,
-                                    expected * mOptions.mMaxDeviationFactor);
-    // Each sample weighs by its wait: one of a second is off by more than one
-    // of a tenth.
-    const auto ahead = static_cast<double>(aReads.mAhead);
-    const auto behind = static_cast<double>(aReads.mBehind);
-    const double weight = 1 / std::max(taken, kLeastReadingMs);
-    const double kept = mOptions.mDecay;
-    service.mAheadAhead = service.mAheadAhead * kept + ahead * ahead * weight;
+  const double expected = PrefillMs(aService, aBacklog);
+  const double prefill = std::max(wait - service.mMinWait, kMinPrefillMs);
+  if (aBacklog.mAhead >= mOptions.mMinTokens) {
+    const double sample = std::clamp(prefill,
+                                     expected / mOptions.mMaxDeviationFactor,
+                                     expected * mOptions.mMaxDeviationFactor);
+    // Weighted by the inverse of the wait: the error of a wait of a second is
+    // larger than that of a tenth.
+    const auto ahead = static_cast<double>(aBacklog.mAhead);
+    const auto behind = static_cast<double>(aBacklog.mBehind);
+    const double weight = 1 / std::max(sample, kMinPrefillMs);
+    const double decay = mOptions.mDecay;
+    service.mAheadAhead = service.mAheadAhead * decay + ahead * ahead * weight;
     service.mAheadBehind =
-      service.mAheadBehind * kept + ahead * behind * weight;
+      service.mAheadBehind * decay + ahead * behind * weight;
     service.mBehindBehind =
-      service.mBehindBehind * kept + behind * behind * weight;
-    service.mAheadWait = service.mAheadWait * kept + ahead * taken * weight;
-    service.mBehindWait = service.mBehindWait * kept + behind * taken * weight;
+      service.mBehindBehind * decay + behind * behind * weight;
+    service.mAheadWait = service.mAheadWait * decay + ahead * sample * weight;
+    service.mBehindWait =
+      service.mBehindWait * decay + behind * sample * weight;
   }
-  const double usual = service.mLeastWait + expected;
+  const double expectedWait = service.mMinWait + expected;
   const double slowness = std::clamp(
-    wait / std::max(usual, kLeastReadingMs), kLeastSlowness, kMostSlowness);
-  const auto place = mEngines.find(aEngine);
-  const double before =
-    place == mEngines.end() ? 1 : Faded(place->second, aNow);
-  mEngines[aEngine] = { .mSlowness = before + kNewest * (slowness - before),
+    wait / std::max(expectedWait, kMinPrefillMs), kMinSlowness, kMaxSlowness);
+  const auto it = mEngines.find(aEngine);
+  const double previous = it == mEngines.end() ? 1 : Decayed(it->second, aNow);
+  mEngines[aEngine] = { .mSlowness =
+                          previous + kNewestWeight * (slowness - previous),
                         .mAt = aNow };
 }
 
 void
-EngineModel::OnEnded(const std::string& aService, Millis aTook)
+EngineModel::OnEnded(const std::string& aService, Millis aDuration)
 {
-  mServices[aService].mAnswerMs.Add(static_cast<double>(aTook.Count()));
+  mServices[aService].mAnswerMs.Add(static_cast<double>(aDuration.Count()));
 }
 
 double
 EngineModel::AnswerMs(const std::string& aService) const
 {
-  const auto place = mServices.find(aService);
-  return place == mServices.end() ? 0 : place->second.mAnswerMs.Value();
+  const auto it = mServices.find(aService);
+  return it == mServices.end() ? 0 : it->second.mAnswerMs.Value();
 }
 
 EngineModel::Costs
@@ -96,25 +97,25 @@
   const Costs prior{ .mAhead = 1 / mOptions.mPriorPrefillPerMs,
                      .mBehind = mOptions.mPriorBehindCost /
                                 mOptions.mPriorPrefillPerMs };
-  const auto place = mServices.find(aService);
-  if (place == mServices.end()) {
+  const auto it = mServices.find(aService);
+  if (it == mServices.end()) {
     return prior;
   }
-  const Service& seen = place->second;
-  // The prior is one more sample of each kind.
+  const Service& sums = it->second;
+  // The prior counts as one more sample of each kind.
   const double weight = mOptions.mPriorTokens * mOptions.mPriorPrefillPerMs;
-  const double aa = seen.mAheadAhead + weight;
-  const double bb = seen.mBehindBehind + weight;
-  const double ab = seen.mAheadBehind;
-  const double aw = seen.mAheadWait + weight * prior.mAhead;
-  const double bw = seen.mBehindWait + weight * prior.mBehind;
+  const double aa = sums.mAheadAhead + weight;
+  const double bb = sums.mBehindBehind + weight;
+  const double ab = sums.mAheadBehind;
+  const double aw = sums.mAheadWait + weight * prior.mAhead;
+  const double bw = sums.mBehindWait + weight * prior.mBehind;
   const double determinant = aa * bb - ab * ab;
   const double ahead = (aw * bb - bw * ab) / determinant;
   const double behind = (bw * aa - aw * ab) / determinant;
   if (behind >= 0 && ahead >= behind) {
     return { .mAhead = ahead, .mBehind = behind };
   }
-  // Neither can a less urgent token help, nor cost more than one before it.
+  // A less urgent token can't cost less than nothing or more than one ahead.
   const double together = (aw + bw) / (aa + bb + 2 * ab);
   return behind < 0 ? Costs{ .mAhead = aw / aa, .mBehind = 0 }
                     : Costs{ .mAhead = together, .mBehind = together };
@@ -128,48 +129,47 @@
 
 double
 EngineModel::PrefillMs(const std::string& aService,
-                       const PrefillBacklog& aReads) const
+                       const PrefillBacklog& aBacklog) const
 {
   const Costs costs = CostsOf(aService);
-  return static_cast<double>(aReads.mAhead) * costs.mAhead +
-         static_cast<double>(aReads.mBehind) * costs.mBehind;
+  return static_cast<double>(aBacklog.mAhead) * costs.mAhead +
+         static_cast<double>(aBacklog.mBehind) * costs.mBehind;
 }
 
 double
 EngineModel::MinWaitMs(const std::string& aService) const
 {
-  const auto place = mServices.find(aService);
-  return place == mServices.end() ? 0 : place->second.mLeastWait;
+  const auto it = mServices.find(aService);
+  return it == mServices.end() ? 0 : it->second.mMinWait;
 }
 
 double
 EngineModel::Slowness(const UpstreamId& aEngine, Millis aNow) const
 {
-  const auto place = mEngines.find(aEngine);
-  if (place == mEngines.end()) {
+  const auto it = mEngines.find(aEngine);
+  if (it == mEngines.end()) {
     return 1;
   }
-  const double slowness = Faded(place->second, aNow);
-  return slowness < kTelling ? 1 : slowness;
+  const double slowness = Decayed(it->second, aNow);
+  return slowness < kMinReportedSlowness ? 1 : slowness;
 }
 
 double
-EngineModel::Faded(const Engine& aEngine, Millis aNow)
+EngineModel::Decayed(const Engine& aEngine, Millis aNow)
 {
   const auto idle = static_cast<double>((aNow - aEngine.mAt).Count());
-  return 1 + (aEngine.mSlowness - 1) * std::exp(-idle / kFadeMs);
+  return 1 + (aEngine.mSlowness - 1) * std::exp(-idle / kDecayMs);
 }
 
 void
-EngineModel::SeeLeast(Service& aService, double aWait)
+EngineModel::UpdateMinWait(Service& aService, double aWait)
 {
-  if (!aService.mSeen) {
-    aService.mSeen = true;
-    aService.mLeastWait = aWait;
+  if (!aService.mHasMinWait) {
+    aService.mHasMinWait = true;
+    aService.mMinWait = aWait;
     return;
   }
-  aService.mLeastWait =
-    std::min(aWait, aService.mLeastWait * (1 + kLeastWaitRise));
+  aService.mMinWait = std::min(aWait, aService.mMinWait * (1 + kMinWaitRise));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/enginemodel.h
+++ b/src/libtrefoilarch/enginemodel.h
@@ -10,94 +10,96 @@
 
 namespace trefoilarch {
 
-/** Prompt tokens that an engine has to read around an answer's start. */
+/** Prompt tokens that an engine must prefill before or around the start of a
+ * response. */
 struct PrefillBacklog
 {
-  /** Before it, its own prompt included. */
+  /** Tokens ahead of the response, its own prompt included. */
   uint64_t mAhead = 0;
-  /** Of less urgent prompts: an engine that has begun them may go on. */
+  /** Tokens of less urgent prompts: an engine may finish those that it has
+   * started. */
   uint64_t mBehind = 0;
 
   bool operator==(const PrefillBacklog&) const = default;
 };
 
-/** What an EngineModel starts from. */
+/** Settings and priors of an EngineModel. */
 struct EngineModelOptions
 {
-  /** Prompt tokens that an engine reads in a millisecond: a start only, which
-   * weighs as much as one prompt of mPriorTokens that was observed. */
+  /** Prior of the prompt tokens that an engine prefills in a millisecond. It
+   * weighs as much as one observed prompt of mPriorTokens. */
   double mPriorPrefillPerMs = 60;
   double mPriorTokens = 8000;
-  /** What a less urgent token holds an answer up, beside one that is before
-   * it: a start as well. */
+  /** Prior of the cost of a less urgent token, relative to a token ahead. */
   double mPriorBehindCost = 0.2;
-  /** Samples with fewer tokens before the answer say little of reading; they
-   * show how long an answer takes where nothing has to be read. */
+  /** Samples with fewer tokens ahead tell little about the prefill rate. They
+   * show how long a response takes without any prefill. */
   uint64_t mMinTokens = 800;
-  /** The share of what was observed that the next sample leaves standing:
-   * some thirty samples count. */
+  /** Weight that older samples keep with each new one: some thirty samples
+   * count. */
   double mDecay = 0.97;
-  /** One sample may be off by this factor: an engine that stood still must
-   * not be taken for the service's usual speed. */
+  /** Maximum factor between a sample and its expected value: an engine that
+   * stalled must not change the service's usual rate. */
   double mMaxDeviationFactor = 4;
 };
 
 /**
- * What a service's engines do in a millisecond, learnt from how long first
- * tokens take: the wait beyond the shortest one is the reading of the prompts
- * before the answer, its own included, and of less urgent ones as far as the
- * engine does not put them off; both by least squares over what fades. An
- * engine that takes longer than that says is told apart from its peers by a
- * factor of its own.
+ * Learns the prefill rate of a service's engines from the time to first token.
+ * The wait beyond the shortest one is the prefill of the prompts ahead of the
+ * response, its own included, and of less urgent prompts as far as the engine
+ * doesn't defer them. Both costs are fitted by least squares over decaying
+ * sums. An engine that is slower than this predicts gets a factor of its own.
  */
 class EngineModel
 {
 public:
   explicit EngineModel(EngineModelOptions aOptions = {});
 
-  /** An answer began after aWait; so much had to be read at the engine since
-   * the request was sent. */
+  /** A response began after aWait, with that prefill backlog at the engine
+   * since the request was sent. */
   void OnStarted(const std::string& aService,
                  const UpstreamId& aEngine,
-                 const PrefillBacklog& aReads,
+                 const PrefillBacklog& aBacklog,
                  Millis aWait,
                  Millis aNow);
-  /** An answer that began so long ago has ended. */
-  void OnEnded(const std::string& aService, Millis aTook);
+  /** A response that began aDuration ago has ended. */
+  void OnEnded(const std::string& aService, Millis aDuration);
   void Forget(const UpstreamId& aEngine) { mEngines.erase(aEngine); }
 
-  /** Prompt tokens in a millisecond, beside the answers that are under way. */
+  /** Prompt tokens that an engine prefills in a millisecond, beside its running
+   * responses. */
   double PrefillPerMs(const std::string& aService) const;
-  /** How long reading that much takes, in milliseconds. */
+  /** How long the prefill of that backlog takes, in milliseconds. */
   double PrefillMs(const std::string& aService,
-                   const PrefillBacklog& aReads) const;
-  /** How long a first token takes where nothing has to be read. */
+                   const PrefillBacklog& aBacklog) const;
+  /** The time to first token without any prefill, in milliseconds. */
   double MinWaitMs(const std::string& aService) const;
-  /** How long an answer holds a slot on average, in milliseconds; 0: not known
-   * yet. */
+  /** The mean time for which a response holds a slot, in milliseconds; 0 if
+   * unknown. */
   double AnswerMs(const std::string& aService) const;
-  /** How many times as long as its peers the engine takes; 1 where nothing is
-   * known or it is not much slower, and again once it was not asked for
-   * a while. */
+  /** How many times as long as its peers the engine takes. 1 if nothing is
+   * known or it is not much slower, and again after it was unused for a
+   * while. */
   double Slowness(const UpstreamId& aEngine, Millis aNow) const;
 
 private:
-  /** Weight of the newest answer's time, once there were some. */
-  static constexpr double kNewestAnswer = 0.02;
+  /** Weight of the newest response's duration. */
+  static constexpr double kNewestAnswerWeight = 0.02;
 
   struct Service
   {
-    /** Sums of products of tokens ahead, tokens behind and the wait. */
+    /** Weighted sums of products of tokens ahead, tokens behind and the
+     * wait. */
     double mAheadAhead = 0;
     double mAheadBehind = 0;
     double mBehindBehind = 0;
     double mAheadWait = 0;
     double mBehindWait = 0;
-    double mLeastWait = 0;
-    RunningMean mAnswerMs{ kNewestAnswer };
-    bool mSeen = false;
+    double mMinWait = 0;
+    RunningMean mAnswerMs{ kNewestAnswerWeight };
+    bool mHasMinWait = false;
   };
-  /** Milliseconds for a token. */
+  /** Milliseconds per token. */
   struct Costs
   {
     double mAhead = 0;
@@ -109,9 +111,9 @@
     Millis mAt;
   };
 
-  static double Faded(const Engine& aEngine, Millis aNow);
+  static double Decayed(const Engine& aEngine, Millis aNow);
   Costs CostsOf(const std::string& aService) const;
-  static void SeeLeast(Service& aService, double aWait);
+  static void UpdateMinWait(Service& aService, double aWait);
 
   EngineModelOptions mOptions;
   std::unordered_map<std::string, Service> mServices;
--- a/src/libtrefoilarch/loaddump.h
+++ b/src/libtrefoilarch/loaddump.h
@@ -6,7 +6,7 @@
 
 namespace trefoilarch {
 
-/** A load as both cores' state dumps show it. */
+/** A load as in the state dumps of entry and sidecar. */
 nlohmann::json
 Dump(const Load& aLoad);
 
--- a/src/libtrefoilarch/openrequest.h
+++ b/src/libtrefoilarch/openrequest.h
@@ -11,34 +11,34 @@
 
 namespace trefoilarch {
 
-/** One try of a request, as the entry sees it. */
+/** One attempt of a request at an upstream. */
 struct EntryAttempt
 {
   AttemptKey mKey;
   UpstreamId mUpstream;
-  /** The sidecar's incarnation that was offered or sent the attempt. */
+  /** The sidecar's incarnation to which the attempt was offered or sent. */
   uint64_t mIncarnation = 0;
-  /** What it was counted as in the upstream's load. */
+  /** Tokens by which it counts in the upstream's load. */
   uint32_t mTokens = 0;
-  /** When the offer was last sent, and the Start. */
+  /** When the last offer and the Start were sent. */
   Millis mOfferedAt{};
   Millis mStarted{};
 };
 
-/** A caller's request that has no final answer yet. */
+/** A caller's request without a final response. */
 struct OpenRequest
 {
   EntryRequest mRequest;
   Millis mArrivedAt;
   Millis mDeadline;
-  /** When placing it is tried again, or its lost attempt is given up. */
+  /** When it is placed again, or its lost attempt is given up. */
   Millis mRetryAt = Millis::Never();
-  /** While no offer can reach a sidecar: when waiting for one ends. */
+  /** While no offer can reach a sidecar: until when it waits. */
   std::optional<Millis> mHoldUntil{};
 
   uint32_t mLastAttempt = 0;
   std::vector<EntryAttempt> mOffers{};
-  /** The attempt that was sent its Start. At most one at a time. */
+  /** The attempt for which Start was sent. At most one at a time. */
   std::optional<EntryAttempt> mStarted{};
   /** A Start was sent that was never proved void, now or earlier. */
   bool mMayHaveRun = false;
@@ -47,18 +47,18 @@
   uint64_t mAckedChunk = 0;
   size_t mUnackedBytes = 0;
   bool mHeadSent = false;
-  /** Resume was sent for a gap, and nothing has come since. */
+  /** Resume was sent for a gap, and nothing was received since. */
   bool mResumeSent = false;
-  /** The last chunk's successor, once Finished has come. */
+  /** The number after the last chunk's, once Finished was received. */
   std::optional<uint64_t> mEndChunk{};
 
-  /** Upstreams that declined it; they are not asked again. */
+  /** Upstreams that declined it; they don't get another offer. */
   std::vector<UpstreamId> mDeclinedBy{};
-  /** Upstreams that failed it; they are asked when no other can be. */
+  /** Upstreams at which it failed; they get an offer if no other can. */
   std::vector<UpstreamId> mFailedUpstreams{};
   uint32_t mRounds = 0;
   uint32_t mRetries = 0;
-  /** What will be said if nothing better comes. */
+  /** The response if no attempt succeeds. */
   std::optional<Refusal> mRefusal{};
 };
 
--- a/src/libtrefoilarch/outlierdetector.cpp
+++ b/src/libtrefoilarch/outlierdetector.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 /** Weight of the newest result in the means. */
-constexpr double kNewest = 0.1;
+constexpr double kNewestWeight = 0.1;
 
-constexpr Millis kLookSpan{ 1000 };
+constexpr Millis kMedianInterval{ 1000 };
 
-/** Ejections after which the span stays as it is. */
-constexpr uint32_t kMostDoublings = 10;
+/** The ejection time is doubled at most this many times. */
+constexpr uint32_t kMaxDoublings = 10;
 
 } // namespace
 
@@ -54,51 +54,51 @@
   const auto member = mMembers.find(aUpstream);
   if (member != mMembers.end()) {
     member->second =
-      Member{ .mGroup = member->second.mGroup, .mUntil = std::nullopt };
+      Member{ .mGroup = member->second.mGroup, .mEjectedUntil = std::nullopt };
   }
 }
 
 void
 OutlierDetector::OnFailure(const UpstreamId& aUpstream, Millis aNow)
 {
-  const auto place = mMembers.find(aUpstream);
-  if (place == mMembers.end()) {
+  const auto it = mMembers.find(aUpstream);
+  if (it == mMembers.end()) {
     return;
   }
-  Member& member = place->second;
+  Member& member = it->second;
   AddResult(member, true);
   member.mFailuresInRow++;
   if (EndProbe(member, false, aNow)) {
     return;
   }
-  const bool often = member.mResults >= mOptions.mMinResults &&
-                     member.mFailures >= mOptions.mFailureShare;
-  if (often || member.mFailuresInRow >= mOptions.mFailuresInRow) {
+  const bool failsOften = member.mResultCount >= mOptions.mMinResults &&
+                          member.mFailures >= mOptions.mFailureShare;
+  if (failsOften || member.mFailuresInRow >= mOptions.mFailuresInRow) {
     Eject(member, aNow);
   }
 }
 
 void
 OutlierDetector::OnFirstToken(const UpstreamId& aUpstream,
-                              Millis aTook,
+                              Millis aDuration,
                               Millis aNow)
 {
-  const auto place = mMembers.find(aUpstream);
-  if (place == mMembers.end()) {
+  const auto it = mMembers.find(aUpstream);
+  if (it == mMembers.end()) {
     return;
   }
-  Member& member = place->second;
+  Member& member = it->second;
   AddResult(member, false);
   member.mFailuresInRow = 0;
-  const auto took = static_cast<double>(aTook.Count());
-  const double weight = member.mTimes == 0 ? 1 : kNewest;
-  member.mFirstToken += weight * (took - member.mFirstToken);
-  member.mTimes++;
+  const auto duration = static_cast<double>(aDuration.Count());
+  const double weight = member.mFirstTokenCount == 0 ? 1 : kNewestWeight;
+  member.mFirstToken += weight * (duration - member.mFirstToken);
+  member.mFirstTokenCount++;
   const double median = Median(member.mGroup, aNow);
-  const bool sound =
-    median == 0 || took < median * mOptions.mSlowFactor ||
-    took < median + static_cast<double>(mOptions.mSlowMargin.Count());
-  if (!EndProbe(member, sound, aNow) && Slow(member, aNow)) {
+  const bool healthy =
+    median == 0 || duration < median * mOptions.mSlowFactor ||
+    duration < median + static_cast<double>(mOptions.mSlowMargin.Count());
+  if (!EndProbe(member, healthy, aNow) && IsSlow(member, aNow)) {
     Eject(member, aNow);
   }
 }
@@ -107,42 +107,42 @@
 OutlierDetector::State(const UpstreamId& aUpstream, Millis aNow) const
 {
   const auto member = mMembers.find(aUpstream);
-  if (member == mMembers.end() || !member->second.mUntil) {
+  if (member == mMembers.end() || !member->second.mEjectedUntil) {
     return OutlierState::Healthy;
   }
-  return aNow < *member->second.mUntil ? OutlierState::Ejected
-                                       : OutlierState::Probing;
+  return aNow < *member->second.mEjectedUntil ? OutlierState::Ejected
+                                              : OutlierState::Probing;
 }
 
 void
 OutlierDetector::AddResult(Member& aMember, bool aFailed)
 {
-  aMember.mFailures += kNewest * ((aFailed ? 1 : 0) - aMember.mFailures);
-  aMember.mResults++;
+  aMember.mFailures += kNewestWeight * ((aFailed ? 1 : 0) - aMember.mFailures);
+  aMember.mResultCount++;
 }
 
 bool
-OutlierDetector::EndProbe(Member& aMember, bool aSound, Millis aNow)
+OutlierDetector::EndProbe(Member& aMember, bool aHealthy, Millis aNow)
 {
-  if (!aMember.mUntil) {
+  if (!aMember.mEjectedUntil) {
     return false;
   }
-  if (aNow < *aMember.mUntil) {
+  if (aNow < *aMember.mEjectedUntil) {
     return true;
   }
-  if (aSound) {
-    aMember = Member{ .mGroup = aMember.mGroup, .mUntil = std::nullopt };
+  if (aHealthy) {
+    aMember = Member{ .mGroup = aMember.mGroup, .mEjectedUntil = std::nullopt };
   } else {
-    aMember.mUntil.reset();
+    aMember.mEjectedUntil.reset();
     Eject(aMember, aNow);
   }
   return true;
 }
 
 bool
-OutlierDetector::Slow(const Member& aMember, Millis aNow)
+OutlierDetector::IsSlow(const Member& aMember, Millis aNow)
 {
-  if (aMember.mTimes < mOptions.mMinResults) {
+  if (aMember.mFirstTokenCount < mOptions.mMinResults) {
     return false;
   }
   const double median = Median(aMember.mGroup, aNow);
@@ -155,13 +155,14 @@
 OutlierDetector::Median(const std::string& aGroup, Millis aNow)
 {
   Group& group = mGroups[aGroup];
-  if (aNow < group.mNextLook) {
+  if (aNow < group.mNextUpdateAt) {
     return group.mMedian;
   }
-  group.mNextLook = aNow + kLookSpan;
+  group.mNextUpdateAt = aNow + kMedianInterval;
   std::vector<double> times;
   for (const auto& [name, member] : mMembers) {
-    if (member.mGroup == aGroup && member.mTimes >= mOptions.mMinResults) {
+    if (member.mGroup == aGroup &&
+        member.mFirstTokenCount >= mOptions.mMinResults) {
       times.push_back(member.mFirstToken);
     }
   }
@@ -181,29 +182,30 @@
     return;
   }
   mEjections++;
-  aMember.mUntil = aNow + Span(aMember.mEjected);
-  aMember.mEjected++;
+  aMember.mEjectedUntil = aNow + EjectionTime(aMember.mEjectionsInRow);
+  aMember.mEjectionsInRow++;
 }
 
 bool
 OutlierDetector::MayEject(const Member& aMember, Millis aNow) const
 {
-  const auto out =
+  const auto ejected =
     std::count_if(mMembers.begin(), mMembers.end(), [&](const auto& aOther) {
       const Member& other = aOther.second;
-      return other.mGroup == aMember.mGroup && other.mUntil &&
-             aNow < *other.mUntil;
+      return other.mGroup == aMember.mGroup && other.mEjectedUntil &&
+             aNow < *other.mEjectedUntil;
     });
   const size_t members = mGroups.at(aMember.mGroup).mMembers;
-  const double most =
+  const double limit =
     std::max(1.0, mOptions.mMaxEjectedShare * static_cast<double>(members));
-  return members > 1 && static_cast<double>(out + 1) <= most;
+  return members > 1 && static_cast<double>(ejected + 1) <= limit;
 }
 
 Millis
-OutlierDetector::Span(uint32_t aEjected) const
+OutlierDetector::EjectionTime(uint32_t aEjectionsInRow) const
 {
-  const int64_t factor = int64_t{ 1 } << std::min(aEjected, kMostDoublings);
+  const int64_t factor = int64_t{ 1 }
+                         << std::min(aEjectionsInRow, kMaxDoublings);
   return std::min(mOptions.mInitialEjection * factor, mOptions.mMaxEjection);
 }
 
--- a/src/libtrefoilarch/outlierdetector.h
+++ b/src/libtrefoilarch/outlierdetector.h
@@ -11,56 +11,57 @@
 
 namespace trefoilarch {
 
-/** When an upstream counts as an outlier. */
 struct OutlierOptions
 {
-  /** This many failures in a row eject. */
+  /** Consecutive failures that eject an upstream. */
   uint32_t mFailuresInRow = 5;
-  /** So does this share of failures, once there are mMinResults. */
+  /** Share of failures that ejects it, once there are mMinResults. */
   double mFailureShare = 0.5;
   uint32_t mMinResults = 10;
-  /** So does a mean first-token time of this many times the peers' median. */
+  /** A mean time to first token of this many times its group's median ejects
+   * it. */
   double mSlowFactor = 4;
-  /** But not one that is slower by less than this. */
+  /** A smaller difference to the median doesn't eject it. */
   Millis mSlowMargin{ 200 };
   Millis mInitialEjection{ 5000 };
   Millis mMaxEjection{ 60000 };
-  /** Share of a group's members that may be ejected at a time; one may. */
+  /** Maximum share of a group's members that are ejected, but at least one. */
   double mMaxEjectedShare = 0.34;
 };
 
-/** Whether an upstream takes part. */
+/** Whether an upstream gets requests. */
 enum class OutlierState : uint8_t
 {
   Healthy,
   Ejected,
-  Probing, /**< may get one request at a time until a result comes */
+  Probing, /**< gets one request at a time until a result arrives */
 };
 
 /**
- * Ejects upstreams by their results: failures, and first tokens that come far
- * later than from their peers. Peers are those of one group: the same model
- * or service. No more than a share of a group is out at a time, since when
- * most members fail the cause lies elsewhere. After a span, each time twice
- * as long, an upstream returns on trial.
+ * Ejects upstreams by their results: failures, and a time to first token that
+ * is much longer than their group's. A group has the same model or service. At
+ * most a share of a group is ejected at a time, since a fault of most members
+ * has another cause. An upstream is probed again after the ejection time, which
+ * doubles with each ejection.
  */
 class OutlierDetector
 {
 public:
   explicit OutlierDetector(OutlierOptions aOptions);
 
-  /** Puts an upstream into a group, or moves it there. */
+  /** Adds an upstream to a group, or moves it there. */
   void Add(const UpstreamId& aUpstream, const std::string& aGroup);
   void Remove(const UpstreamId& aUpstream);
-  /** Another process has taken the upstream's place: its past is void. */
+  /** Another process has replaced the upstream's: discards its results. */
   void Reset(const UpstreamId& aUpstream);
 
   void OnFailure(const UpstreamId& aUpstream, Millis aNow);
-  /** A first token came, or is known to take at least that long. */
-  void OnFirstToken(const UpstreamId& aUpstream, Millis aTook, Millis aNow);
+  /** A first token was received after aDuration, or will take at least that
+   * long. */
+  void OnFirstToken(const UpstreamId& aUpstream, Millis aDuration, Millis aNow);
 
   OutlierState State(const UpstreamId& aUpstream, Millis aNow) const;
-  /** Ejections since the start. */
+  /** Total number of ejections. */
   uint64_t Ejections() const { return mEjections; }
 
 private:
@@ -68,31 +69,31 @@
   {
     std::string mGroup;
     uint32_t mFailuresInRow = 0;
-    /** Weighted means over about the last twenty results. */
+    /** Exponentially weighted means over about twenty results. */
     double mFailures = 0;
     double mFirstToken = 0;
-    uint32_t mResults = 0;
-    uint32_t mTimes = 0;
-    /** Ejections in a row, without a sound trial between. */
-    uint32_t mEjected = 0;
-    std::optional<Millis> mUntil;
+    uint32_t mResultCount = 0;
+    uint32_t mFirstTokenCount = 0;
+    /** Consecutive ejections without a successful probe. */
+    uint32_t mEjectionsInRow = 0;
+    std::optional<Millis> mEjectedUntil;
   };
 
-  /** The group's median first-token time, looked up anew once a second. */
+  /** The group's median time to first token, updated once a second. */
   struct Group
   {
     size_t mMembers = 0;
     double mMedian = 0;
-    Millis mNextLook;
+    Millis mNextUpdateAt;
   };
 
   void AddResult(Member& aMember, bool aFailed);
-  bool EndProbe(Member& aMember, bool aSound, Millis aNow);
-  bool Slow(const Member& aMember, Millis aNow);
+  bool EndProbe(Member& aMember, bool aHealthy, Millis aNow);
+  bool IsSlow(const Member& aMember, Millis aNow);
   double Median(const std::string& aGroup, Millis aNow);
   void Eject(Member& aMember, Millis aNow);
   bool MayEject(const Member& aMember, Millis aNow) const;
-  Millis Span(uint32_t aEjected) const;
+  Millis EjectionTime(uint32_t aEjectionsInRow) const;
 
   OutlierOptions mOptions;
   std::unordered_map<UpstreamId, Member> mMembers;
--- a/src/libtrefoilarch/pauserecord.cpp
+++ b/src/libtrefoilarch/pauserecord.cpp
@@ -7,37 +7,37 @@
 
 namespace {
 
-/** What was seen fades by this time constant. */
-constexpr double kMemoryMs = 10000;
+/** Time constant by which samples decay. */
+constexpr double kDecayTimeMs = 10000;
 
-/** Fading is worked out no more often than this. */
-constexpr Millis kFadeSpan{ 200 };
+/** Minimum time between two updates of the decay. */
+constexpr Millis kDecayInterval{ 200 };
 
-/** The first bucket ends here, in milliseconds. */
-constexpr double kFirstBound = 1;
-constexpr double kRatio = 1.1;
+/** Upper bound of the first bucket, in milliseconds. */
+constexpr double kFirstBucketBound = 1;
+constexpr double kBucketRatio = 1.1;
 
-/** Fewer pauses or streams than these say too little. */
-constexpr double kLeastPauses = 60;
-constexpr double kLeastStreams = 3;
+/** Minimum numbers of samples for an estimate. */
+constexpr double kMinPauses = 60;
+constexpr double kMinStreams = 3;
 
 } // namespace
 
 void
 PauseRecord::OnPause(const std::string& aRoute, Millis aPause, Millis aNow)
 {
-  Seen& seen = mRoutes[aRoute];
-  Fade(seen, aNow);
-  seen.mPauses[BucketOf(aPause)] += 1;
-  seen.mAll += 1;
+  RouteSamples& samples = mRoutes[aRoute];
+  Decay(samples, aNow);
+  samples.mPauses[BucketOf(aPause)] += 1;
+  samples.mPauseCount += 1;
 }
 
 void
 PauseRecord::OnStreamEnded(const std::string& aRoute, Millis aNow)
 {
-  Seen& seen = mRoutes[aRoute];
-  Fade(seen, aNow);
-  seen.mStreams += 1;
+  RouteSamples& samples = mRoutes[aRoute];
+  Decay(samples, aNow);
+  samples.mStreamCount += 1;
 }
 
 bool
@@ -47,48 +47,51 @@
   const auto route = mRoutes.find(aRoute);
   const auto beside = mRoutes.find(aBeside);
   return route != mRoutes.end() && beside != mRoutes.end() &&
-         route->second.mStreams >= kLeastStreams &&
-         beside->second.mAll >= kLeastPauses;
+         route->second.mStreamCount >= kMinStreams &&
+         beside->second.mPauseCount >= kMinPauses;
 }
 
 double
 PauseRecord::LateShare(const std::string& aRoute,
                        const std::string& aBeside,
-                       Millis aLongest) const
+                       Millis aMaxPause) const
 {
-  const Seen& route = mRoutes.at(aRoute);
-  const Seen& beside = mRoutes.at(aBeside);
+  const RouteSamples& route = mRoutes.at(aRoute);
+  const RouteSamples& beside = mRoutes.at(aBeside);
   double longer = 0;
-  for (size_t each = BucketOf(aLongest) + 1; each < kBuckets; ++each) {
+  for (size_t each = BucketOf(aMaxPause) + 1; each < kBuckets; ++each) {
     longer += beside.mPauses[each];
   }
-  const double onTime = 1 - longer / beside.mAll;
-  const double pauses = route.mAll / route.mStreams;
+  const double onTime = 1 - longer / beside.mPauseCount;
+  const double pauses = route.mPauseCount / route.mStreamCount;
   return 1 - std::pow(onTime, pauses);
 }
 
 size_t
 PauseRecord::BucketOf(Millis aPause)
 {
-  const auto pause = std::max(kFirstBound, static_cast<double>(aPause.Count()));
-  const double bucket = std::log(pause / kFirstBound) / std::log(kRatio);
+  const auto pause =
+    std::max(kFirstBucketBound, static_cast<double>(aPause.Count()));
+  const double bucket =
+    std::log(pause / kFirstBucketBound) / std::log(kBucketRatio);
   return std::min(static_cast<size_t>(bucket), kBuckets - 1);
 }
 
 void
-PauseRecord::Fade(Seen& aSeen, Millis aNow)
+PauseRecord::Decay(RouteSamples& aSamples, Millis aNow)
 {
-  const Millis span = aNow - aSeen.mAt;
-  if (span < kFadeSpan) {
+  const Millis elapsed = aNow - aSamples.mAt;
+  if (elapsed < kDecayInterval) {
     return;
   }
-  const double kept = std::exp(-static_cast<double>(span.Count()) / kMemoryMs);
-  for (double& each : aSeen.mPauses) {
-    each *= kept;
+  const double factor =
+    std::exp(-static_cast<double>(elapsed.Count()) / kDecayTimeMs);
+  for (double& each : aSamples.mPauses) {
+    each *= factor;
   }
-  aSeen.mAll *= kept;
-  aSeen.mStreams *= kept;
-  aSeen.mAt = aNow;
+  aSamples.mPauseCount *= factor;
+  aSamples.mStreamCount *= factor;
+  aSamples.mAt = aNow;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/pauserecord.h
+++ b/src/libtrefoilarch/pauserecord.h
@@ -10,46 +10,44 @@
 namespace trefoilarch {
 
 /**
- * How long the pauses between the events of a route's streams are: engines
- * read prompts between the tokens of the answers beside them, a chunk at
- * a time, and how long that holds an answer up is the engine's to show.
+ * Records the pauses between the events of each route's streams. Engines
+ * prefill prompts in chunks between the tokens of the responses beside them, so
+ * the length of these pauses depends on the engine and must be observed.
  */
 class PauseRecord
 {
 public:
-  /** A part of a stream came so long after the one before. */
+  /** An event of a stream was received aPause after the previous one. */
   void OnPause(const std::string& aRoute, Millis aPause, Millis aNow);
-  /** A stream of the route ended. */
   void OnStreamEnded(const std::string& aRoute, Millis aNow);
 
   /**
    * The share of a route's streams that would have a pause longer than
-   * aLongest beside the streams of another route; empty while too little was
-   * seen.
+   * aMaxPause beside the streams of another route. Requires HasEnoughData().
    */
   double LateShare(const std::string& aRoute,
                    const std::string& aBeside,
-                   Millis aLongest) const;
-  /** Enough was seen of both for LateShare() to mean something. */
+                   Millis aMaxPause) const;
+  /** Whether there are enough samples of both routes for LateShare(). */
   bool HasEnoughData(const std::string& aRoute,
                      const std::string& aBeside) const;
 
 private:
-  /** Each bucket's bound is a tenth above the one before. */
+  /** Each bucket's bound is a tenth above the previous one. */
   static constexpr size_t kBuckets = 96;
 
-  struct Seen
+  struct RouteSamples
   {
     std::array<double, kBuckets> mPauses{};
-    double mAll = 0;
-    double mStreams = 0;
+    double mPauseCount = 0;
+    double mStreamCount = 0;
     Millis mAt;
   };
 
   static size_t BucketOf(Millis aPause);
-  static void Fade(Seen& aSeen, Millis aNow);
+  static void Decay(RouteSamples& aSamples, Millis aNow);
 
-  std::map<std::string, Seen> mRoutes;
+  std::map<std::string, RouteSamples> mRoutes;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/pendingprefill.h
+++ b/src/libtrefoilarch/pendingprefill.h
@@ -7,12 +7,12 @@
 
 namespace trefoilarch {
 
-/** Prompt tokens that wait to be read at an upstream, by urgency: an engine
- * reads more urgent prompts first. */
+/** Prompt tokens that are not yet prefilled at an upstream, by urgency. An
+ * engine prefills more urgent prompts first. */
 class PendingPrefill
 {
 public:
-  /** Urgencies that are told apart; all beyond count as the last. */
+  /** Number of distinct urgencies; higher values count as the last. */
   static constexpr size_t kUrgencies = 3;
 
   void Add(uint8_t aUrgency, uint64_t aTokens)
@@ -25,7 +25,7 @@
     tokens -= std::min(tokens, aTokens);
   }
 
-  /** Tokens that are read before a new prompt of that urgency. */
+  /** Tokens that are prefilled before a new prompt of that urgency. */
   uint64_t Ahead(uint8_t aUrgency) const
   {
     uint64_t tokens = 0;
@@ -34,7 +34,7 @@
     }
     return tokens;
   }
-  /** Tokens of prompts that are less urgent. */
+  /** Tokens of less urgent prompts. */
   uint64_t Behind(uint8_t aUrgency) const { return All() - Ahead(aUrgency); }
   uint64_t All() const
   {
--- a/src/libtrefoilarch/placement.cpp
+++ b/src/libtrefoilarch/placement.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/** How long a set's mean load is used before it is worked out again. */
-constexpr Millis kMeanSpan{ 100 };
+/** How long a set's mean load is used before it is computed again. */
+constexpr Millis kMeanInterval{ 100 };
 
-/** Running and waiting calls that count as much as a full room of tokens. */
-constexpr double kCallsInRoom = 256;
+/** Running and waiting calls that count as the full token capacity. */
+constexpr double kCallsPerCapacity = 256;
 
 /**
- * A millisecond of distance as a share of a room: a room empties in about
- * the time of one answer, some seconds.
+ * Load of a millisecond of round-trip time: an upstream's capacity becomes free
+ * in about the time of one response, some seconds.
  */
-constexpr double kDistanceShare = 0.0005;
+constexpr double kLoadPerRoundTripMs = 0.0005;
 
-/** What another data centre costs, so that the own one is taken on a par. */
-constexpr double kOtherDataCentre = 0.02;
+/** Load of another data centre: the own one is preferred at equal load. */
+constexpr double kOtherDataCentreLoad = 0.02;
 
 } // namespace
 
@@ -64,10 +64,10 @@
                            const LinkFilter& aUsable,
                            Millis aNow)
 {
-  const double most =
+  const double maxScore =
     MeanScore(aSet, aNow) * mOptions.mLoadBound + mOptions.mLoadSlack;
   for (UpstreamLink* link : aSet.PreferredFor(aPrefixHash)) {
-    if (link && aUsable(*link) && Score(*link) <= most) {
+    if (link && aUsable(*link) && Score(*link) <= maxScore) {
       return link;
     }
   }
@@ -84,7 +84,7 @@
   UpstreamLink* best = nullptr;
   double bestScore = 0;
   for (size_t i = 0; i < mOptions.mSamples; i++) {
-    UpstreamLink* link = members[AnyIndex(aSet)];
+    UpstreamLink* link = members[RandomIndex(aSet)];
     if (!aUsable(*link)) {
       continue;
     }
@@ -106,7 +106,7 @@
   }
   UpstreamLink* best = nullptr;
   double bestScore = 0;
-  const size_t first = AnyIndex(aSet);
+  const size_t first = RandomIndex(aSet);
   for (size_t i = 0; i < members.size(); i++) {
     UpstreamLink* link = members[(first + i) % members.size()];
     if (!aUsable(*link)) {
@@ -122,10 +122,10 @@
 }
 
 size_t
-Placement::AnyIndex(const RankedSet& aSet)
+Placement::RandomIndex(const RankedSet& aSet)
 {
-  std::uniform_int_distribution<size_t> any(0, aSet.Members().size() - 1);
-  return any(mRandom);
+  std::uniform_int_distribution<size_t> index(0, aSet.Members().size() - 1);
+  return index(mRandom);
 }
 
 double
@@ -143,7 +143,7 @@
     }
   }
   aSet.mMeanLoadScore = ready == 0 ? 0 : sum / static_cast<double>(ready);
-  aSet.mNextUpdateAt = aNow + kMeanSpan;
+  aSet.mNextUpdateAt = aNow + kMeanInterval;
   return aSet.mMeanLoadScore;
 }
 
@@ -151,17 +151,18 @@
 Placement::Score(const UpstreamLink& aLink) const
 {
   const Load& load = aLink.mLoad;
-  const auto room =
+  const auto capacity =
     static_cast<double>(std::max<uint64_t>(load.mTokenCapacity, 1));
   const double tokens =
     static_cast<double>(load.mTokensInFlight + load.mTokensWaiting) +
     static_cast<double>(aLink.mTokensSinceReport);
   const double calls = static_cast<double>(load.mRunning) + load.mWaiting +
                        aLink.mCallsSinceReport;
-  const bool far = aLink.mView.mDataCentre != mOptions.mDataCentre;
+  const bool remote = aLink.mView.mDataCentre != mOptions.mDataCentre;
   const auto distance = static_cast<double>(aLink.mRoundTrip.Count());
-  return std::max(tokens / room, 0.0) + std::max(calls / kCallsInRoom, 0.0) +
-         distance * kDistanceShare + (far ? kOtherDataCentre : 0);
+  return std::max(tokens / capacity, 0.0) +
+         std::max(calls / kCallsPerCapacity, 0.0) +
+         distance * kLoadPerRoundTripMs + (remote ? kOtherDataCentreLoad : 0);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/placement.h
+++ b/src/libtrefoilarch/placement.h
@@ -12,27 +12,27 @@
 
 namespace trefoilarch {
 
-/** How upstreams are compared. */
 struct PlacementOptions
 {
   std::string mDataCentre;
-  /** The preferred upstream may be this many times as busy as the mean... */
+  /** Maximum load of the preferred upstream, relative to the mean load. */
   double mLoadBound = 1.25;
-  /** ...and by this much more, in shares of its room. */
+  /** Added to that maximum, as a share of the capacity. */
   double mLoadSlack = 0.1;
-  /** Upstreams that are looked at to find one that is not busy. */
+  /** Number of random upstreams that are compared. */
   size_t mSamples = 5;
   uint64_t mSeed = 1;
 };
 
-/** Whether an upstream may be chosen just now. */
+/** Whether an upstream may currently be chosen. */
 using LinkFilter = std::function<bool(const UpstreamLink&)>;
 
 /**
- * Chooses upstreams: one for the request's prefix, by rendezvous hash with a
- * bound on load, so that upstreams keep seeing the prefixes that they have
- * cached without any word from them; the others by the last known load plus
- * what this entry has sent since, the least of a few drawn by chance.
+ * Chooses upstreams: the preferred one by rendezvous hashing of the request's
+ * prefix with bounded loads, so that upstreams keep getting the prefixes that
+ * they have cached without reporting them; the others as the least loaded of a
+ * few random ones, by the last reported load plus what this entry has sent
+ * since.
  */
 class Placement
 {
@@ -46,7 +46,7 @@
                                     const LinkFilter& aUsable,
                                     Millis aNow);
 
-  /** How busy an upstream seems, in shares of its room; distance counts. */
+  /** Load as a share of the capacity, with a surcharge for distance. */
   double Score(const UpstreamLink& aLink) const;
 
 private:
@@ -56,7 +56,7 @@
                                 Millis aNow);
   UpstreamLink* ChooseByLoad(const RankedSet& aSet, const LinkFilter& aUsable);
   UpstreamLink* ChooseFromAll(const RankedSet& aSet, const LinkFilter& aUsable);
-  size_t AnyIndex(const RankedSet& aSet);
+  size_t RandomIndex(const RankedSet& aSet);
   double MeanScore(RankedSet& aSet, Millis aNow) const;
 
   PlacementOptions mOptions;
--- a/src/libtrefoilarch/placementcandidate.h
+++ b/src/libtrefoilarch/placementcandidate.h
@@ -13,13 +13,13 @@
   const UpstreamWork* mWork = nullptr;
   /** It has just started and is still slow. */
   bool mCold = false;
-  /** Prompt tokens that wait there to be read for other entries. */
+  /** Prompt tokens of other entries not yet prefilled there. */
   PendingPrefill mPeerPending{};
-  /** How long it has been silent to other entries, by their word. */
+  /** How long it has sent nothing to peers, as they report. */
   Millis mPeerSilence{};
-  /** How many times as long as its peers it takes to begin an answer. */
+  /** How many times as long as its peers it takes to start a response. */
   double mSlowness = 1;
-  /** Where it is as seen from the request's route. */
+  /** Its position relative to the pool of the request's route. */
   PoolPosition mPoolPosition{};
 };
 
--- a/src/libtrefoilarch/prefixcachetracker.cpp
+++ b/src/libtrefoilarch/prefixcachetracker.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** The share of parts that stays when there are too many. */
-constexpr double kKeptShare = 0.75;
+/** The share of segments that is kept when there are too many. */
+constexpr double kTrimmedShare = 0.75;
 
 } // namespace
 
@@ -18,24 +18,24 @@
 
 void
 PrefixCacheTracker::OnSent(const UpstreamId& aUpstream,
-                           const std::vector<uint64_t>& aParts,
+                           const std::vector<uint64_t>& aSegments,
                            uint32_t aTokens,
                            Millis aNow)
 {
-  Upstream& upstream = mHeld[aUpstream];
+  Upstream& upstream = mUpstreams[aUpstream];
   upstream.mTokens += aTokens;
-  if (aParts.empty()) {
+  if (aSegments.empty()) {
     return;
   }
-  for (const uint64_t part : aParts) {
-    upstream.mSegments[part] = { .mAt = aNow, .mTokens = upstream.mTokens };
+  for (const uint64_t segment : aSegments) {
+    upstream.mSegments[segment] = { .mAt = aNow, .mTokens = upstream.mTokens };
   }
   if (upstream.mSegments.size() > mOptions.mMaxSegments) {
     Trim(upstream, aNow);
   }
-  mLast[aParts.back()] = { aUpstream, aNow };
-  if (mLast.size() > mOptions.mMaxSessions) {
-    std::erase_if(mLast, [&](const auto& aSent) {
+  mLastSent[aSegments.back()] = { aUpstream, aNow };
+  if (mLastSent.size() > mOptions.mMaxSessions) {
+    std::erase_if(mLastSent, [&](const auto& aSent) {
       return aNow - aSent.second.mAt > mOptions.mRetention / 2;
     });
   }
@@ -44,8 +44,8 @@
 void
 PrefixCacheTracker::Forget(const UpstreamId& aUpstream)
 {
-  mHeld.erase(aUpstream);
-  std::erase_if(mLast, [&](const auto& aSent) {
+  mUpstreams.erase(aUpstream);
+  std::erase_if(mLastSent, [&](const auto& aSent) {
     return aSent.second.mUpstream == aUpstream;
   });
 }
@@ -56,23 +56,23 @@
                                  uint64_t aMemoryTokens,
                                  Millis aNow) const
 {
-  const auto upstream = mHeld.find(aUpstream);
-  if (upstream == mHeld.end()) {
+  const auto upstream = mUpstreams.find(aUpstream);
+  if (upstream == mUpstreams.end()) {
     return 0;
   }
-  uint32_t held = 0;
+  uint32_t tokens = 0;
   for (size_t each = 0; each < aPrompt.mSharedSegments; ++each) {
-    const PromptSegment& part = aPrompt.mSegments[each];
-    const auto use = upstream->second.mSegments.find(part.mId);
-    const bool there =
+    const PromptSegment& segment = aPrompt.mSegments[each];
+    const auto use = upstream->second.mSegments.find(segment.mId);
+    const bool cached =
       use != upstream->second.mSegments.end() &&
-      IsHeld(upstream->second, use->second, aMemoryTokens, aNow);
-    if (!there) {
+      IsCached(upstream->second, use->second, aMemoryTokens, aNow);
+    if (!cached) {
       break;
     }
-    held += part.mTokens;
+    tokens += segment.mTokens;
   }
-  return held;
+  return tokens;
 }
 
 std::optional<UpstreamId>
@@ -83,22 +83,22 @@
   if (aPrompt.mSharedSegments == 0) {
     return std::nullopt;
   }
-  const auto place =
-    mLast.find(aPrompt.mSegments[aPrompt.mSharedSegments - 1].mId);
-  if (place == mLast.end()) {
+  const auto it =
+    mLastSent.find(aPrompt.mSegments[aPrompt.mSharedSegments - 1].mId);
+  if (it == mLastSent.end()) {
     return std::nullopt;
   }
-  const UpstreamId& upstream = place->second.mUpstream;
-  const uint32_t held = CachedTokens(upstream, aPrompt, aMemoryTokens, aNow);
-  return held >= aPrompt.SharedTokens() ? std::optional(upstream)
-                                        : std::nullopt;
+  const UpstreamId& upstream = it->second.mUpstream;
+  const uint32_t tokens = CachedTokens(upstream, aPrompt, aMemoryTokens, aNow);
+  return tokens >= aPrompt.SharedTokens() ? std::optional(upstream)
+                                          : std::nullopt;
 }
 
 bool
-PrefixCacheTracker::IsHeld(const Upstream& aUpstream,
-                           const Use& aUse,
-                           uint64_t aMemoryTokens,
-                           Millis aNow) const
+PrefixCacheTracker::IsCached(const Upstream& aUpstream,
+                             const Use& aUse,
+                             uint64_t aMemoryTokens,
+                             Millis aNow) const
 {
   const Millis idle = aNow - aUse.mAt;
   if (aMemoryTokens == 0) {
@@ -112,24 +112,25 @@
 void
 PrefixCacheTracker::Trim(Upstream& aUpstream, Millis aNow) const
 {
-  auto& parts = aUpstream.mSegments;
-  std::erase_if(parts, [&](const auto& aPart) {
-    return aNow - aPart.second.mAt > mOptions.mMaxRetention;
+  auto& segments = aUpstream.mSegments;
+  std::erase_if(segments, [&](const auto& aSegment) {
+    return aNow - aSegment.second.mAt > mOptions.mMaxRetention;
   });
-  const auto kept = static_cast<size_t>(
-    kKeptShare * static_cast<double>(mOptions.mMaxSegments));
-  if (parts.size() <= kept) {
+  const auto target = static_cast<size_t>(
+    kTrimmedShare * static_cast<double>(mOptions.mMaxSegments));
+  if (segments.size() <= target) {
     return;
   }
   std::vector<Millis> used;
-  used.reserve(parts.size());
-  for (const auto& [id, use] : parts) {
+  used.reserve(segments.size());
+  for (const auto& [id, use] : segments) {
     used.push_back(use.mAt);
   }
-  const auto oldest = used.end() - static_cast<std::ptrdiff_t>(kept);
+  const auto oldest = used.end() - static_cast<std::ptrdiff_t>(target);
   std::nth_element(used.begin(), oldest, used.end());
-  std::erase_if(parts,
-                [&](const auto& aPart) { return aPart.second.mAt < *oldest; });
+  std::erase_if(segments, [&](const auto& aSegment) {
+    return aSegment.second.mAt < *oldest;
+  });
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/prefixcachetracker.h
+++ b/src/libtrefoilarch/prefixcachetracker.h
@@ -12,60 +12,59 @@
 
 namespace trefoilarch {
 
-/** Bounds of a PrefixCacheTracker. */
 struct PrefixCacheTrackerOptions
 {
-  /** Where an engine's memory is not known, a part is taken for gone after
-   * this span without use. */
+  /** If an engine's cache size is unknown, a segment is assumed evicted after
+   * this time without use. */
   Millis mRetention{ 20000 };
-  /** Where it is known, after this span: a stay that nobody has watched. */
+  /** If it is known, after this time: nothing confirms a longer stay. */
   Millis mMaxRetention{ 120000 };
-  /** A part is held until new tokens fill this share of the engine's memory:
-   * the least recently used parts yield, and what runs does not. At 0.4 and
-   * 0.8 the mean worth of days with trouble was 0.780 and 0.795 at 18 engines
-   * (trials, one run each). */
+  /** A segment is assumed cached until new tokens fill this share of the cache:
+   * the least recently used are evicted, those of running requests are not. At
+   * 0.4 and 0.8 the mean score of days with failures was 0.780 and 0.795 at 18
+   * engines (trials, one run each). */
   double mEvictionShare = 0.8;
-  /** Parts that are remembered for one upstream. */
+  /** Segments tracked for one upstream. */
   size_t mMaxSegments = 4000;
-  /** Sessions whose last upstream is remembered; beyond these, those that
-   * have not come for half the span are forgotten. */
+  /** Sessions whose last upstream is tracked; beyond these, those without a
+   * request for half the retention are dropped. */
   size_t mMaxSessions = 20000;
 };
 
 /**
- * Which parts of prompts each upstream has read lately, as far as this
- * process knows what was sent. Engines keep what they have read, and read
- * a part again only where a part before it is missing.
+ * Tracks which prompt segments each upstream has prefilled recently, as far as
+ * this process knows. Engines keep them in a prefix cache, and prefill one
+ * again only if one before it is missing.
  */
 class PrefixCacheTracker
 {
 public:
   explicit PrefixCacheTracker(PrefixCacheTrackerOptions aOptions = {});
 
-  /** The upstream was sent a request with these parts, which adds so many
-   * tokens to its memory. */
+  /** The upstream was sent a request with these segments, which adds aTokens to
+   * its cache. */
   void OnSent(const UpstreamId& aUpstream,
-              const std::vector<uint64_t>& aParts,
+              const std::vector<uint64_t>& aSegments,
               uint32_t aTokens,
               Millis aNow);
-  /** The upstream is gone and what it held with it. */
+  /** The upstream's process has ended, and its cache is lost. */
   void Forget(const UpstreamId& aUpstream);
 
-  /** Tokens at the prompt's start that the upstream seems to hold, whose
-   * memory is for so many (0: not known). */
+  /** Tokens at the prompt's start that the upstream is assumed to have cached,
+   * with a cache of aMemoryTokens (0: unknown). */
   uint32_t CachedTokens(const UpstreamId& aUpstream,
                         const PromptShape& aPrompt,
                         uint64_t aMemoryTokens,
                         Millis aNow) const;
 
-  /** Where the prompt's last shared part was sent last, if it is still held
-   * there. */
+  /** Where the prompt's last shared segment was sent last, if it is assumed to
+   * be still cached there. */
   std::optional<UpstreamId> LastHolder(const PromptShape& aPrompt,
                                        uint64_t aMemoryTokens,
                                        Millis aNow) const;
 
 private:
-  /** When a part was last used, and what its upstream had read by then. */
+  /** When a segment was last used, and the upstream's total tokens then. */
   struct Use
   {
     Millis mAt;
@@ -82,16 +81,16 @@
     Millis mAt;
   };
 
-  bool IsHeld(const Upstream& aUpstream,
-              const Use& aUse,
-              uint64_t aMemoryTokens,
-              Millis aNow) const;
+  bool IsCached(const Upstream& aUpstream,
+                const Use& aUse,
+                uint64_t aMemoryTokens,
+                Millis aNow) const;
   void Trim(Upstream& aUpstream, Millis aNow) const;
 
   PrefixCacheTrackerOptions mOptions;
-  std::unordered_map<UpstreamId, Upstream> mHeld;
-  /** By a session's last shared part. */
-  std::unordered_map<uint64_t, Sent> mLast;
+  std::unordered_map<UpstreamId, Upstream> mUpstreams;
+  /** By a session's last shared segment. */
+  std::unordered_map<uint64_t, Sent> mLastSent;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/prompt.h
+++ b/src/libtrefoilarch/prompt.h
@@ -7,7 +7,7 @@
 
 namespace trefoilarch {
 
-/** A part of a prompt that other requests may share. */
+/** A segment of a prompt that other requests may share. */
 struct PromptSegment
 {
   uint64_t mId = 0;
@@ -16,21 +16,22 @@
   bool operator==(const PromptSegment&) const = default;
 };
 
-/** What a caller says of its prompt and of the answer it expects. */
+/** What a caller states about its prompt and the expected response. */
 struct PromptShape
 {
   std::string mModel;
   uint32_t mPromptTokens = 0;
-  /** The most that the answer may have; 0: not told. */
+  /** Maximum output tokens of the response; 0 if not given. */
   uint32_t mMaxOutput = 0;
-  /** The caller's guess, right in the median and often far off; 0: none. */
+  /** The caller's estimate, accurate in the median but often far off; 0 if
+   * none. */
   uint32_t mExpectedOutput = 0;
   /** In the prompt's order; the last belongs to the request or its session. */
   std::vector<PromptSegment> mSegments;
-  /** The first parts that other requests are likely to share. */
+  /** Number of leading segments that other requests are likely to share. */
   size_t mSharedSegments = 0;
 
-  /** Tokens of the parts that others are likely to share. */
+  /** Tokens of the shared segments. */
   uint32_t SharedTokens() const
   {
     uint32_t tokens = 0;
@@ -40,7 +41,7 @@
     return tokens;
   }
 
-  /** Ids of the parts that others are likely to share. */
+  /** Ids of the shared segments. */
   std::vector<uint64_t> SharedIds() const
   {
     std::vector<uint64_t> ids;
--- a/src/libtrefoilarch/requestplan.cpp
+++ b/src/libtrefoilarch/requestplan.cpp
@@ -6,41 +6,40 @@
 
 namespace {
 
-constexpr int kLeastServerError = 500;
+constexpr int kMinServerError = 500;
 
-/** When to come back after a refusal by a full upstream: a few of its calls. */
+/** Retry delay after a rejection by a full upstream: a few of its calls. */
 constexpr Millis kFullRetryAfter{ 200 };
 
-/** When to come back where no upstream is known: a list's usual lag. */
-constexpr Millis kNoneRetryAfter{ 500 };
+/** Retry delay if no upstream is known: the usual lag of a list. */
+constexpr Millis kNoUpstreamRetryAfter{ 500 };
 
-/** Upstreams that are tried in vain before the request is refused. */
-constexpr uint32_t kMostUnreachable = 4;
+/** Unreachable upstreams that are tried before a rejection. */
+constexpr uint32_t kMaxUnreachable = 4;
 
-/** The fate of a like request is known soon, or not in time. */
-constexpr Millis kHoldPause{ 30 };
-constexpr Millis kLongestHold{ 2000 };
+/** The outcome of a similar request is known soon, or not in time. */
+constexpr Millis kHoldInterval{ 30 };
+constexpr Millis kMaxHold{ 2000 };
 
-/** Whether the upstream that broke off has crashed is known within a round
- * trip: before the next one is asked, as this request may be the cause. */
-constexpr Millis kDoubtPause{ 3 };
-constexpr Millis kMostDoubt{ 30 };
+/** Whether the upstream that broke the connection has crashed is known within a
+ * round trip: before the next is chosen, as this request may be the cause. */
+constexpr Millis kSuspicionPollInterval{ 3 };
+constexpr Millis kMaxSuspicionHold{ 30 };
 
-/** Of the time that is left, what a request may be held back for. */
-constexpr int64_t kHoldPart = 2;
+/** A request is held for at most the remaining time divided by this. */
+constexpr int64_t kHoldDivisor = 2;
 
-/** When to come back where a like request's fate was not known in time. */
-constexpr Millis kHeldRetryAfter{ 1000 };
+/** Retry delay if the outcome of a similar request is not known in time. */
+constexpr Millis kHoldRetryAfter{ 1000 };
 
-/** Until the answer to an ask for a permit is looked for again. */
-constexpr Millis kPermitPause{ 2 };
+/** Interval at which the reply to a permit request is polled. */
+constexpr Millis kPermitPollInterval{ 2 };
 
-/** Upstreams whose limits leave no room, one after the other, before the
- * request is refused. */
-constexpr uint32_t kMostPermitAsks = 3;
+/** Upstreams with exhausted rate limits that are tried before a rejection. */
+constexpr uint32_t kMaxPermitRequests = 3;
 
-/** Less time than this is not worth an attempt. */
-constexpr Millis kLeastTime{ 5 };
+/** Less time is not enough for an attempt. */
+constexpr Millis kMinAttemptTime{ 5 };
 
 } // namespace
 
@@ -67,12 +66,12 @@
 {
   mUnreachable++;
   if (!mCurrent.mCopySourceAddress.empty()) {
-    // The copy is out of reach: another upstream would be one more attempt.
-    return MayRepeat() ? Again(aNow, ErrorKind::UpstreamUnreachable)
+    // The copy is unreachable; any other upstream would be one more attempt.
+    return MayRepeat() ? Retry(aNow, ErrorKind::UpstreamUnreachable)
                        : PlanStep(AbortAnswer{});
   }
   mAttempts--;
-  if (mUnreachable >= kMostUnreachable) {
+  if (mUnreachable >= kMaxUnreachable) {
     return Refuse(ErrorKind::UpstreamUnreachable, kFullRetryAfter, aNow);
   }
   return Send(aNow);
@@ -85,36 +84,36 @@
   if (mAnswerBegun && !MayRepeat()) {
     return AbortAnswer{};
   }
-  return Again(aNow, ErrorKind::Shed);
+  return Retry(aNow, ErrorKind::Shed);
 }
 
 PlanStep
 RequestPlan::OnHead(int aStatus, Millis aNow)
 {
-  if (aStatus < kLeastServerError || mAnswerBegun || !MayRepeat() ||
+  if (aStatus < kMinServerError || mAnswerBegun || !MayRepeat() ||
       !AttemptsLeft()) {
     return ForwardAnswer{};
   }
-  // The caller gets this failure, rather than wait for a permit.
-  mPermitAsks = kMostPermitAsks;
-  const PlanStep again = Again(aNow, ErrorKind::UpstreamFailed);
-  return std::holds_alternative<SendRequest>(again) ? again
+  // The caller gets this failure instead of waiting for a permit.
+  mPermitRequests = kMaxPermitRequests;
+  const PlanStep retry = Retry(aNow, ErrorKind::UpstreamFailed);
+  return std::holds_alternative<SendRequest>(retry) ? retry
                                                     : PlanStep(ForwardAnswer{});
 }
 
 PlanStep
-RequestPlan::OnBroken(bool aCanGoOn, Millis aNow)
+RequestPlan::OnBroken(bool aCanContinue, Millis aNow)
 {
   if (mAnswerBegun) {
-    if (auto goesOn = GoOnAtBackup(aNow)) {
-      return std::move(*goesOn);
+    if (auto step = ContinueAtBackup(aNow)) {
+      return std::move(*step);
     }
   }
-  if (mAnswerBegun && !aCanGoOn) {
+  if (mAnswerBegun && !aCanContinue) {
     return AbortAnswer{};
   }
   if (MayRepeat()) {
-    return Again(aNow, ErrorKind::UpstreamFailed);
+    return Retry(aNow, ErrorKind::UpstreamFailed);
   }
   return Refuse(ErrorKind::UpstreamFailed, Millis(0), aNow);
 }
@@ -128,16 +127,16 @@
 PlanStep
 RequestPlan::Send(Millis aNow)
 {
-  if (mRequest.mDeadline - aNow < kLeastTime) {
+  if (mRequest.mDeadline - aNow < kMinAttemptTime) {
     return Refuse(ErrorKind::DeadlineExceeded, Millis(0), aNow);
   }
   if (!mRouter.StillAllowed(mRequest, aNow)) {
-    return Refuse(ErrorKind::PolicyStale, kNoneRetryAfter, aNow);
+    return Refuse(ErrorKind::PolicyStale, kNoUpstreamRetryAfter, aNow);
   }
-  if (auto holdBack = HoldBack(aNow)) {
-    return std::move(*holdBack);
+  if (auto step = HoldIfSuspected(aNow)) {
+    return std::move(*step);
   }
-  mPermit.mMayRequest = mPermitAsks < kMostPermitAsks;
+  mPermit.mMayRequest = mPermitRequests < kMaxPermitRequests;
   std::optional<PlacedAttempt> attempt =
     mRouter.Place(mRequest, mTried, mPermit, aNow);
   if (!attempt) {
@@ -155,63 +154,63 @@
 RequestPlan::OnNotPlaced(Millis aNow)
 {
   if (!mPermit.mUpstream.empty()) {
-    const bool another =
-      std::exchange(mAskedAt, mPermit.mUpstream) != mPermit.mUpstream;
-    mPermitAsks += another ? 1 : 0;
-    return HoldRequest{ .mDelay = kPermitPause };
+    const bool otherUpstream =
+      std::exchange(mPermitUpstream, mPermit.mUpstream) != mPermit.mUpstream;
+    mPermitRequests += otherUpstream ? 1 : 0;
+    return HoldRequest{ .mDelay = kPermitPollInterval };
   }
   if (mPermit.mCapacityIn) {
     return Refuse(ErrorKind::Shed, *mPermit.mCapacityIn, aNow);
   }
-  return Refuse(ErrorKind::NoEligibleUpstream, kNoneRetryAfter, aNow);
+  return Refuse(ErrorKind::NoEligibleUpstream, kNoUpstreamRetryAfter, aNow);
 }
 
 std::optional<PlanStep>
-RequestPlan::HoldBack(Millis aNow)
+RequestPlan::HoldIfSuspected(Millis aNow)
 {
   const Millis since = mHeldSince.value_or(aNow);
-  if (aNow - since < kMostDoubt && mRouter.IsCrashSuspected(mCurrent)) {
+  if (aNow - since < kMaxSuspicionHold && mRouter.IsCrashSuspected(mCurrent)) {
     mHeldSince = since;
-    return HoldRequest{ .mDelay = kDoubtPause };
+    return HoldRequest{ .mDelay = kSuspicionPollInterval };
   }
   switch (mRouter.Admit(mRequest, aNow - since, aNow)) {
     case QuarantineVerdict::Run:
       mHeldSince.reset();
       return std::nullopt;
     case QuarantineVerdict::Refuse:
-      // An hour without it lets it go; before that no return can help.
+      // Ends after an hour without the request; an earlier retry can't succeed.
       return Refuse(
         ErrorKind::Quarantined, mRouter.CrashQuarantine().IdleTimeout(), aNow);
     case QuarantineVerdict::Wait:
       break;
   }
-  const Millis most =
-    std::min(kLongestHold, (mRequest.mDeadline - since) / kHoldPart);
-  if (aNow - since >= most) {
-    return Refuse(ErrorKind::Quarantined, kHeldRetryAfter, aNow);
+  const Millis maxHold =
+    std::min(kMaxHold, (mRequest.mDeadline - since) / kHoldDivisor);
+  if (aNow - since >= maxHold) {
+    return Refuse(ErrorKind::Quarantined, kHoldRetryAfter, aNow);
   }
   mHeldSince = since;
-  return HoldRequest{ .mDelay = kHoldPause };
+  return HoldRequest{ .mDelay = kHoldInterval };
 }
 
 PlanStep
-RequestPlan::Again(Millis aNow, ErrorKind aOtherwise)
+RequestPlan::Retry(Millis aNow, ErrorKind aFallbackKind)
 {
   if (!AttemptsLeft() || !mRouter.TakeRetry(mRequest.mService)) {
-    return Refuse(aOtherwise, kFullRetryAfter, aNow);
+    return Refuse(aFallbackKind, kFullRetryAfter, aNow);
   }
   PlanStep next = Send(aNow);
   if (std::holds_alternative<SendRequest>(next) ||
       std::holds_alternative<HoldRequest>(next)) {
     return next;
   }
-  return Refuse(aOtherwise, kFullRetryAfter, aNow);
+  return Refuse(aFallbackKind, kFullRetryAfter, aNow);
 }
 
 std::optional<PlanStep>
-RequestPlan::GoOnAtBackup(Millis aNow)
+RequestPlan::ContinueAtBackup(Millis aNow)
 {
-  if (mCurrent.mBackup.empty() || mRequest.mDeadline - aNow < kLeastTime ||
+  if (mCurrent.mBackup.empty() || mRequest.mDeadline - aNow < kMinAttemptTime ||
       !mRouter.StillAllowed(mRequest, aNow) ||
       mRouter.Admit(mRequest, Millis(0), aNow) != QuarantineVerdict::Run ||
       !mRouter.TakeRetry(mRequest.mService)) {
--- a/src/libtrefoilarch/retrybudget.cpp
+++ b/src/libtrefoilarch/retrybudget.cpp
@@ -8,12 +8,12 @@
 
 constexpr double kHundred = 100;
 
-/** Retries that one entry saves up at the most: more of them in one moment
- * would fall on upstreams that fail together. */
-constexpr double kMostSaved = 8;
+/** Maximum retries that one entry saves up: more of them at once would add to
+ * the load of upstreams that fail together. */
+constexpr double kMaxBalance = 8;
 
-/** What an entry has that does not know how many share the slack. */
-constexpr double kAlone = 1;
+/** Retries of an entry that doesn't know how many share the slack. */
+constexpr double kUnknownFleetRetries = 1;
 
 } // namespace
 
@@ -21,9 +21,9 @@
 RetriesPerEntry(double aSlack, size_t aEntries)
 {
   if (aEntries == 0) {
-    return std::min(aSlack, kAlone);
+    return std::min(aSlack, kUnknownFleetRetries);
   }
-  return std::min(aSlack / static_cast<double>(aEntries), kMostSaved);
+  return std::min(aSlack / static_cast<double>(aEntries), kMaxBalance);
 }
 
 RetryBudget::RetryBudget(RetryBudgetOptions aOptions)
@@ -34,34 +34,36 @@
 void
 RetryBudget::OnFirstAttempt(const std::string& aClass)
 {
-  double& left = mLeft.try_emplace(aClass, mOptions.mInitial).first->second;
-  left = std::min(left + mOptions.mPercent / kHundred, mOptions.mMax);
+  double& remaining =
+    mBalances.try_emplace(aClass, mOptions.mInitial).first->second;
+  remaining = std::min(remaining + mOptions.mPercent / kHundred, mOptions.mMax);
 }
 
 bool
 RetryBudget::TakeRetry(const std::string& aClass)
 {
-  double& left = mLeft.try_emplace(aClass, mOptions.mInitial).first->second;
-  if (left < 1) {
+  double& remaining =
+    mBalances.try_emplace(aClass, mOptions.mInitial).first->second;
+  if (remaining < 1) {
     return false;
   }
-  left -= 1;
+  remaining -= 1;
   return true;
 }
 
 double
 RetryBudget::Remaining(const std::string& aClass) const
 {
-  const auto place = mLeft.find(aClass);
-  return place == mLeft.end() ? mOptions.mInitial : place->second;
+  const auto it = mBalances.find(aClass);
+  return it == mBalances.end() ? mOptions.mInitial : it->second;
 }
 
 void
 RetryBudget::SetOptions(RetryBudgetOptions aOptions)
 {
   mOptions = aOptions;
-  for (auto& [name, left] : mLeft) {
-    left = std::min(left, mOptions.mMax);
+  for (auto& [name, remaining] : mBalances) {
+    remaining = std::min(remaining, mOptions.mMax);
   }
 }
 
--- a/src/libtrefoilarch/routedemand.h
+++ b/src/libtrefoilarch/routedemand.h
@@ -7,7 +7,7 @@
 
 namespace trefoilarch {
 
-/** What came of one route lately: sums that fade by
+/** Recent demand of one route: sums that decay with
  * DedicatedPoolsOptions::mDemandDecayTime. */
 struct RouteDemand
 {
@@ -16,8 +16,8 @@
   double mCount = 0;
   double mPromptTokens = 0;
   double mOutputTokens = 0;
-  /** Requests that are at upstreams, running or waiting; no sum, but as many
-   * as there were at the last request. */
+  /** Requests that are running or waiting at upstreams. Not a sum, but their
+   * number at the last request. */
   double mOpen = 0;
   /** The longest pause that the route's streams allow. */
   Millis mMaxPause;
--- a/src/libtrefoilarch/runningmean.h
+++ b/src/libtrefoilarch/runningmean.h
@@ -5,8 +5,8 @@
 
 namespace trefoilarch {
 
-/** A mean in which the newest sample has a fixed weight; the first ones count
- * alike, so that it means something from the start. */
+/** A mean in which the newest sample has a fixed weight. The first samples have
+ * equal weights, so that the mean is usable from the start. */
 class RunningMean
 {
 public:
--- a/src/libtrefoilarch/sessionengines.cpp
+++ b/src/libtrefoilarch/sessionengines.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/** Boundaries of lanes are taken to differ among entries by less than one
- * engine in so many. Of one to five engines, two left least to be read again
- * at 12 engines; at 42, four left a tenth more than five. */
-constexpr uint32_t kEdgePart = 10;
+/** Boundaries of pools are assumed to differ among entries by less than one
+ * engine in this many. Of one to five engines, two caused the least repeated
+ * prefill at 12 engines; at 42, four caused a tenth more than five. */
+constexpr uint32_t kBoundaryMarginDivisor = 10;
 
-/** ...and by one engine at the least, on either side. */
-constexpr uint32_t kLeastEdge = 2;
+/** They are assumed to differ by at least one engine, on either side. */
+constexpr uint32_t kMinBoundaryMargin = 2;
 
 uint64_t
 RankOf(uint64_t aSession, const UpstreamId& aUpstream)
@@ -22,7 +22,7 @@
 }
 
 bool
-IsInLane(const PlacementCandidate& aCandidate)
+IsInPool(const PlacementCandidate& aCandidate)
 {
   return aCandidate.mPoolPosition.mDistance == 0;
 }
@@ -36,14 +36,15 @@
   if (aPrompt.mSharedSegments == 0) {
     return;
   }
-  mEdge =
-    std::max(kLeastEdge, static_cast<uint32_t>(aCandidates.size()) / kEdgePart);
+  mBoundaryMargin = std::max(kMinBoundaryMargin,
+                             static_cast<uint32_t>(aCandidates.size()) /
+                               kBoundaryMarginDivisor);
   const uint64_t session = aPrompt.mSegments[aPrompt.mSharedSegments - 1].mId;
-  const bool lane =
-    std::any_of(aCandidates.begin(), aCandidates.end(), IsInLane);
+  const bool anyInPool =
+    std::any_of(aCandidates.begin(), aCandidates.end(), IsInPool);
   for (const PlacementCandidate& each : aCandidates) {
     const uint64_t rank = RankOf(session, each.mListed->mId);
-    if (lane && !IsInLane(each)) {
+    if (anyInPool && !IsInPool(each)) {
       RankOutside(each, rank);
     } else {
       Rank(each, rank);
@@ -59,7 +60,8 @@
     mSecondRank = mFirstRank;
     mFirst = aCandidate.mListed;
     mFirstRank = aRank;
-    mFirstNearEdge = aCandidate.mPoolPosition.mBoundaryDistance < mEdge;
+    mFirstNearBoundary =
+      aCandidate.mPoolPosition.mBoundaryDistance < mBoundaryMargin;
   } else if (mSecond == nullptr || aRank > mSecondRank) {
     mSecond = aCandidate.mListed;
     mSecondRank = aRank;
@@ -70,7 +72,8 @@
 SessionEngines::RankOutside(const PlacementCandidate& aCandidate,
                             uint64_t aRank)
 {
-  const bool near = aCandidate.mPoolPosition.mBoundaryDistance < mEdge;
+  const bool near =
+    aCandidate.mPoolPosition.mBoundaryDistance < mBoundaryMargin;
   if (near && (mOutside == nullptr || aRank > mOutsideRank)) {
     mOutside = aCandidate.mListed;
     mOutsideRank = aRank;
@@ -86,7 +89,7 @@
   if (mOutside != nullptr && mOutsideRank > mFirstRank) {
     return mOutside;
   }
-  return mFirstNearEdge ? mSecond : nullptr;
+  return mFirstNearBoundary ? mSecond : nullptr;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/sharedsegmentdetector.cpp
+++ b/src/libtrefoilarch/sharedsegmentdetector.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-/** Last parts that are remembered for each route. */
-constexpr size_t kMostIds = 1024;
+/** Last segments that are tracked for each route. */
+constexpr size_t kMaxIds = 1024;
 
 /** Weight of the newest prompt. */
-constexpr double kNewest = 0.02;
+constexpr double kNewestWeight = 0.02;
 
-/** This share of last parts seen before makes them a session's. */
+/** Share of repeated last segments from which they belong to sessions. */
 constexpr double kSessionShare = 0.08;
 
 } // namespace
@@ -22,19 +22,20 @@
   if (aPrompt.mSegments.empty()) {
     return 0;
   }
-  Seen& seen = mRoutes[aRoute];
+  RouteHistory& history = mRoutes[aRoute];
   const uint64_t last = aPrompt.mSegments.back().mId;
-  const bool again = !seen.mIds.insert(last).second;
-  seen.mAgain += kNewest * ((again ? 1 : 0) - seen.mAgain);
-  if (!again) {
-    seen.mOrder.push_back(last);
+  const bool repeated = !history.mIds.insert(last).second;
+  history.mRepeatedShare +=
+    kNewestWeight * ((repeated ? 1 : 0) - history.mRepeatedShare);
+  if (!repeated) {
+    history.mInsertionOrder.push_back(last);
   }
-  if (seen.mOrder.size() > kMostIds) {
-    seen.mIds.erase(seen.mOrder.front());
-    seen.mOrder.pop_front();
+  if (history.mInsertionOrder.size() > kMaxIds) {
+    history.mIds.erase(history.mInsertionOrder.front());
+    history.mInsertionOrder.pop_front();
   }
-  const size_t parts = aPrompt.mSegments.size();
-  return seen.mAgain >= kSessionShare ? parts : parts - 1;
+  const size_t segments = aPrompt.mSegments.size();
+  return history.mRepeatedShare >= kSessionShare ? segments : segments - 1;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/sharedsegmentdetector.h
+++ b/src/libtrefoilarch/sharedsegmentdetector.h
@@ -12,26 +12,26 @@
 namespace trefoilarch {
 
 /**
- * Learns, route by route, whether the last part of a prompt belongs to the
- * request alone or to a session that comes again. Nobody else has read what
- * belongs to one request alone, so it must not decide where to go.
+ * Learns for each route whether the last segment of a prompt belongs to the
+ * request alone or to a session with further requests. A segment of a single
+ * request is cached nowhere and must not determine its upstream.
  */
 class SharedSegmentDetector
 {
 public:
-  /** Takes note of a prompt and returns how many of its first parts other
-   * requests are likely to share. */
+  /** Records a prompt and returns how many of its first segments other requests
+   * are likely to share. */
   size_t OnPrompt(const std::string& aRoute, const PromptShape& aPrompt);
 
 private:
-  struct Seen
+  struct RouteHistory
   {
     std::unordered_set<uint64_t> mIds;
-    std::deque<uint64_t> mOrder;
-    double mAgain = 0;
+    std::deque<uint64_t> mInsertionOrder;
+    double mRepeatedShare = 0;
   };
 
-  std::unordered_map<std::string, Seen> mRoutes;
+  std::unordered_map<std::string, RouteHistory> mRoutes;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/startmeter.cpp
+++ b/src/libtrefoilarch/startmeter.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-/** Starts within this span make the rate. */
-constexpr Millis kRateSpan{ 2000 };
+/** The rate is computed from the starts in this window. */
+constexpr Millis kRateWindow{ 2000 };
 
 /** Weight of the newest start's wait. */
-constexpr double kNewest = 0.2;
+constexpr double kNewestWeight = 0.2;
 
-/** The memory of waits fades by this time constant while nothing starts. */
-constexpr double kWaitMemoryMs = 3000;
+/** Time constant by which the mean wait decays while nothing starts. */
+constexpr double kWaitDecayMs = 3000;
 
-/** Those that wait are, on average, half way through their waits. */
-constexpr double kAgeToWait = 2;
+/** Pending requests are on average half way through their wait. */
+constexpr double kWaitPerAge = 2;
 
-constexpr Millis kLeastReturn{ 200 };
-constexpr Millis kLongestReturn{ 1500 };
+constexpr Millis kMinRetryAfter{ 200 };
+constexpr Millis kMaxRetryAfter{ 1500 };
 constexpr double kMillisPerSecond = 1000;
 
 } // namespace
@@ -34,59 +34,60 @@
 StartMeter::OnSent(Millis aNow)
 {
   mPending++;
-  mSentSum += aNow.Count();
+  mSentAtSum += aNow.Count();
 }
 
 void
 StartMeter::OnStarted(Millis aSentAt, Millis aNow)
 {
-  Leave(aSentAt);
+  RemovePending(aSentAt);
   mRunning++;
   mStarts.push_back(aNow);
-  mWait += kNewest * (static_cast<double>((aNow - aSentAt).Count()) - mWait);
-  mWaitAt = aNow;
+  mMeanWait +=
+    kNewestWeight * (static_cast<double>((aNow - aSentAt).Count()) - mMeanWait);
+  mMeanWaitAt = aNow;
 }
 
 void
 StartMeter::OnAbandoned(Millis aSentAt)
 {
-  Leave(aSentAt);
+  RemovePending(aSentAt);
 }
 
 void
 StartMeter::OnEnded(Millis aStartedAt, Millis aNow)
 {
   mRunning -= std::min(mRunning, 1U);
-  mAnswer.Add(static_cast<double>((aNow - aStartedAt).Count()));
+  mMeanAnswer.Add(static_cast<double>((aNow - aStartedAt).Count()));
 }
 
 std::optional<Millis>
-StartMeter::Refuse(Millis aTarget, Millis aLimit, double aFavour, Millis aNow)
+StartMeter::Refuse(Millis aTarget, Millis aLimit, double aWeight, Millis aNow)
 {
   if (mPending < mOptions.mAlwaysAllowedPending) {
     return std::nullopt;
   }
-  if (!StartsTooLate(aTarget, aFavour, aNow) &&
-      !EndsTooLate(aLimit, aFavour, aNow)) {
+  if (!StartsTooLate(aTarget, aWeight, aNow) &&
+      !EndsTooLate(aLimit, aWeight, aNow)) {
     return std::nullopt;
   }
-  return std::clamp(ExpectedWait(aNow) / 2, kLeastReturn, kLongestReturn);
+  return std::clamp(ExpectedWait(aNow) / 2, kMinRetryAfter, kMaxRetryAfter);
 }
 
 bool
-StartMeter::StartsTooLate(Millis aTarget, double aFavour, Millis aNow)
+StartMeter::StartsTooLate(Millis aTarget, double aWeight, Millis aNow)
 {
-  const Millis judged = std::max(aTarget, mOptions.mMinTarget);
-  const double target = static_cast<double>(judged.Count()) * aFavour;
+  const Millis boundedTarget = std::max(aTarget, mOptions.mMinTarget);
+  const double target = static_cast<double>(boundedTarget.Count()) * aWeight;
   return RecentWait(aNow) >= mOptions.mSlowShare * target &&
          static_cast<double>(ExpectedWait(aNow).Count()) >
            mOptions.mMaxWaitShare * target;
 }
 
 bool
-StartMeter::EndsTooLate(Millis aLimit, double aFavour, Millis aNow)
+StartMeter::EndsTooLate(Millis aLimit, double aWeight, Millis aNow)
 {
-  const double limit = static_cast<double>(aLimit.Count()) * aFavour;
+  const double limit = static_cast<double>(aLimit.Count()) * aWeight;
   const double end = RecentWait(aNow) + mOptions.mAnswerSpread * AnswerMs();
   return end > mOptions.mMaxTimeShare * limit;
 }
@@ -101,32 +102,34 @@
 double
 StartMeter::Rate(Millis aNow)
 {
-  while (!mStarts.empty() && aNow - mStarts.front() > kRateSpan) {
+  while (!mStarts.empty() && aNow - mStarts.front() > kRateWindow) {
     mStarts.pop_front();
   }
   const double starts =
     std::max<double>(1, static_cast<double>(mStarts.size()));
-  return starts * kMillisPerSecond / static_cast<double>(kRateSpan.Count());
+  return starts * kMillisPerSecond / static_cast<double>(kRateWindow.Count());
 }
 
 double
 StartMeter::RecentWait(Millis aNow) const
 {
-  const double age = mPending == 0 ? 0
-                                   : static_cast<double>(aNow.Count()) -
-                                       static_cast<double>(mSentSum) / mPending;
-  const double idle = static_cast<double>((aNow - mWaitAt).Count());
-  return std::max(mWait * std::exp(-idle / kWaitMemoryMs), kAgeToWait * age);
+  const double age = mPending == 0
+                       ? 0
+                       : static_cast<double>(aNow.Count()) -
+                           static_cast<double>(mSentAtSum) / mPending;
+  const double idle = static_cast<double>((aNow - mMeanWaitAt).Count());
+  return std::max(mMeanWait * std::exp(-idle / kWaitDecayMs),
+                  kWaitPerAge * age);
 }
 
 void
-StartMeter::Leave(Millis aSentAt)
+StartMeter::RemovePending(Millis aSentAt)
 {
   if (mPending == 0) {
     return;
   }
   mPending--;
-  mSentSum -= aSentAt.Count();
+  mSentAtSum -= aSentAt.Count();
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamwork.cpp
+++ b/src/libtrefoilarch/upstreamwork.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** A report says nothing any more after this; a few answers' distance. */
-constexpr Millis kReportSpan{ 3000 };
+/** A report is ignored at a higher age: the time of a few responses. */
+constexpr Millis kMaxReportAge{ 3000 };
 
 } // namespace
 
@@ -18,7 +18,7 @@
     mBusySince = aNow;
   }
   mOpen++;
-  Change(+1, aNow);
+  RecordChange(+1, aNow);
   mPending.Add(aWork.mUrgency, aWork.mPrefill);
 }
 
@@ -35,7 +35,7 @@
     OnStarted(aWork);
   }
   mOpen -= std::min(mOpen, 1U);
-  Change(-1, aNow);
+  RecordChange(-1, aNow);
 }
 
 void
@@ -52,26 +52,26 @@
 }
 
 void
-UpstreamWork::Change(int aBy, Millis aNow)
+UpstreamWork::RecordChange(int aDelta, Millis aNow)
 {
-  // What no report that still counts can be older than is forgotten.
+  // Drops changes that are older than any report that still counts.
   while (!mSinceReport.empty() &&
-         aNow - mSinceReport.front().mAt > kReportSpan) {
+         aNow - mSinceReport.front().mAt > kMaxReportAge) {
     mSinceReport.pop_front();
   }
-  mSinceReport.push_back({ .mAt = aNow, .mBy = aBy });
+  mSinceReport.push_back({ .mAt = aNow, .mDelta = aDelta });
 }
 
 double
 UpstreamWork::Busy(Millis aNow) const
 {
-  if (!mReport || aNow - mReportedAt > kReportSpan) {
+  if (!mReport || aNow - mReportedAt > kMaxReportAge) {
     return mOpen;
   }
   double busy = static_cast<double>(mReport->mRunning) +
                 static_cast<double>(mReport->mWaiting);
   for (const LoadChange& each : mSinceReport) {
-    busy += each.mBy;
+    busy += each.mDelta;
   }
   return std::max<double>(busy, mOpen);
 }
@@ -79,7 +79,7 @@
 Millis
 UpstreamWork::ReportAge(Millis aNow) const
 {
-  return mReport ? std::min(aNow - mReportedAt, kReportSpan) : kReportSpan;
+  return mReport ? std::min(aNow - mReportedAt, kMaxReportAge) : kMaxReportAge;
 }
 
 Millis
@@ -88,7 +88,7 @@
   if (mOpen == 0) {
     return Millis(0);
   }
-  return std::max(Millis(0), aNow - std::max(mHeard, mBusySince));
+  return std::max(Millis(0), aNow - std::max(mReceivedAt, mBusySince));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamwork.h
+++ b/src/libtrefoilarch/upstreamwork.h
@@ -9,19 +9,19 @@
 
 namespace trefoilarch {
 
-/** What one attempt asks of an upstream, as estimated when it is sent. */
+/** The work of one attempt, as estimated when it is sent. */
 struct AttemptWork
 {
-  /** Prompt tokens that the upstream has to read. */
+  /** Prompt tokens that the upstream must prefill. */
   uint32_t mPrefill = 0;
   uint32_t mOutput = 0;
-  /** 0 is read first. */
+  /** 0 is prefilled first. */
   uint8_t mUrgency = 0;
 
   bool operator==(const AttemptWork&) const = default;
 };
 
-/** An upstream's own word on its load, carried by its answers. */
+/** The load that an upstream reports with its responses. */
 struct ReportedLoad
 {
   uint32_t mRunning = 0;
@@ -32,53 +32,50 @@
 };
 
 /**
- * What one entry believes of the work at one upstream: its own attempts
- * there, exactly, and the others' by the upstream's last report, whichever
- * entry got it.
+ * The estimated work at one upstream: exact for this entry's own attempts, by
+ * the upstream's last report to any entry for those of others.
  */
 class UpstreamWork
 {
 public:
   void OnSent(const AttemptWork& aWork, Millis aNow);
-  /** The first byte of an answer: its prompt has been read. */
+  /** The first byte of a response was received: its prompt is prefilled. */
   void OnStarted(const AttemptWork& aWork);
   void OnEnded(const AttemptWork& aWork, bool aStarted, Millis aNow);
-  /** Any byte came from the upstream. */
-  void OnBytesReceived(Millis aNow) { mHeard = aNow; }
-  /** Made at that instant; an older one than the last says nothing. */
+  void OnBytesReceived(Millis aNow) { mReceivedAt = aNow; }
+  /** A report that was made at aAt; ignored if older than the last one. */
   void OnReport(const ReportedLoad& aLoad, Millis aAt);
-  /** Another entry sent a request there. */
-  void OnSentByPeer(Millis aNow) { Change(+1, aNow); }
+  void OnSentByPeer(Millis aNow) { RecordChange(+1, aNow); }
 
   /** This entry's attempts there. */
   uint32_t Open() const { return mOpen; }
-  /** Prompt tokens of this entry that wait to be read there. */
+  /** Prompt tokens of this entry not yet prefilled there. */
   const PendingPrefill& Pending() const { return mPending; }
-  /** Attempts of all entries that run or wait there. */
+  /** Attempts of all entries that are running or waiting there. */
   double Busy(Millis aNow) const;
-  /** How old Busy() is but for what was told since. */
+  /** Age of the report behind Busy(), apart from changes received since. */
   Millis ReportAge(Millis aNow) const;
-  /** How long nothing has come though an answer is due; zero otherwise. */
+  /** Time since anything was received while a response is due. */
   Millis Silence(Millis aNow) const;
 
 private:
-  /** An attempt that came (1) or went (-1). */
+  /** An attempt that was added (1) or removed (-1). */
   struct LoadChange
   {
     Millis mAt;
-    int mBy = 0;
+    int mDelta = 0;
   };
 
-  void Change(int aBy, Millis aNow);
+  void RecordChange(int aDelta, Millis aNow);
 
   uint32_t mOpen = 0;
   PendingPrefill mPending;
   std::optional<ReportedLoad> mReport;
   Millis mReportedAt;
-  /** What came and went since the report, oldest first. */
+  /** Changes since the report, oldest first. */
   std::deque<LoadChange> mSinceReport;
-  Millis mHeard;
-  /** When the first of the attempts that are open now was sent. */
+  Millis mReceivedAt;
+  /** When the first of the currently open attempts was sent. */
   Millis mBusySince;
 };
 
