--- a/src/libtrefoilarch/workplacement.cpp
+++ b/src/libtrefoilarch/workplacement.cpp
@@ -10,30 +10,30 @@
 
 namespace {
 
-/** Output tokens of a request of which nothing is known. */
-constexpr uint32_t kUsualOutput = 100;
+/** Output tokens of a request without an estimate. */
+constexpr uint32_t kDefaultOutput = 100;
 
-/** Ties are broken by chance within this, so that entries do not all send to
+/** Smaller differences are decided at random, so that not all entries send to
  * the same upstream. */
-constexpr double kChanceMs = 1;
+constexpr double kTieBreakMs = 1;
 
-/** Weight of a silent millisecond: silence soon outweighs every other cost. */
+/** Cost of a millisecond of silence; soon exceeds every other cost. */
 constexpr double kSilenceWeight = 2;
 
-/** What a request beyond the engine's slots waits for, in milliseconds, while
- * it isn't known how long answers take. */
-constexpr double kUsualSlotMs = 50;
+/** Wait per request beyond the engine's slots, in milliseconds, while the
+ * response time is unknown. */
+constexpr double kDefaultSlotMs = 50;
 
-/** Less than this is not worth fetching from another engine: one that has
- * nothing to give costs some milliseconds all the same. */
-constexpr uint32_t kLeastFetch = 150;
+/** Fewer are not worth a fetch from another engine, which costs some
+ * milliseconds even if it has none of them. */
+constexpr uint32_t kMinFetchTokens = 150;
 
 uint32_t
 OutputOf(const PromptShape& aPrompt)
 {
   uint32_t output = aPrompt.mExpectedOutput;
   if (output == 0) {
-    output = aPrompt.mMaxOutput > 0 ? aPrompt.mMaxOutput / 2 : kUsualOutput;
+    output = aPrompt.mMaxOutput > 0 ? aPrompt.mMaxOutput / 2 : kDefaultOutput;
   }
   return output;
 }
@@ -60,52 +60,53 @@
 WorkPlacement::Choose(const std::vector<PlacementCandidate>& aCandidates,
                       const PromptShape& aPrompt,
                       uint8_t aUrgency,
-                      EngineInfo aFacts,
+                      EngineInfo aInfo,
                       Millis aNow)
 {
-  aFacts.mMeanBusy = MeanBusy(aCandidates, aNow);
-  const EngineInfo* engine = aPrompt.mPromptTokens > 0 ? &aFacts : nullptr;
+  aInfo.mMeanBusy = MeanBusy(aCandidates, aNow);
+  const EngineInfo* engine = aPrompt.mPromptTokens > 0 ? &aInfo : nullptr;
   const SessionEngines session(aCandidates, aPrompt);
   const uint32_t shared = aPrompt.SharedTokens();
-  const auto last = mMemory.LastHolder(aPrompt, aFacts.mMemoryTokens, aNow);
+  const auto lastHolder =
+    mPrefixCaches.LastHolder(aPrompt, aInfo.mMemoryTokens, aNow);
   std::vector<Option> options;
   options.reserve(aCandidates.size());
   for (const PlacementCandidate& each : aCandidates) {
     Option option{ .mCandidate = &each,
-                   .mPlaced = { .mUpstream = each.mListed->mId } };
-    PlacementChoice& placed = option.mPlaced;
+                   .mChoice = { .mUpstream = each.mListed->mId } };
+    PlacementChoice& choice = option.mChoice;
     if (engine != nullptr) {
-      option.mKnown = mMemory.CachedTokens(
-        each.mListed->mId, aPrompt, aFacts.mMemoryTokens, aNow);
-      uint32_t held = option.mKnown;
+      option.mCached = mPrefixCaches.CachedTokens(
+        each.mListed->mId, aPrompt, aInfo.mMemoryTokens, aNow);
+      uint32_t cached = option.mCached;
       if (each.mListed == session.First()) {
-        held = shared;
+        cached = shared;
       } else if (each.mListed == session.Second()) {
-        held = std::max(held, shared / 2);
+        cached = std::max(cached, shared / 2);
       }
-      placed.mWork.mPrefill =
-        aPrompt.mPromptTokens - std::min(held, aPrompt.mPromptTokens);
-      placed.mWork.mOutput = OutputOf(aPrompt);
-      placed.mWork.mUrgency = aUrgency;
-      placed.mMissing = shared - std::min(held, shared);
-      placed.mFetchable = last.has_value();
+      choice.mWork.mPrefill =
+        aPrompt.mPromptTokens - std::min(cached, aPrompt.mPromptTokens);
+      choice.mWork.mOutput = OutputOf(aPrompt);
+      choice.mWork.mUrgency = aUrgency;
+      choice.mMissing = shared - std::min(cached, shared);
+      choice.mFetchable = lastHolder.has_value();
     }
-    option.mCost = CostOf(each, placed, engine, aNow);
+    option.mCost = CostOf(each, choice, engine, aNow);
     options.push_back(std::move(option));
   }
   const Option& chosen = Pick(options, engine, aNow);
-  PlacementChoice best = chosen.mPlaced;
-  const uint32_t bestHeld = chosen.mKnown;
-  if (shared >= kLeastFetch && bestHeld < shared) {
-    best.mHolder = HolderFor(session, last, best.mUpstream);
+  PlacementChoice best = chosen.mChoice;
+  const uint32_t bestCached = chosen.mCached;
+  if (shared >= kMinFetchTokens && bestCached < shared) {
+    best.mHolder = HolderFor(session, lastHolder, best.mUpstream);
   }
   if (engine != nullptr) {
-    best.mWaitMs = WaitMs(*chosen.mCandidate, aUrgency, aFacts, aNow);
+    best.mWaitMs = WaitMs(*chosen.mCandidate, aUrgency, aInfo, aNow);
   }
-  if (engine != nullptr && aFacts.mPeersReporting && best.mHolder.empty()) {
-    // What nobody is known to hold has to be read, wherever it is sent.
+  if (engine != nullptr && aInfo.mPeersReporting && best.mHolder.empty()) {
+    // Tokens that no engine is known to have cached are prefilled anywhere.
     best.mWork.mPrefill =
-      aPrompt.mPromptTokens - std::min(bestHeld, aPrompt.mPromptTokens);
+      aPrompt.mPromptTokens - std::min(bestCached, aPrompt.mPromptTokens);
   }
   return best;
 }
@@ -115,7 +116,7 @@
                     const EngineInfo* aEngine,
                     Millis aNow)
 {
-  const auto least =
+  const auto cheapest =
     std::min_element(aOptions.begin(),
                      aOptions.end(),
                      [](const Option& aLeft, const Option& aRight) {
@@ -123,16 +124,17 @@
                      });
   const double spread =
     aEngine == nullptr || mOptions.mCost
-      ? kChanceMs
-      : std::max(kChanceMs, Uncertainty(*least->mCandidate, *aEngine, aNow));
-  std::uniform_real_distribution<double> chance(0, spread);
-  const uint32_t lane = least->mCandidate->mPoolPosition.mDistance;
-  const Option* best = &*least;
+      ? kTieBreakMs
+      : std::max(kTieBreakMs,
+                 Uncertainty(*cheapest->mCandidate, *aEngine, aNow));
+  std::uniform_real_distribution<double> tieBreak(0, spread);
+  const uint32_t distance = cheapest->mCandidate->mPoolPosition.mDistance;
+  const Option* best = &*cheapest;
   double bestCost = std::numeric_limits<double>::max();
   for (const Option& each : aOptions) {
-    const bool near = each.mCost <= least->mCost + spread &&
-                      each.mCandidate->mPoolPosition.mDistance == lane;
-    const double cost = near ? each.mCost + chance(mRandom) : bestCost;
+    const bool tied = each.mCost <= cheapest->mCost + spread &&
+                      each.mCandidate->mPoolPosition.mDistance == distance;
+    const double cost = tied ? each.mCost + tieBreak(mRandom) : bestCost;
     if (cost < bestCost) {
       bestCost = cost;
       best = &each;
@@ -143,30 +145,30 @@
 
 double
 WorkPlacement::Uncertainty(const PlacementCandidate& aCandidate,
-                           const EngineInfo& aFacts,
+                           const EngineInfo& aInfo,
                            Millis aNow) const
 {
   const UpstreamWork& work = *aCandidate.mWork;
-  // What was sent longer ago than an answer takes has ended again.
+  // Requests that were sent longer ago than a response takes have ended.
   const double age = std::min(static_cast<double>(work.ReportAge(aNow).Count()),
-                              aFacts.mAnswerMs);
-  const double sent = aFacts.mReportedPerMs * aFacts.mReportIntervalMs / 2 +
-                      aFacts.mUnreportedPerMs * age;
-  const double over =
+                              aInfo.mAnswerMs);
+  const double sent = aInfo.mReportedPerMs * aInfo.mReportIntervalMs / 2 +
+                      aInfo.mUnreportedPerMs * age;
+  const double queued =
     std::max(0.0,
-             BusyAt(aCandidate, aFacts, aNow) + sent -
+             EstimatedBusy(aCandidate, aInfo, aNow) + sent -
                static_cast<double>(aCandidate.mListed->mSlots));
-  return std::min(sent, over) * SlotMs(*aCandidate.mListed, aFacts) *
+  return std::min(sent, queued) * SlotMs(*aCandidate.mListed, aInfo) *
          mOptions.mWaitWeight;
 }
 
 UpstreamId
 WorkPlacement::HolderFor(const SessionEngines& aSession,
-                         const std::optional<UpstreamId>& aLast,
+                         const std::optional<UpstreamId>& aLastHolder,
                          const UpstreamId& aChosen)
 {
-  if (aLast) {
-    return *aLast == aChosen ? UpstreamId() : *aLast;
+  if (aLastHolder) {
+    return *aLastHolder == aChosen ? UpstreamId() : *aLastHolder;
   }
   const ListedUpstream* holder = aSession.HolderFor(aChosen);
   return holder != nullptr ? holder->mId : UpstreamId();
@@ -174,35 +176,35 @@
 
 double
 WorkPlacement::CostOf(const PlacementCandidate& aCandidate,
-                      const PlacementChoice& aPlaced,
+                      const PlacementChoice& aChoice,
                       const EngineInfo* aEngine,
                       Millis aNow) const
 {
   if (mOptions.mCost) {
-    return mOptions.mCost(aCandidate, aPlaced, aNow);
+    return mOptions.mCost(aCandidate, aChoice, aNow);
   }
-  return aEngine != nullptr ? EngineCost(aCandidate, aPlaced, *aEngine, aNow)
+  return aEngine != nullptr ? EngineCost(aCandidate, aChoice, *aEngine, aNow)
                             : PlainCost(aCandidate, aNow);
 }
 
 double
 WorkPlacement::EngineCost(const PlacementCandidate& aCandidate,
-                          const PlacementChoice& aPlaced,
-                          const EngineInfo& aFacts,
+                          const PlacementChoice& aChoice,
+                          const EngineInfo& aInfo,
                           Millis aNow) const
 {
-  // A caller may call its prompt shorter than its parts are.
+  // A caller may state a prompt length below the sum of its segments.
   const double own = std::max(0.0,
-                              static_cast<double>(aPlaced.mWork.mPrefill) -
-                                static_cast<double>(aPlaced.mMissing));
-  const double again =
-    aPlaced.mMissing *
-    (aPlaced.mFetchable ? mOptions.mFetchedWeight : mOptions.mSharedWeight);
-  const double read =
-    (own + again) / aFacts.mPrefillPerMs * aCandidate.mSlowness;
-  const double wait = WaitMs(aCandidate, aPlaced.mWork.mUrgency, aFacts, aNow);
-  return read + wait * mOptions.mWaitWeight +
-         BusyAt(aCandidate, aFacts, aNow) * mOptions.mBusyMs +
+                              static_cast<double>(aChoice.mWork.mPrefill) -
+                                static_cast<double>(aChoice.mMissing));
+  const double repeated =
+    aChoice.mMissing *
+    (aChoice.mFetchable ? mOptions.mFetchedWeight : mOptions.mSharedWeight);
+  const double prefill =
+    (own + repeated) / aInfo.mPrefillPerMs * aCandidate.mSlowness;
+  const double wait = WaitMs(aCandidate, aChoice.mWork.mUrgency, aInfo, aNow);
+  return prefill + wait * mOptions.mWaitWeight +
+         EstimatedBusy(aCandidate, aInfo, aNow) * mOptions.mBusyMs +
          aCandidate.mPoolPosition.mDistance * mOptions.mOtherPoolMs +
          Distance(aCandidate, mOptions.mOtherDataCentreMs) +
          SilenceCost(aCandidate, aNow) +
@@ -212,51 +214,52 @@
 double
 WorkPlacement::WaitMs(const PlacementCandidate& aCandidate,
                       uint8_t aUrgency,
-                      const EngineInfo& aFacts,
+                      const EngineInfo& aInfo,
                       Millis aNow) const
 {
   PendingPrefill pending = aCandidate.mWork->Pending();
   pending += aCandidate.mPeerPending;
-  const auto before = static_cast<double>(pending.Ahead(aUrgency));
-  const auto after = static_cast<double>(pending.Behind(aUrgency));
-  const double tokens = before + after * aFacts.mBehindCost;
+  const auto ahead = static_cast<double>(pending.Ahead(aUrgency));
+  const auto behind = static_cast<double>(pending.Behind(aUrgency));
+  const double tokens = ahead + behind * aInfo.mBehindCost;
   const double all =
-    aFacts.mPeersReporting ? tokens : tokens * mOptions.mSilentPeersFactor;
-  // Of what waits for a slot, only what is as urgent goes before.
-  const double waiting = before + after;
-  const double ahead = waiting > 0 ? before / waiting : 1;
-  const double over =
-    ahead * std::max(0.0,
-                     BusyAt(aCandidate, aFacts, aNow) -
-                       static_cast<double>(aCandidate.mListed->mSlots));
-  return all / aFacts.mPrefillPerMs * aCandidate.mSlowness +
-         over * SlotMs(*aCandidate.mListed, aFacts);
+    aInfo.mPeersReporting ? tokens : tokens * mOptions.mSilentPeersFactor;
+  // Only requests that are at least as urgent are ahead in the wait for a slot.
+  const double waiting = ahead + behind;
+  const double aheadShare = waiting > 0 ? ahead / waiting : 1;
+  const double queued =
+    aheadShare * std::max(0.0,
+                          EstimatedBusy(aCandidate, aInfo, aNow) -
+                            static_cast<double>(aCandidate.mListed->mSlots));
+  return all / aInfo.mPrefillPerMs * aCandidate.mSlowness +
+         queued * SlotMs(*aCandidate.mListed, aInfo);
 }
 
 double
-WorkPlacement::BusyAt(const PlacementCandidate& aCandidate,
-                      const EngineInfo& aFacts,
-                      Millis aNow)
+WorkPlacement::EstimatedBusy(const PlacementCandidate& aCandidate,
+                             const EngineInfo& aInfo,
+                             Millis aNow)
 {
   const UpstreamWork& work = *aCandidate.mWork;
-  if (!aFacts.mPeersReporting || aFacts.mAnswerMs <= 0) {
+  if (!aInfo.mPeersReporting || aInfo.mAnswerMs <= 0) {
     return work.Busy(aNow);
   }
-  // Entries that go by the same old news all send where it was best then. Of
-  // what an engine had, as much is still there as of the answers of that time.
+  // Entries with the same old report would all send to the engine that was best
+  // then. Only responses that are still running by now count; the mean replaces
+  // the rest.
   const auto age = static_cast<double>(work.ReportAge(aNow).Count());
-  const double left = std::exp(-age / aFacts.mAnswerMs);
+  const double remaining = std::exp(-age / aInfo.mAnswerMs);
   const double busy =
-    aFacts.mMeanBusy + left * (work.Busy(aNow) - aFacts.mMeanBusy);
+    aInfo.mMeanBusy + remaining * (work.Busy(aNow) - aInfo.mMeanBusy);
   return std::max<double>(busy, work.Open());
 }
 
 double
-WorkPlacement::SlotMs(const ListedUpstream& aListed, const EngineInfo& aFacts)
+WorkPlacement::SlotMs(const ListedUpstream& aListed, const EngineInfo& aInfo)
 {
-  // One of the answers that fill an engine ends each so often.
-  return aFacts.mAnswerMs > 0 ? aFacts.mAnswerMs / std::max(1U, aListed.mSlots)
-                              : kUsualSlotMs;
+  // One of the responses on a full engine ends in each such interval.
+  return aInfo.mAnswerMs > 0 ? aInfo.mAnswerMs / std::max(1U, aListed.mSlots)
+                             : kDefaultSlotMs;
 }
 
 double
@@ -283,8 +286,8 @@
 {
   const Millis silence =
     std::max(aCandidate.mWork->Silence(aNow), aCandidate.mPeerSilence);
-  const Millis over = silence - mOptions.mNormalSilence;
-  return std::max(0.0, kSilenceWeight * static_cast<double>(over.Count()));
+  const Millis excess = silence - mOptions.mNormalSilence;
+  return std::max(0.0, kSilenceWeight * static_cast<double>(excess.Count()));
 }
 
 } // namespace trefoilarch
--- a/tests/unit/arrivalratetest.cpp
+++ b/tests/unit/arrivalratetest.cpp
@@ -4,7 +4,7 @@
 
 using namespace trefoilarch;
 
-Test(arrivalrate, a_steady_rate_is_found_within_seconds)
+Test(arrivalrate, estimates_a_steady_rate_within_seconds)
 {
   ArrivalRate rate;
   for (int64_t now = 0; now < 10000; now += 50) {
@@ -13,7 +13,7 @@
   cr_expect_float_eq(rate.PerMs(Millis(10000)), 0.02, 0.001);
 }
 
-Test(arrivalrate, silence_brings_it_down)
+Test(arrivalrate, decays_without_arrivals)
 {
   ArrivalRate rate;
   for (int64_t now = 0; now < 10000; now += 50) {
--- a/tests/unit/engineadmissiontest.cpp
+++ b/tests/unit/engineadmissiontest.cpp
@@ -6,22 +6,23 @@
 
 namespace {
 
-constexpr StartRequirements kTerms{ .mTarget = Millis(1000),
-                                    .mLimit = Millis(8000) };
+constexpr StartRequirements kRequirements{ .mTarget = Millis(1000),
+                                           .mLimit = Millis(8000) };
 
 bool
-Refuses(const StartForecast& aForecast, StartRequirements aTerms = kTerms)
+Refuses(const StartForecast& aForecast,
+        StartRequirements aRequirements = kRequirements)
 {
-  return EngineAdmission().Refuse(aForecast, aTerms).has_value();
+  return EngineAdmission().Refuse(aForecast, aRequirements).has_value();
 }
 
 } // namespace
 
-Test(engineadmission, a_request_that_waits_for_nobody_is_taken)
+Test(engineadmission, accepts_a_request_without_a_queue)
 {
   cr_expect(!Refuses({ .mWaitMs = 0, .mPrefillMs = 300, .mAnswerMs = 900 }));
   cr_expect(!Refuses({ .mWaitMs = 0, .mPrefillMs = 9000, .mAnswerMs = 9000 }),
-            "to come back later would not make it shorter");
+            "a later retry would not be faster");
 }
 
 Test(engineadmission, a_long_prompt_is_no_overload)
@@ -29,21 +30,21 @@
   cr_expect(!Refuses({ .mWaitMs = 200, .mPrefillMs = 3000, .mAnswerMs = 900 }));
 }
 
-Test(engineadmission, a_long_queue_is_refused_until_it_is_short)
+Test(engineadmission, retry_delay_grows_with_the_queue)
 {
   const EngineAdmission admission;
-  const auto near = admission.Refuse({ .mWaitMs = 2500 }, kTerms);
-  const auto far = admission.Refuse({ .mWaitMs = 3500 }, kTerms);
+  const auto near = admission.Refuse({ .mWaitMs = 2500 }, kRequirements);
+  const auto far = admission.Refuse({ .mWaitMs = 3500 }, kRequirements);
   cr_assert(near && far);
-  cr_expect(*near < *far, "the longer the queue the later");
+  cr_expect(*near < *far, "the longer the queue, the later");
   cr_expect(!Refuses({ .mWaitMs = 100 }));
 }
 
-Test(engineadmission, the_less_urgent_are_refused_first)
+Test(engineadmission, less_urgent_requests_are_rejected_first)
 {
-  StartRequirements less = kTerms;
+  StartRequirements less = kRequirements;
   less.mPriorityWeight = 0.5;
-  StartRequirements more = kTerms;
+  StartRequirements more = kRequirements;
   more.mPriorityWeight = 2;
   double wait = 0;
   while (!Refuses({ .mWaitMs = wait })) {
@@ -53,7 +54,7 @@
   cr_expect(!Refuses({ .mWaitMs = wait }, more));
 }
 
-Test(engineadmission, what_would_not_end_in_time_is_refused)
+Test(engineadmission, rejects_requests_that_would_not_end_in_time)
 {
   cr_expect(!Refuses({ .mWaitMs = 300, .mAnswerMs = 3000 }));
   cr_expect(Refuses({ .mWaitMs = 300, .mAnswerMs = 7900 }));
--- a/tests/unit/enginemodeltest.cpp
+++ b/tests/unit/enginemodeltest.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** An engine that reads so many tokens in a millisecond, with waits that vary
- * by a fifth and 20 ms for a start. */
+/** Engines that prefill so many tokens in a millisecond, with waits that vary
+ * by a fifth, and 20 ms until a response starts. */
 class Engines
 {
 public:
@@ -18,13 +18,13 @@
   {
   }
 
-  Millis Wait(const PrefillBacklog& aReads, double aSlow = 1)
+  Millis Wait(const PrefillBacklog& aBacklog, double aSlow = 1)
   {
-    std::uniform_real_distribution<double> chance(0.9, 1.1);
-    const double tokens = static_cast<double>(aReads.mAhead) +
-                          mBehind * static_cast<double>(aReads.mBehind);
+    std::uniform_real_distribution<double> factor(0.9, 1.1);
+    const double tokens = static_cast<double>(aBacklog.mAhead) +
+                          mBehind * static_cast<double>(aBacklog.mBehind);
     return Millis(static_cast<int64_t>(
-      (kStart + tokens / mPerMs * chance(mRandom)) * aSlow));
+      (kStart + tokens / mPerMs * factor(mRandom)) * aSlow));
   }
 
   PrefillBacklog Draw()
@@ -40,79 +40,79 @@
   std::mt19937_64 mRandom{ 5 };
 };
 
-/** Teaches the model so many answers of the service's engines. */
+/** Feeds the model with responses of the service's engines. */
 void
-Teach(EngineModel& aModel, Engines& aEngines, int aAnswers)
+Train(EngineModel& aModel, Engines& aEngines, int aAnswers)
 {
   for (int each = 0; each < aAnswers; ++each) {
-    const PrefillBacklog reads = aEngines.Draw();
+    const PrefillBacklog backlog = aEngines.Draw();
     aModel.OnStarted("llm",
                      "e" + std::to_string(each % 8),
-                     reads,
-                     aEngines.Wait(reads),
+                     backlog,
+                     aEngines.Wait(backlog),
                      Millis(each * 100));
   }
 }
 
 } // namespace
 
-/** Engines that read a third, and three times, as fast as the prior. */
-Test(enginemodel, the_prior_is_left_within_some_twenty_answers)
+/** Engines that are a third, and three times, as fast as the prior. */
+Test(enginemodel, learns_the_rate_within_twenty_responses)
 {
   for (const double perMs : { 20.0, 50.0, 180.0 }) {
     EngineModel model;
     Engines engines(perMs);
-    Teach(model, engines, 20);
-    const double learnt = model.PrefillPerMs("llm");
-    cr_expect(learnt > perMs * 0.75 && learnt < perMs * 1.25,
+    Train(model, engines, 20);
+    const double learned = model.PrefillPerMs("llm");
+    cr_expect(learned > perMs * 0.75 && learned < perMs * 1.25,
               "%f for %f",
-              learnt,
+              learned,
               perMs);
   }
 }
 
-Test(enginemodel, a_change_of_speed_is_followed)
+Test(enginemodel, follows_a_change_of_rate)
 {
   EngineModel model;
   Engines fast(100);
   Engines slow(40);
-  Teach(model, fast, 60);
-  Teach(model, slow, 60);
-  const double learnt = model.PrefillPerMs("llm");
-  cr_expect(learnt > 32 && learnt < 55, "%f", learnt);
+  Train(model, fast, 60);
+  Train(model, slow, 60);
+  const double learned = model.PrefillPerMs("llm");
+  cr_expect(learned > 32 && learned < 55, "%f", learned);
 }
 
-Test(enginemodel, what_less_urgent_prompts_cost_is_told_apart)
+Test(enginemodel, learns_the_cost_of_less_urgent_prompts)
 {
   for (const double behind : { 0.0, 0.5 }) {
     EngineModel model;
     Engines engines(50, behind);
-    Teach(model, engines, 120);
+    Train(model, engines, 120);
     const double cost = model.PrefillMs("llm", { .mBehind = 1000 }) * 50 / 1000;
     cr_expect(std::abs(cost - behind) < 0.2, "%f for %f", cost, behind);
   }
 }
 
-/** One that stood still for three seconds says nothing of the speed. */
-Test(enginemodel, one_standstill_does_not_change_what_is_known)
+/** An engine that stalled for three seconds tells nothing about the rate. */
+Test(enginemodel, a_single_stall_does_not_change_the_rate)
 {
   EngineModel model;
   Engines engines(60);
-  Teach(model, engines, 60);
+  Train(model, engines, 60);
   const double before = model.PrefillPerMs("llm");
   model.OnStarted("llm", "e1", { .mAhead = 3000 }, Millis(3000), Millis(6000));
   cr_expect(model.PrefillPerMs("llm") > before * 0.8);
 }
 
-Test(enginemodel, a_slow_engine_is_told_from_its_peers_and_forgiven)
+Test(enginemodel, detects_a_slow_engine_until_it_recovers)
 {
   EngineModel model;
   Engines engines(60);
-  Teach(model, engines, 60);
+  Train(model, engines, 60);
   const Millis now(6000);
   for (int each = 0; each < 4; ++each) {
-    const PrefillBacklog reads{ .mAhead = 6000 };
-    model.OnStarted("llm", "slow", reads, engines.Wait(reads, 5), now);
+    const PrefillBacklog backlog{ .mAhead = 6000 };
+    model.OnStarted("llm", "slow", backlog, engines.Wait(backlog, 5), now);
   }
   cr_expect(model.Slowness("slow", now) >= 3);
   cr_expect(model.Slowness("e1", now) == 1);
@@ -121,11 +121,11 @@
   cr_expect(model.Slowness("slow", now) == 1);
 }
 
-Test(enginemodel, services_are_learnt_apart)
+Test(enginemodel, services_are_learned_separately)
 {
   EngineModel model;
   Engines engines(20);
-  Teach(model, engines, 60);
+  Train(model, engines, 60);
   cr_expect(model.PrefillPerMs("other") ==
             EngineModelOptions{}.mPriorPrefillPerMs);
 }
--- a/tests/unit/modelevents.h
+++ b/tests/unit/modelevents.h
@@ -7,21 +7,21 @@
 #include <map>
 #include <utility>
 
-/** What happens in a model, in the order of a virtual time. */
+/** The events of a model, in the order of a virtual time. */
 class ModelEvents
 {
 protected:
-  void At(trefoilarch::Millis aWhen, std::function<void()> aWhat)
+  void At(trefoilarch::Millis aTime, std::function<void()> aAction)
   {
-    mEvents.emplace(aWhen, std::move(aWhat));
+    mEvents.emplace(aTime, std::move(aAction));
   }
 
-  void After(int64_t aMillis, std::function<void()> aWhat)
+  void After(int64_t aMillis, std::function<void()> aAction)
   {
-    At(mNow + trefoilarch::Millis(aMillis), std::move(aWhat));
+    At(mNow + trefoilarch::Millis(aMillis), std::move(aAction));
   }
 
-  /** Plays what is due until nothing is, or the end has come. */
+  /** Runs events until there are no more, or until aEnd. */
   void RunUntil(trefoilarch::Millis aEnd)
   {
     while (!mEvents.empty() && mNow < aEnd) {
--- a/tests/unit/modelrandom.h
+++ b/tests/unit/modelrandom.h
@@ -5,7 +5,7 @@
 #include <random>
 #include <vector>
 
-/** What chance decides in a model of processes round a faulty table. */
+/** Random decisions in a model of processes that share a faulty table. */
 class ModelRandom
 {
 protected:
@@ -17,7 +17,7 @@
 
   uint32_t Draw(uint32_t aBelow) { return mRandom() % aBelow; }
   bool Chance(uint32_t aPercent) { return Draw(100) < aPercent; }
-  /** As Chance, but the rarer the calmer this run is. */
+  /** Like Chance(), but a run suppresses a fixed share of its faults. */
   bool Fault(uint32_t aPercent)
   {
     return Draw(100) >= mSuppressedFaultPercent && Chance(aPercent);
@@ -27,10 +27,10 @@
   uint32_t mSuppressedFaultPercent;
 };
 
-/** Takes one operation out of those that are under way. */
+/** Removes one of the operations in progress. */
 template<typename T>
 void
-EraseAt(std::vector<T>& aItems, size_t aPlace)
+EraseAt(std::vector<T>& aItems, size_t aIndex)
 {
-  aItems.erase(aItems.begin() + static_cast<std::ptrdiff_t>(aPlace));
+  aItems.erase(aItems.begin() + static_cast<std::ptrdiff_t>(aIndex));
 }
--- a/tests/unit/outlierdetectortest.cpp
+++ b/tests/unit/outlierdetectortest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Millis kUsual{ 100 };
+constexpr Millis kUsualTime{ 100 };
 
 UpstreamId
 NameOf(size_t aNumber)
@@ -17,7 +17,7 @@
   return "engine-" + std::to_string(aNumber);
 }
 
-/** A detector that knows upstreams of one group with sound pasts. */
+/** A detector with upstreams of one group that were healthy so far. */
 class Group
 {
 public:
@@ -28,21 +28,21 @@
       mDetector.Add(NameOf(i), aName);
     }
     for (int i = 0; i < 20; i++) {
-      AllTake(kUsual);
+      AnswerAll(kUsualTime);
     }
   }
 
-  void AllTake(Millis aTook)
+  void AnswerAll(Millis aDuration)
   {
     for (size_t i = 0; i < mSize; i++) {
-      mDetector.OnFirstToken(NameOf(i), aTook, mNow);
+      mDetector.OnFirstToken(NameOf(i), aDuration, mNow);
     }
     mNow += Millis(1000);
   }
 
-  void Fail(size_t aNumber, int aTimes = 1)
+  void Fail(size_t aNumber, int aCount = 1)
   {
-    for (int i = 0; i < aTimes; i++) {
+    for (int i = 0; i < aCount; i++) {
       mDetector.OnFailure(NameOf(aNumber), mNow);
     }
   }
@@ -68,7 +68,7 @@
 
 } // namespace
 
-Test(outlierdetector, failures_eject_and_trials_bring_back)
+Test(outlierdetector, failures_eject_and_probes_restore)
 {
   Group group(6);
   group.Fail(2, 4);
@@ -81,37 +81,37 @@
   group.mNow += Millis(9999);
   cr_assert(group.State(2) == OutlierState::Ejected, "twice as long");
   group.mNow += Millis(1);
-  group.mDetector.OnFirstToken(NameOf(2), kUsual, group.mNow);
+  group.mDetector.OnFirstToken(NameOf(2), kUsualTime, group.mNow);
   cr_assert(group.State(2) == OutlierState::Healthy);
 }
 
-Test(outlierdetector, one_that_is_far_slower_goes_and_a_slow_group_stays)
+Test(outlierdetector, ejects_a_slow_member_but_not_a_slow_group)
 {
   Group group(6);
   for (int i = 0; i < 20; i++) {
-    group.mDetector.OnFirstToken(NameOf(1), kUsual * 10, group.mNow);
+    group.mDetector.OnFirstToken(NameOf(1), kUsualTime * 10, group.mNow);
   }
   cr_assert(group.State(1) == OutlierState::Ejected);
   cr_assert_eq(group.Ejected(), 1);
 
   Group slow(6);
   for (int i = 0; i < 100; i++) {
-    slow.AllTake(kUsual * 10);
+    slow.AnswerAll(kUsualTime * 10);
   }
   cr_assert_eq(slow.Ejected(), 0);
 }
 
-Test(outlierdetector, no_more_than_a_share_is_out_at_a_time)
+Test(outlierdetector, limits_the_ejected_share)
 {
   const bool holds =
-    rc::check("no more than a share is out at a time",
+    rc::check("limits the ejected share",
               [](const std::vector<std::pair<uint8_t, uint16_t>>& aResults) {
                 Group group(12);
-                for (const auto& [number, took] : aResults) {
+                for (const auto& [number, duration] : aResults) {
                   group.Fail(number % 12, 5);
                   group.mDetector.OnFirstToken(
-                    NameOf(took % 12), Millis(took), group.mNow);
-                  group.mNow += Millis(took % 3000);
+                    NameOf(duration % 12), Millis(duration), group.mNow);
+                  group.mNow += Millis(duration % 3000);
                   RC_ASSERT(group.Ejected() <= 4U);
                 }
               });
@@ -123,7 +123,7 @@
   cr_assert_eq(all.Ejected(), 4);
 }
 
-Test(outlierdetector, an_upstream_that_refuses_all_gets_little)
+Test(outlierdetector, an_upstream_that_rejects_all_gets_few_requests)
 {
   VirtualFleet fleet(1, 3, {}, AnyUpstream());
   fleet.SetEngine(NameOf(0), { .mRefuse = 1 });
@@ -133,14 +133,14 @@
   }
   fleet.Run(Millis(90000));
   cr_assert_leq(fleet.Calls().at(NameOf(0)), 20);
-  int whole = 0;
+  int complete = 0;
   for (const auto& [id, caller] : fleet.Callers()) {
-    whole += caller.mComplete ? 1 : 0;
+    complete += caller.mComplete ? 1 : 0;
   }
-  cr_assert_geq(whole, 599);
+  cr_assert_geq(complete, 599);
 }
 
-Test(outlierdetector, a_restarted_sidecar_answers_at_once_for_its_engine)
+Test(outlierdetector, a_restarted_sidecar_gets_requests_at_once)
 {
   VirtualFleet fleet(1, 3, {}, AnyUpstream());
   for (int i = 0; i < 200; i++) {
--- a/tests/unit/pauserecordtest.cpp
+++ b/tests/unit/pauserecordtest.cpp
@@ -7,31 +7,31 @@
 
 namespace {
 
-/** Streams of 50 parts; every tenth of the pauses of "long" is as given. */
+/** Records streams of 50 events; every tenth pause of "long" is as given. */
 void
 Record(PauseRecord& aRecord, Millis aLongPause, int aStreams = 20)
 {
   for (int stream = 0; stream < aStreams; ++stream) {
     const Millis now(stream * 50);
-    for (int part = 0; part < 50; ++part) {
+    for (int event = 0; event < 50; ++event) {
       aRecord.OnPause("strict", Millis(20), now);
-      aRecord.OnPause("long", part % 10 == 0 ? aLongPause : Millis(20), now);
+      aRecord.OnPause("long", event % 10 == 0 ? aLongPause : Millis(20), now);
     }
     aRecord.OnStreamEnded("strict", now);
     aRecord.OnStreamEnded("long", now);
   }
 }
 
-/** Lanes of twelve engines, for strict streams and long prompts. */
+/** Engines in pools, of twelve that serve strict streams and long prompts. */
 size_t
-EnginesInLanes(DedicatedPools& aLanes, const PauseRecord& aRecord)
+EnginesInPools(DedicatedPools& aPools, const PauseRecord& aRecord)
 {
   const Route strict{ .mName = "strict",
                       .mStream = true,
                       .mGapTarget = Millis(200) };
-  const Route longer{ .mName = "long",
-                      .mStream = true,
-                      .mGapTarget = Millis(800) };
+  const Route longPrompts{ .mName = "long",
+                           .mStream = true,
+                           .mGapTarget = Millis(800) };
   std::vector<ListedUpstream> listed(12);
   std::vector<const ListedUpstream*> all(listed.size());
   for (size_t each = 0; each < listed.size(); ++each) {
@@ -40,10 +40,10 @@
   }
   for (int each = 0; each < 100; ++each) {
     const Millis now(each * 10);
-    aLanes.OnRequest("llm", strict, { .mPromptTokens = 700 }, now);
-    aLanes.OnRequest("llm", longer, { .mPromptTokens = 9000 }, now);
+    aPools.OnRequest("llm", strict, { .mPromptTokens = 700 }, now);
+    aPools.OnRequest("llm", longPrompts, { .mPromptTokens = 9000 }, now);
   }
-  return aLanes
+  return aPools
     .PositionsFor("llm",
                   strict,
                   all,
@@ -63,7 +63,7 @@
   cr_expect(record.LateShare("strict", "strict", Millis(200)) < 0.01);
 }
 
-Test(pauserecord, little_is_not_enough)
+Test(pauserecord, requires_enough_samples)
 {
   PauseRecord record;
   cr_expect(!record.HasEnoughData("strict", "long"));
@@ -73,14 +73,14 @@
   cr_expect(record.HasEnoughData("strict", "long"));
 }
 
-/** Engines that read in short chunks hold nobody up: all of them may take
- * anything. Engines that read in long ones are divided. */
-Test(lanes, engines_are_divided_where_their_pauses_call_for_it)
+/** Engines that prefill in short chunks delay nobody and take any request.
+ * Engines that prefill in long ones are divided. */
+Test(dedicatedpools, engines_are_divided_only_if_pauses_are_long)
 {
   for (const int64_t pause : { 80, 300 }) {
     PauseRecord record;
     Record(record, Millis(pause));
-    DedicatedPools lanes;
-    cr_expect(EnginesInLanes(lanes, record) == (pause > 200 ? 12U : 0U));
+    DedicatedPools pools;
+    cr_expect(EnginesInPools(pools, record) == (pause > 200 ? 12U : 0U));
   }
 }
--- a/tests/unit/placementtest.cpp
+++ b/tests/unit/placementtest.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr uint64_t kRoom = 16384;
+constexpr uint64_t kCapacity = 16384;
 constexpr uint32_t kTokens = 512;
 
-/** Upstreams that are all up, idle and alike. */
+/** Upstreams that are all connected, idle and identical. */
 class Fleet
 {
 public:
@@ -32,7 +32,7 @@
     link.mView = { .mName = aName, .mDataCentre = "riga-1", .mLabels = {} };
     link.mHealth.OnUp(Millis());
     link.mHealth.OnWelcome(Millis());
-    link.SetLoad({ .mTokenCapacity = kRoom });
+    link.SetLoad({ .mTokenCapacity = kCapacity });
   }
 
   std::vector<UpstreamLink*> Choose(uint64_t aPrefix, size_t aCount)
@@ -48,14 +48,14 @@
     return mPlacement.Choose(*mSet, aPrefix, aCount, mUsable, mNow);
   }
 
-  /** The place of each of many prefixes. */
-  std::vector<UpstreamId> Homes()
+  /** Of 500 prefixes. */
+  std::vector<UpstreamId> PreferredUpstreams()
   {
-    std::vector<UpstreamId> homes;
+    std::vector<UpstreamId> preferred;
     for (uint64_t prefix = 1; prefix <= 500; prefix++) {
-      homes.push_back(Choose(prefix, 1).at(0)->mView.mName);
+      preferred.push_back(Choose(prefix, 1).at(0)->mView.mName);
     }
-    return homes;
+    return preferred;
   }
 
   double LargestCalls() const
@@ -80,21 +80,21 @@
 
 } // namespace
 
-Test(placement, a_prefix_keeps_its_upstream_and_few_move_when_one_goes)
+Test(placement, a_prefix_keeps_its_upstream_when_another_leaves)
 {
   Fleet fleet(12);
-  const auto before = fleet.Homes();
-  cr_assert(fleet.Homes() == before);
+  const auto before = fleet.PreferredUpstreams();
+  cr_assert(fleet.PreferredUpstreams() == before);
   cr_assert_eq(std::set(before.begin(), before.end()).size(), 12);
   fleet.mSet.reset();
   fleet.mLinks.erase("engine-5");
-  const auto after = fleet.Homes();
+  const auto after = fleet.PreferredUpstreams();
   for (size_t i = 0; i < before.size(); i++) {
     cr_assert(before[i] == "engine-5" || before[i] == after[i]);
   }
 }
 
-Test(placement, one_prefix_cannot_crowd_its_upstream)
+Test(placement, one_prefix_cannot_overload_its_upstream)
 {
   Fleet fleet(12);
   constexpr int kRequests = 1200;
@@ -102,11 +102,11 @@
     fleet.Choose(7, 1).at(0)->Count(1, kTokens);
   }
   const double mean = kRequests / 12.0;
-  const double slackCalls = 0.1 * kRoom / kTokens;
+  const double slackCalls = 0.1 * kCapacity / kTokens;
   cr_assert_leq(fleet.LargestCalls(), 1.25 * mean + slackCalls + 1);
 }
 
-Test(placement, requests_without_a_prefix_spread_though_no_report_comes)
+Test(placement, requests_without_a_prefix_spread_without_reports)
 {
   Fleet fleet(910);
   constexpr int kRequests = 9100;
@@ -116,11 +116,11 @@
   cr_assert_leq(fleet.LargestCalls(), 20, "twice the mean");
 }
 
-Test(placement, the_busier_and_the_farther_are_not_taken)
+Test(placement, busy_and_distant_upstreams_are_avoided)
 {
   Fleet fleet(4);
   fleet.mLinks.at("engine-0")
-    .SetLoad({ .mTokensInFlight = kRoom / 2, .mTokenCapacity = kRoom });
+    .SetLoad({ .mTokensInFlight = kCapacity / 2, .mTokenCapacity = kCapacity });
   fleet.mLinks.at("engine-1").mView.mDataCentre = "riga-2";
   fleet.mLinks.at("engine-2").mRoundTrip = Millis(40);
   for (int i = 0; i < 20; i++) {
@@ -128,10 +128,10 @@
   }
 }
 
-Test(placement, chosen_are_distinct_usable_and_found_if_there_are_any)
+Test(placement, chosen_upstreams_are_distinct_and_usable)
 {
   const bool holds = rc::check(
-    "chosen are distinct, usable, and found if there are any",
+    "chosen upstreams are distinct and usable",
     [](uint8_t aSize, uint64_t aPrefix, std::set<uint8_t> aUsable) {
       Fleet fleet(aSize);
       fleet.mUsable = [&](const UpstreamLink& aLink) {
--- a/tests/unit/requestplantest.cpp
+++ b/tests/unit/requestplantest.cpp
@@ -23,7 +23,7 @@
                 .mMaxAttempts = aAttempts };
 }
 
-/** A router that knows a policy, a key and a few upstreams. */
+/** A router with a policy, a key and a few upstreams. */
 DirectRouter
 MakeRouter(size_t aUpstreams, double aRetries = 100)
 {
@@ -63,7 +63,7 @@
   return bound;
 }
 
-/** A request whose first 5,000 prompt tokens are a session's. */
+/** A request whose first 5,000 prompt tokens belong to a session. */
 BoundRequest
 BoundSession(DirectRouter& aRouter)
 {
@@ -76,11 +76,13 @@
 }
 
 ErrorKind
-BindError(DirectRouter& aRouter, const RequestAttributes& aFacts, Millis aNow)
+BindError(DirectRouter& aRouter,
+          const RequestAttributes& aAttributes,
+          Millis aNow)
 {
   return boost::leaf::try_handle_all(
     [&]() -> Result<ErrorKind> {
-      BOOST_LEAF_CHECK(aRouter.Bind(aFacts, aNow));
+      BOOST_LEAF_CHECK(aRouter.Bind(aAttributes, aNow));
       return ErrorKind::Internal;
     },
     [](const Refusal& aRefusal) { return aRefusal.mKind; },
@@ -116,8 +118,8 @@
   }
 }
 
-/** The workspace that an upstream is told must be the key's holder then. */
-Test(directrouter, a_key_that_moved_while_a_request_waits_sends_it_nowhere)
+/** The key must still belong to the workspace that the upstream is sent. */
+Test(directrouter, a_key_that_changes_workspace_invalidates_waiting_requests)
 {
   DirectRouter router = MakeRouter(2);
   const BoundRequest request = Bound(router, "/safe/x");
@@ -151,73 +153,74 @@
   for (int64_t now = 3000; now < 6000; now += 100) {
     taken = taken || place(Millis(now)) == "fresh";
   }
-  cr_expect(taken, "once it is warm");
+  cr_expect(taken, "after its slow start");
 }
 
-/** What an upstream may do with an attempt. */
-enum class Fate
+/** How an upstream reacts to an attempt. */
+enum class Behaviour
 {
   Unreachable,
   NotRun,
-  Failed,   /**< an answer with a status of 500 */
-  Broken,   /**< no answer at all */
-  CutShort, /**< the answer begins and breaks off */
+  Failed,   /**< a response with a status of 500 */
+  Broken,   /**< no response at all */
+  CutShort, /**< the response starts and breaks off */
   Good,
   TimeUp,
 };
 
-/** What a played request came to. */
-struct Played
+/** The outcome of a request. */
+struct Outcome
 {
   int mRuns = 0;
-  /** An earlier run was still possible when one was begun. */
+  /** A run was started while an earlier one was still possible. */
   bool mSecondRun = false;
   bool mAnswered = false;
-  bool mSaidNotRun = false;
-  bool mTellsReturn = false;
-  bool mCut = false;
+  bool mReportedNotRun = false;
+  bool mHasRetryAfter = false;
+  bool mAborted = false;
   uint32_t mAttempts = 0;
 };
 
-Played
-Play(const std::string& aPath, const std::vector<Fate>& aFates)
+Outcome
+Play(const std::string& aPath, const std::vector<Behaviour>& aBehaviours)
 {
   DirectRouter router = MakeRouter(5);
   RequestPlan plan(router, Bound(router, aPath));
-  Played played;
+  Outcome outcome;
   Millis now(0);
   PlanStep step = plan.Begin(now);
   size_t next = 0;
   while (const auto* send = std::get_if<SendRequest>(&step)) {
     PlacedAttempt attempt = send->mAttempt;
-    const Fate fate = next < aFates.size() ? aFates[next] : Fate::Good;
+    const Behaviour behaviour =
+      next < aBehaviours.size() ? aBehaviours[next] : Behaviour::Good;
     next++;
     now += Millis(7);
-    if (fate == Fate::Unreachable) {
+    if (behaviour == Behaviour::Unreachable) {
       router.OnEnded(attempt, AttemptOutcome::Unreachable, now);
       step = plan.OnUnreachable(now);
       continue;
     }
     plan.OnSending();
-    if (fate == Fate::NotRun) {
+    if (behaviour == Behaviour::NotRun) {
       router.OnEnded(attempt, AttemptOutcome::Refused, now);
       step = plan.OnNotRun(now);
       continue;
     }
-    played.mSecondRun = played.mSecondRun || played.mRuns > 0;
-    played.mRuns++;
-    if (fate == Fate::TimeUp) {
+    outcome.mSecondRun = outcome.mSecondRun || outcome.mRuns > 0;
+    outcome.mRuns++;
+    if (behaviour == Behaviour::TimeUp) {
       router.OnEnded(attempt, AttemptOutcome::Withdrawn, now);
       step = plan.OnTimeUp(kTimeout);
-    } else if (fate == Fate::Failed) {
+    } else if (behaviour == Behaviour::Failed) {
       step = plan.OnHead(500, now);
       router.OnEnded(attempt, AttemptOutcome::Failed, now);
-    } else if (fate == Fate::Good) {
+    } else if (behaviour == Behaviour::Good) {
       step = plan.OnHead(200, now);
       cr_assert(std::holds_alternative<ForwardAnswer>(step));
       router.OnEnded(attempt, AttemptOutcome::Good, now);
     } else {
-      if (fate == Fate::CutShort) {
+      if (behaviour == Behaviour::CutShort) {
         step = plan.OnHead(200, now);
         plan.OnAnswerBegun();
       }
@@ -226,85 +229,87 @@
         plan.Request().mRoute->mRetryMode == RetryMode::Resumable, now);
     }
   }
-  played.mAttempts = plan.Attempts();
-  played.mCut = std::holds_alternative<AbortAnswer>(step);
-  played.mAnswered = std::holds_alternative<ForwardAnswer>(step);
+  outcome.mAttempts = plan.Attempts();
+  outcome.mAborted = std::holds_alternative<AbortAnswer>(step);
+  outcome.mAnswered = std::holds_alternative<ForwardAnswer>(step);
   if (const auto* refusal = std::get_if<AnswerRefusal>(&step)) {
     const int status = AnswerFor(refusal->mRefusal.mKind).mHttpStatus;
-    played.mSaidNotRun = status == 429 || status == 503;
-    played.mTellsReturn = refusal->mRefusal.mRetryAfter > Millis(0);
-    cr_assert(played.mSaidNotRun == (refusal->mRefusal.mRan == Ran::No));
+    outcome.mReportedNotRun = status == 429 || status == 503;
+    outcome.mHasRetryAfter = refusal->mRefusal.mRetryAfter > Millis(0);
+    cr_assert(outcome.mReportedNotRun == (refusal->mRefusal.mRan == Ran::No));
   }
-  return played;
+  return outcome;
 }
 
-std::vector<Fate>
-Fates(const std::vector<uint8_t>& aChances)
+std::vector<Behaviour>
+Behaviours(const std::vector<uint8_t>& aRandom)
 {
-  std::vector<Fate> fates;
-  fates.reserve(aChances.size());
-  for (const uint8_t chance : aChances) {
-    fates.push_back(
-      static_cast<Fate>(chance % (static_cast<int>(Fate::TimeUp) + 1)));
+  std::vector<Behaviour> behaviours;
+  behaviours.reserve(aRandom.size());
+  for (const uint8_t random : aRandom) {
+    behaviours.push_back(static_cast<Behaviour>(
+      random % (static_cast<int>(Behaviour::TimeUp) + 1)));
   }
-  return fates;
+  return behaviours;
 }
 
 } // namespace
 
-Test(requestplan, what_may_run_once_never_runs_twice)
+Test(requestplan, a_request_that_may_run_once_never_runs_twice)
 {
   const bool holds =
-    rc::check("at most one run", [](const std::vector<uint8_t>& aChances) {
-      const Played played = Play("/once/x", Fates(aChances));
-      RC_ASSERT(played.mRuns <= 1);
+    rc::check("at most one run", [](const std::vector<uint8_t>& aRandom) {
+      const Outcome outcome = Play("/once/x", Behaviours(aRandom));
+      RC_ASSERT(outcome.mRuns <= 1);
     });
   cr_assert(holds);
 }
 
-Test(requestplan, not_run_is_said_exactly_where_nothing_ran)
+Test(requestplan, not_run_is_reported_exactly_if_nothing_ran)
 {
-  const bool holds = rc::check(
-    "an honest refusal", [](const std::vector<uint8_t>& aChances, bool aSafe) {
-      const Played played =
-        Play(aSafe ? "/safe/x" : "/once/x", Fates(aChances));
-      RC_ASSERT(!(played.mSaidNotRun && played.mRuns > 0));
-      RC_ASSERT(played.mSaidNotRun == played.mTellsReturn);
-    });
+  const bool holds =
+    rc::check("not run is reported exactly if nothing ran",
+              [](const std::vector<uint8_t>& aRandom, bool aSafe) {
+                const Outcome outcome =
+                  Play(aSafe ? "/safe/x" : "/once/x", Behaviours(aRandom));
+                RC_ASSERT(!(outcome.mReportedNotRun && outcome.mRuns > 0));
+                RC_ASSERT(outcome.mReportedNotRun == outcome.mHasRetryAfter);
+              });
   cr_assert(holds);
 }
 
-Test(requestplan, no_more_upstreams_than_the_route_allows)
+Test(requestplan, attempts_are_limited_by_the_route)
 {
   const bool holds =
     rc::check("attempts are bounded",
-              [](const std::vector<uint8_t>& aChances, bool aSafe) {
-                const Played played =
-                  Play(aSafe ? "/safe/x" : "/resume/x", Fates(aChances));
-                RC_ASSERT(played.mRuns <= 3);
-                RC_ASSERT(played.mAttempts <= 3U);
+              [](const std::vector<uint8_t>& aRandom, bool aSafe) {
+                const Outcome outcome =
+                  Play(aSafe ? "/safe/x" : "/resume/x", Behaviours(aRandom));
+                RC_ASSERT(outcome.mRuns <= 3);
+                RC_ASSERT(outcome.mAttempts <= 3U);
               });
   cr_assert(holds);
 }
 
-Test(requestplan, a_begun_answer_is_cut_and_never_refused)
+Test(requestplan, a_started_response_is_aborted_and_never_rejected)
 {
-  const Played once = Play("/once/x", { Fate::CutShort });
-  cr_expect(once.mCut && once.mRuns == 1);
-  const Played safe = Play("/safe/x", { Fate::CutShort });
-  cr_expect(safe.mCut && safe.mRuns == 1);
-  const Played resumed = Play("/resume/x", { Fate::CutShort, Fate::Broken });
+  const Outcome once = Play("/once/x", { Behaviour::CutShort });
+  cr_expect(once.mAborted && once.mRuns == 1);
+  const Outcome safe = Play("/safe/x", { Behaviour::CutShort });
+  cr_expect(safe.mAborted && safe.mRuns == 1);
+  const Outcome resumed =
+    Play("/resume/x", { Behaviour::CutShort, Behaviour::Broken });
   cr_expect(resumed.mAnswered && resumed.mRuns == 3);
 }
 
-Test(requestplan, a_failure_of_its_own_is_passed_on_when_no_attempt_is_left)
+Test(requestplan, the_last_upstream_error_is_forwarded)
 {
-  const Played played =
-    Play("/safe/x", { Fate::Failed, Fate::Failed, Fate::Failed });
-  cr_expect(played.mAnswered && played.mRuns == 3);
+  const Outcome outcome = Play(
+    "/safe/x", { Behaviour::Failed, Behaviour::Failed, Behaviour::Failed });
+  cr_expect(outcome.mAnswered && outcome.mRuns == 3);
 }
 
-Test(requestplan, without_budget_nothing_is_repeated)
+Test(requestplan, nothing_is_retried_without_budget)
 {
   DirectRouter router = MakeRouter(3, 0);
   RequestPlan plan(router, Bound(router, "/safe/x"));
@@ -315,7 +320,7 @@
   cr_expect(std::get<AnswerRefusal>(step).mRefusal.mRan == Ran::Maybe);
 }
 
-Test(directrouter, keys_are_refused_on_a_stale_policy_without_calling_them_bad)
+Test(directrouter, a_stale_policy_is_not_reported_as_a_bad_key)
 {
   DirectRouter router = MakeRouter(1);
   const RequestAttributes known{ .mHost = "h",
@@ -336,7 +341,7 @@
             ErrorKind::PolicyStale);
 }
 
-Test(directrouter, a_key_that_is_taken_away_while_waiting_is_not_sent_on)
+Test(directrouter, a_key_revoked_while_waiting_is_not_used)
 {
   DirectRouter router = MakeRouter(1);
   RequestPlan plan(router, Bound(router, "/safe/x"));
@@ -350,7 +355,7 @@
             ErrorKind::PolicyStale);
 }
 
-Test(directrouter, versions_only_rise)
+Test(directrouter, an_older_policy_is_ignored)
 {
   DirectRouter router = MakeRouter(1);
   cr_expect(
@@ -362,7 +367,7 @@
   cr_expect(router.Index()->Version() == 5);
 }
 
-Test(directrouter, leaving_upstreams_get_nothing)
+Test(directrouter, leaving_upstreams_get_no_requests)
 {
   DirectRouter router = MakeRouter(2);
   router.Directory().Put(
@@ -392,12 +397,12 @@
   for (int each = 0; each < 60; ++each) {
     const BoundRequest bound = Bound(router, "/once/x");
     const auto attempt = router.Place(bound, {}, Millis(1));
-    cr_assert(attempt.has_value(), "always somewhere to go");
+    cr_assert(attempt.has_value(), "some upstream is always chosen");
     router.OnEnded(*attempt, AttemptOutcome::Broken, Millis(1));
   }
 }
 
-Test(directrouter, an_upstream_that_recovers_gets_work_again_from_any_route)
+Test(directrouter, an_upstream_that_recovers_gets_requests_from_any_route)
 {
   DirectRouter router = MakeRouter(3);
   for (int each = 0; each < 30; ++each) {
@@ -408,15 +413,15 @@
   }
   cr_assert(router.StateOf("u0", Millis(0)) == OutlierState::Ejected);
   router.ConfirmPolicy(Millis(20000));
-  int back = 0;
+  int recovered = 0;
   for (int each = 0; each < 100; ++each) {
     const Millis now(20000 + each);
     auto attempt = router.Place(Bound(router, "/once/x", now), {}, now);
     router.OnStarted(*attempt, now);
     router.OnEnded(*attempt, AttemptOutcome::Good, now);
-    back += attempt->mUpstream == "u0" ? 1 : 0;
+    recovered += attempt->mUpstream == "u0" ? 1 : 0;
   }
-  cr_expect(back > 5);
+  cr_expect(recovered > 5);
 }
 
 Test(directrouter, a_copy_at_an_upstream_that_leaves_is_not_used)
@@ -435,7 +440,7 @@
   cr_expect(!router.PlaceAtBackup(bound, broken, Millis(0)).has_value());
 }
 
-Test(requestplan, an_upstream_that_leaves_while_it_is_connected_to_gets_nothing)
+Test(requestplan, an_upstream_that_leaves_while_connecting_gets_no_request)
 {
   DirectRouter router = MakeRouter(2);
   RequestPlan plan(router, Bound(router, "/once/x"));
@@ -458,7 +463,8 @@
   DirectRouter router = MakeRouter(1);
   RequestPlan plan(router, Bound(router, "/once/x"));
   plan.Begin(Millis(0));
-  cr_expect(!plan.MaySend(Millis(4600)), "the key can't be checked any more");
+  cr_expect(!plan.MaySend(Millis(4600)),
+            "the policy is too old to check the key");
   router.ConfirmPolicy(Millis(4600));
   cr_expect(plan.MaySend(Millis(4600)));
   router.Directory().Remove("u0", Millis(4600));
@@ -466,7 +472,7 @@
   cr_expect(!plan.MaySend(Millis(4600)));
 }
 
-Test(requestplan, a_copy_that_cannot_be_reached_gains_no_attempt)
+Test(requestplan, an_unreachable_copy_does_not_allow_another_attempt)
 {
   DirectRouter router = MakeRouter(4);
   RoutePolicy policy{ .mVersion = 2 };
@@ -492,14 +498,14 @@
 
 namespace {
 
-/** The upstream starts again under its id. */
+/** Restarts the upstream under its id. */
 std::vector<UpstreamId>
-StartAgain(DirectRouter& aRouter, const std::string& aUpstream, int64_t aBorn)
+Restart(DirectRouter& aRouter, const std::string& aUpstream, int64_t aStartTime)
 {
   ListedUpstream listed = *aRouter.Directory().Find(aUpstream);
-  listed.mStartTime = aBorn;
+  listed.mStartTime = aStartTime;
   aRouter.Directory().Put(listed);
-  return aRouter.OnDirectoryChanged(Millis(aBorn));
+  return aRouter.OnDirectoryChanged(Millis(aStartTime));
 }
 
 nlohmann::json
@@ -510,17 +516,17 @@
 
 } // namespace
 
-Test(directrouter, an_upstream_that_starts_again_holds_and_runs_nothing)
+Test(directrouter, a_restarted_upstream_has_no_cache_and_no_attempts)
 {
   DirectRouter router = MakeRouter(1);
-  StartAgain(router, "u0", 1);
+  Restart(router, "u0", 1);
   const BoundRequest request = BoundSession(router);
   const auto before = router.Place(request, {}, Millis(10));
   cr_assert(before.has_value());
   cr_expect(StateOf(router, "u0", Millis(10))["open"] == 1);
-  cr_expect(StartAgain(router, "u0", 20) == std::vector<UpstreamId>{ "u0" });
+  cr_expect(Restart(router, "u0", 20) == std::vector<UpstreamId>{ "u0" });
   cr_expect(StateOf(router, "u0", Millis(20))["open"] == 0);
-  // What becomes of the attempt before says nothing of the process after.
+  // The outcome of the old attempt must not count for the new process.
   PlacedAttempt old = *before;
   router.OnReport(old, { .mRunning = 60, .mSlots = 64 }, Millis(30));
   router.OnStarted(old, Millis(30));
@@ -533,10 +539,10 @@
   cr_expect(router.StateOf("u0", Millis(40)) == OutlierState::Healthy);
 }
 
-Test(directrouter, failures_before_a_start_are_forgiven_after_it)
+Test(directrouter, a_restart_clears_earlier_failures)
 {
   DirectRouter router = MakeRouter(3);
-  StartAgain(router, "u0", 1);
+  Restart(router, "u0", 1);
   for (int each = 0; each < 5; ++each) {
     const auto attempt =
       router.Place(Bound(router, "/safe/x"), { "u1", "u2" }, Millis(10 + each));
@@ -544,39 +550,39 @@
     router.OnEnded(*attempt, AttemptOutcome::Failed, Millis(10 + each));
   }
   cr_expect(router.StateOf("u0", Millis(20)) != OutlierState::Healthy);
-  StartAgain(router, "u0", 30);
+  Restart(router, "u0", 30);
   cr_expect(router.StateOf("u0", Millis(30)) == OutlierState::Healthy);
 }
 
-Test(directrouter, a_copy_is_gone_with_the_process_that_kept_it)
+Test(directrouter, a_copy_is_lost_with_its_process)
 {
-  for (const bool startsAgain : { false, true }) {
+  for (const bool restarts : { false, true }) {
     DirectRouter router = MakeRouter(2);
-    StartAgain(router, "u0", 1);
-    StartAgain(router, "u1", 1);
+    Restart(router, "u0", 1);
+    Restart(router, "u1", 1);
     const BoundRequest request = Bound(router, "/resume/x");
     auto attempt = router.Place(request, {}, Millis(10));
     cr_assert(attempt.has_value());
     attempt->mBackup = attempt->mUpstream == "u0" ? "u1" : "u0";
     attempt->mBackupIncarnationNumber =
       router.Directory().Find(attempt->mBackup)->mIncarnationNumber;
-    if (startsAgain) {
-      StartAgain(router, attempt->mBackup, 20);
+    if (restarts) {
+      Restart(router, attempt->mBackup, 20);
     }
     const auto next = router.PlaceAtBackup(request, *attempt, Millis(30));
-    cr_expect(next.has_value() == !startsAgain);
+    cr_expect(next.has_value() == !restarts);
   }
 }
 
-/** Whatever happens between, at whatever moment the upstream starts again:
- * what may run once is sent once more only after a word that it did not run,
- * and is called not run only where that is true of every sending. */
-Test(requestplan, starts_under_one_id_leave_at_most_once_kept)
+/** The upstream may restart under its id at any time. A request that may run
+ * only once is sent again only after the report that it did not run, and is
+ * reported as not run only if that is true of every attempt. */
+Test(requestplan, restarts_under_one_id_keep_at_most_once)
 {
   const bool holds = rc::check("at most once", [] {
     DirectRouter router = MakeRouter(3);
     for (const char* each : { "u0", "u1", "u2" }) {
-      StartAgain(router, each, 1);
+      Restart(router, each, 1);
     }
     RequestPlan plan(router, Bound(router, "/once/x"));
     int mayHaveRun = 0;
@@ -588,19 +594,19 @@
       PlacedAttempt attempt = send->mAttempt;
       now += *rc::gen::inRange(1, 50);
       if (*rc::gen::arbitrary<bool>()) {
-        StartAgain(router, upstream, now);
+        Restart(router, upstream, now);
       }
-      const int what = *rc::gen::inRange(0, 3);
-      if (what == 0) {
+      const int reaction = *rc::gen::inRange(0, 3);
+      if (reaction == 0) {
         router.OnEnded(attempt, AttemptOutcome::Unreachable, Millis(now));
         step = plan.OnUnreachable(Millis(now));
         continue;
       }
       plan.OnSending();
       if (*rc::gen::arbitrary<bool>()) {
-        StartAgain(router, upstream, ++now);
+        Restart(router, upstream, ++now);
       }
-      if (what == 1) {
+      if (reaction == 1) {
         router.OnEnded(attempt, AttemptOutcome::Refused, Millis(now));
         step = plan.OnNotRun(Millis(now));
         continue;
@@ -616,16 +622,16 @@
   cr_expect(holds);
 }
 
-/** An entry that is cut off from all others goes by its own work again. */
-Test(directrouter, what_others_told_is_forgotten_when_nobody_is_heard)
+/** An entry that is cut off from all others uses only its own state. */
+Test(directrouter, peer_state_expires_without_updates)
 {
   DirectRouter router = MakeRouter(1);
-  PendingPrefill reads;
-  reads.Add(0, 5000);
+  PendingPrefill prefill;
+  prefill.Add(0, 5000);
   router.OnPeerUpdate(
     { .mFrom = "other",
       .mSequence = 1,
-      .mPending = { { .mUpstream = "u0", .mPendingPrefill = reads } } },
+      .mPending = { { .mUpstream = "u0", .mPendingPrefill = prefill } } },
     Millis(0));
   const auto before = router.Place(BoundSession(router), {}, Millis(10));
   cr_assert(before.has_value());
@@ -638,8 +644,8 @@
   cr_expect(after->mPrefillBacklog.mAhead == 0);
 }
 
-/** What one entry sends where is known to the other, and counts there. */
-Test(directrouter, entries_go_by_what_others_have_sent)
+/** What one entry sends is reported to the other, and counts there. */
+Test(directrouter, entries_use_what_peers_have_sent)
 {
   DirectRouter one = MakeRouter(2);
   DirectRouter other = MakeRouter(2);
@@ -647,13 +653,14 @@
   const auto sent = one.Place(session, {}, Millis(0));
   cr_assert(sent.has_value());
   cr_expect(one.HasPeerUpdate());
-  const PeerUpdate notes = one.TakePeerUpdate(Millis(0));
+  const PeerUpdate update = one.TakePeerUpdate(Millis(0));
   cr_expect(!one.HasPeerUpdate());
-  cr_assert(notes.mPending.size() == 1 && notes.mSent.size() == 1);
-  cr_expect(notes.mSent[0].mSegments == std::vector<uint64_t>{ 1 });
-  other.OnPeerUpdate(notes, Millis(5));
+  cr_assert(update.mPending.size() == 1 && update.mSent.size() == 1);
+  cr_expect(update.mSent[0].mSegments == std::vector<uint64_t>{ 1 });
+  other.OnPeerUpdate(update, Millis(5));
   cr_expect(other.Peers() == 1);
-  // The parts are there: only what is the request's own has to be read.
+  // The session's segments are cached there: only the request's own must be
+  // prefilled.
   const auto next = other.Place(session, {}, Millis(10));
   cr_assert(next.has_value());
   cr_expect(next->mUpstream == sent->mUpstream);
@@ -661,9 +668,9 @@
   cr_expect(next->mPrefillBacklog.mAhead == sent->mWork.mPrefill + 4000);
 }
 
-/** Two others wait in vain at an upstream to which this entry has sent nothing:
- * it is avoided until it answers somebody. */
-Test(directrouter, an_upstream_that_is_silent_to_others_is_avoided)
+/** Two other entries wait for an upstream to which this entry has sent nothing.
+ * It is avoided until it responds to one of them. */
+Test(directrouter, an_upstream_that_is_silent_to_peers_is_avoided)
 {
   DirectRouter router = MakeRouter(2);
   const BoundRequest session = BoundSession(router);
@@ -691,16 +698,16 @@
 namespace {
 
 BoundRequest
-BoundPoison(DirectRouter& aRouter, Millis aNow)
+BoundSuspect(DirectRouter& aRouter, Millis aNow)
 {
   BoundRequest request = Bound(aRouter, "/safe/x", aNow);
   request.mFingerprint = { 1, 2 };
   return request;
 }
 
-/** The attempt's upstream ends as a process does. */
+/** The attempt's upstream process ends. */
 void
-CrashUnder(DirectRouter& aRouter, const PlacedAttempt& aAttempt, Millis aNow)
+CrashUpstream(DirectRouter& aRouter, const PlacedAttempt& aAttempt, Millis aNow)
 {
   cr_expect(aRouter.OnConnectionLost(aAttempt, aNow));
   aRouter.OnConnectionRefused(aAttempt.mUpstream, aNow);
@@ -719,34 +726,34 @@
 
 } // namespace
 
-Test(requestplan, a_repeat_of_a_suspect_is_held_until_its_fate_is_known)
+Test(requestplan, a_repeated_suspect_is_held_until_its_outcome_is_known)
 {
   DirectRouter router = MakeRouter(6);
-  RequestPlan first(router, BoundPoison(router, Millis(100)));
-  CrashUnder(router, AttemptOf(first.Begin(Millis(100))), Millis(150));
-  RequestPlan second(router, BoundPoison(router, Millis(200)));
-  const PlacedAttempt trial = AttemptOf(second.Begin(Millis(200)));
-  RequestPlan third(router, BoundPoison(router, Millis(210)));
+  RequestPlan first(router, BoundSuspect(router, Millis(100)));
+  CrashUpstream(router, AttemptOf(first.Begin(Millis(100))), Millis(150));
+  RequestPlan second(router, BoundSuspect(router, Millis(200)));
+  const PlacedAttempt probe = AttemptOf(second.Begin(Millis(200)));
+  RequestPlan third(router, BoundSuspect(router, Millis(210)));
   cr_expect(std::holds_alternative<HoldRequest>(third.Begin(Millis(210))));
   cr_expect(
     std::holds_alternative<HoldRequest>(third.OnHoldElapsed(Millis(240))));
   cr_expect(!third.MayHaveRun());
-  router.OnEnded(trial, AttemptOutcome::Good, Millis(250));
+  router.OnEnded(probe, AttemptOutcome::Good, Millis(250));
   cr_expect(
     std::holds_alternative<SendRequest>(third.OnHoldElapsed(Millis(270))));
 }
 
-Test(requestplan, one_that_crashed_three_upstreams_is_refused_as_not_run)
+Test(requestplan, a_request_that_crashed_three_upstreams_is_rejected_as_not_run)
 {
   DirectRouter router = MakeRouter(8);
   Millis now(100);
   for (int each = 0; each < 3; ++each) {
-    RequestPlan plan(router, BoundPoison(router, now));
-    CrashUnder(router, AttemptOf(plan.Begin(now)), now + Millis(50));
+    RequestPlan plan(router, BoundSuspect(router, now));
+    CrashUpstream(router, AttemptOf(plan.Begin(now)), now + Millis(50));
     now += Millis(100);
   }
   router.TickCrashes(now + Millis(1000));
-  RequestPlan plan(router, BoundPoison(router, now));
+  RequestPlan plan(router, BoundSuspect(router, now));
   const PlanStep step = plan.Begin(now + Millis(1000));
   const auto* answer = std::get_if<AnswerRefusal>(&step);
   cr_assert(answer != nullptr);
@@ -759,14 +766,14 @@
 }
 
 /** A copy of the run would crash the upstream that keeps it. */
-Test(requestplan, a_culprit_does_not_go_on_in_the_same_request)
+Test(requestplan, a_crashing_request_is_not_continued_at_a_backup)
 {
   DirectRouter router = MakeRouter(8);
-  RequestPlan plan(router, BoundPoison(router, Millis(100)));
+  RequestPlan plan(router, BoundSuspect(router, Millis(100)));
   PlanStep step = plan.Begin(Millis(100));
   for (int each = 1; each <= 3; ++each) {
     const Millis now(100 * each);
-    CrashUnder(router, AttemptOf(step), now + Millis(50));
+    CrashUpstream(router, AttemptOf(step), now + Millis(50));
     plan.OnSending();
     step = plan.OnBroken(true, now + Millis(50));
     if (each < 3) {
@@ -781,7 +788,7 @@
 Test(directrouter, an_upstream_that_was_leaving_has_not_crashed)
 {
   DirectRouter router = MakeRouter(2);
-  const BoundRequest request = BoundPoison(router, Millis(100));
+  const BoundRequest request = BoundSuspect(router, Millis(100));
   const auto attempt = router.Place(request, {}, Millis(100));
   ListedUpstream leaving = *router.Directory().Find(attempt->mUpstream);
   leaving.mLeaving = true;
@@ -792,11 +799,11 @@
   cr_expect(router.TakeCrashes().empty());
 }
 
-/** It is back before anybody has tried to connect. */
-Test(directrouter, an_upstream_that_is_replaced_after_a_break_has_crashed)
+/** The upstream restarts before anybody has tried to connect. */
+Test(directrouter, an_upstream_replaced_after_a_lost_connection_has_crashed)
 {
   DirectRouter router = MakeRouter(2);
-  const BoundRequest request = BoundPoison(router, Millis(100));
+  const BoundRequest request = BoundSuspect(router, Millis(100));
   const auto attempt = router.Place(request, {}, Millis(100));
   cr_expect(router.OnConnectionLost(*attempt, Millis(150)));
   cr_expect(router.TakeCrashes().empty());
--- a/tests/unit/retrybudgettest.cpp
+++ b/tests/unit/retrybudgettest.cpp
@@ -64,7 +64,7 @@
   }
 }
 
-Test(retrybudget, no_storm_when_half_of_the_upstreams_go)
+Test(retrybudget, no_storm_when_half_of_the_upstreams_disconnect)
 {
   VirtualFleet fleet(7, 6, {}, AnyUpstream());
   constexpr int kRequests = 2000;
@@ -84,10 +84,10 @@
     lost += caller.mComplete ? 0 : 1;
   }
   const int running = 60;
-  cr_assert_leq(lost, running, "only what ran when they went");
+  cr_assert_leq(lost, running, "only requests that were running then");
 }
 
-Test(retrybudget, entries_together_stay_within_the_slack_whatever_their_number)
+Test(retrybudget, all_entries_together_stay_within_the_slack)
 {
   for (const double slack : { 0.0, 36.2, 54.0, 246.0, 1000.0 }) {
     for (const size_t entries : { 1U, 4U, 5U, 31U, 103U, 340U }) {
@@ -100,7 +100,7 @@
   }
 }
 
-Test(retrybudget, an_entry_that_knows_of_no_others_yet_saves_one)
+Test(retrybudget, an_entry_of_an_unknown_fleet_gets_one_retry)
 {
   cr_expect(RetriesPerEntry(246, 0) == 1);
   cr_expect(RetriesPerEntry(0, 0) == 0);
--- a/tests/unit/startmetertest.cpp
+++ b/tests/unit/startmetertest.cpp
@@ -10,24 +10,24 @@
 constexpr Millis kTarget{ 1000 };
 constexpr Millis kLimit{ 5000 };
 
-/** A server with a fixed rate before a meter; returns the requests refused
- * among those that came, and the longest wait of those taken. */
+/** A server with a fixed rate behind a meter: counts arrivals and rejected
+ * requests, and the longest wait of the accepted ones. */
 struct Outcome
 {
-  int mCame = 0;
+  int mArrivals = 0;
   int mRefused = 0;
-  int64_t mLongestWait = 0;
+  int64_t mMaxWait = 0;
 };
 
 Outcome
-Play(int aArrivalGap, int aServiceGap, int aSpan)
+Play(int aArrivalGap, int aServiceGap, int aDuration)
 {
   StartMeter meter;
   std::deque<Millis> waiting;
   Outcome outcome;
-  for (int now = 0; now < aSpan; ++now) {
+  for (int now = 0; now < aDuration; ++now) {
     if (now % aArrivalGap == 0) {
-      outcome.mCame++;
+      outcome.mArrivals++;
       if (meter.Refuse(kTarget, kLimit, 1, Millis(now))) {
         outcome.mRefused++;
       } else {
@@ -38,8 +38,8 @@
     if (now % aServiceGap == 0 && !waiting.empty()) {
       const Millis sent = waiting.front();
       waiting.pop_front();
-      outcome.mLongestWait =
-        std::max(outcome.mLongestWait, (Millis(now) - sent).Count());
+      outcome.mMaxWait =
+        std::max(outcome.mMaxWait, (Millis(now) - sent).Count());
       meter.OnStarted(sent, Millis(now));
     }
   }
@@ -48,22 +48,22 @@
 
 } // namespace
 
-Test(startmeter, nothing_is_refused_while_starts_are_quick)
+Test(startmeter, nothing_is_rejected_while_starts_are_fast)
 {
   const Outcome outcome = Play(20, 10, 20000);
   cr_expect(outcome.mRefused == 0);
 }
 
-Test(startmeter, overload_is_refused_down_to_what_can_start_in_time)
+Test(startmeter, overload_is_rejected_to_what_can_start_in_time)
 {
-  // Twice as many come as can be served.
+  // The arrival rate is twice the service rate.
   const Outcome outcome = Play(10, 20, 30000);
-  cr_expect(outcome.mRefused > outcome.mCame / 3);
-  cr_expect(outcome.mRefused < outcome.mCame * 2 / 3);
-  cr_expect(outcome.mLongestWait < 1500);
+  cr_expect(outcome.mRefused > outcome.mArrivals / 3);
+  cr_expect(outcome.mRefused < outcome.mArrivals * 2 / 3);
+  cr_expect(outcome.mMaxWait < 1500);
 }
 
-Test(startmeter, a_burst_that_starts_quickly_is_not_refused)
+Test(startmeter, a_burst_that_starts_quickly_is_not_rejected)
 {
   StartMeter meter;
   for (int each = 0; each < 50; ++each) {
@@ -72,18 +72,18 @@
   }
 }
 
-Test(startmeter, the_more_urgent_are_refused_later)
+Test(startmeter, more_urgent_requests_are_rejected_later)
 {
   StartMeter meter;
-  int first = 0;
-  int second = 0;
+  int refusedUrgent = 0;
+  int refusedLessUrgent = 0;
   for (int now = 0; now < 5000; now += 5) {
     const bool refusedLess =
       meter.Refuse(kTarget, kLimit, 0.65, Millis(now)).has_value();
     const bool refusedMore =
       meter.Refuse(kTarget, kLimit, 1.3, Millis(now)).has_value();
-    first += refusedMore ? 1 : 0;
-    second += refusedLess ? 1 : 0;
+    refusedUrgent += refusedMore ? 1 : 0;
+    refusedLessUrgent += refusedLess ? 1 : 0;
     cr_expect(!refusedMore || refusedLess);
     if (!refusedMore) {
       meter.OnSent(Millis(now));
@@ -92,10 +92,10 @@
       meter.OnStarted(Millis(now > 800 ? now - 800 : 0), Millis(now));
     }
   }
-  cr_expect(second > first);
+  cr_expect(refusedLessUrgent > refusedUrgent);
 }
 
-Test(startmeter, what_is_given_up_waits_no_longer)
+Test(startmeter, abandoned_requests_are_no_longer_pending)
 {
   StartMeter meter;
   for (int each = 0; each < 100; ++each) {
@@ -108,7 +108,7 @@
   cr_expect(!meter.Refuse(kTarget, kLimit, 1, Millis(900)));
 }
 
-Test(startmeter, answers_that_could_not_end_in_time_are_not_begun)
+Test(startmeter, rejects_responses_that_would_not_end_in_time)
 {
   StartMeter meter;
   for (int each = 0; each < 100; ++each) {
--- a/tests/unit/upstreamworktest.cpp
+++ b/tests/unit/upstreamworktest.cpp
@@ -5,7 +5,7 @@
 
 using namespace trefoilarch;
 
-Test(upstreamwork, what_came_and_went_since_the_report_counts)
+Test(upstreamwork, changes_since_the_report_count)
 {
   UpstreamWork work;
   const AttemptWork attempt{ .mPrefill = 100, .mOutput = 10 };
@@ -19,8 +19,8 @@
   cr_expect(work.Busy(Millis(160)) == 8);
 }
 
-/** Reports come from entries in any order. */
-Test(upstreamwork, a_report_made_earlier_says_nothing)
+/** Reports from other entries arrive in any order. */
+Test(upstreamwork, an_older_report_is_ignored)
 {
   UpstreamWork work;
   work.OnReport({ .mRunning = 9 }, Millis(500));
@@ -29,8 +29,8 @@
   cr_expect(work.ReportAge(Millis(600)) == Millis(100));
 }
 
-/** One that another entry got is older than what was sent from here since. */
-Test(upstreamwork, what_was_sent_after_a_report_was_made_is_not_in_it)
+/** A peer's report may be older than what was sent from here since. */
+Test(upstreamwork, attempts_sent_after_a_report_are_added)
 {
   UpstreamWork work;
   work.OnSent({ .mPrefill = 1, .mOutput = 1 }, Millis(400));
@@ -40,7 +40,7 @@
   cr_expect(work.Busy(Millis(410)) == 3);
 }
 
-Test(upstreamwork, an_old_report_is_no_ground)
+Test(upstreamwork, an_expired_report_is_ignored)
 {
   UpstreamWork work;
   work.OnReport({ .mRunning = 30 }, Millis(0));
@@ -48,27 +48,28 @@
   cr_expect(work.Busy(Millis(3001)) == 0);
 }
 
-Test(upstreamwork, its_own_attempts_are_the_least_that_is_there)
+Test(upstreamwork, busy_is_at_least_the_own_attempts)
 {
-  const bool holds = rc::check(
-    "busy is never below open", [](const std::vector<uint8_t>& aSteps) {
-      UpstreamWork work;
-      int64_t now = 0;
-      uint32_t open = 0;
-      for (const uint8_t step : aSteps) {
-        now += 10;
-        if (step % 4 == 0) {
-          work.OnReport({ .mRunning = step / 16U }, Millis(now));
-        } else if (step % 4 == 1 && open > 0) {
-          work.OnEnded({}, true, Millis(now));
-          open--;
-        } else {
-          work.OnSent({}, Millis(now));
-          open++;
-        }
-        RC_ASSERT(work.Open() == open);
-        RC_ASSERT(work.Busy(Millis(now)) >= open);
-      }
-    });
+  const bool holds =
+    rc::check("busy is at least the own attempts",
+              [](const std::vector<uint8_t>& aSteps) {
+                UpstreamWork work;
+                int64_t now = 0;
+                uint32_t open = 0;
+                for (const uint8_t step : aSteps) {
+                  now += 10;
+                  if (step % 4 == 0) {
+                    work.OnReport({ .mRunning = step / 16U }, Millis(now));
+                  } else if (step % 4 == 1 && open > 0) {
+                    work.OnEnded({}, true, Millis(now));
+                    open--;
+                  } else {
+                    work.OnSent({}, Millis(now));
+                    open++;
+                  }
+                  RC_ASSERT(work.Open() == open);
+                  RC_ASSERT(work.Busy(Millis(now)) >= open);
+                }
+              });
   cr_assert(holds);
 }
--- a/tests/unit/virtualcaller.h
+++ b/tests/unit/virtualcaller.h
@@ -8,7 +8,7 @@
 
 namespace trefoilarch {
 
-/** A policy by which all traffic may go anywhere. */
+/** A policy by which all traffic may go to any upstream. */
 inline std::shared_ptr<const Classifier>
 AnyUpstream()
 {
@@ -20,7 +20,7 @@
   return std::make_shared<const Classifier>(std::move(policy));
 }
 
-/** What one caller of a VirtualFleet asked for and got. */
+/** One caller's request at a VirtualFleet and its outcome. */
 struct VirtualCaller
 {
   bool mIdempotent = true;
@@ -32,13 +32,13 @@
   bool mDisconnected = false;
   std::optional<Refusal> mRefusal{};
   Millis mEndedAt{};
-  /** Times that an upstream began to work on it. */
+  /** How often an upstream started to work on it. */
   int mRuns = 0;
 
   bool Ended() const { return mComplete || mRefusal; }
 };
 
-/** How the upstreams of a VirtualFleet behave; chances from 0 to 1. */
+/** Behaviour of a VirtualFleet's upstreams; probabilities from 0 to 1. */
 struct VirtualEngines
 {
   double mCrash = 0;
