--- a/src/libtrefoilarch/adaptivelimit.cpp
+++ b/src/libtrefoilarch/adaptivelimit.cpp
@@ -8,24 +8,24 @@
 
 constexpr Millis kWindow{ 200 };
 /** Measurements that make a window. */
-constexpr double kLeastWeight = 4;
+constexpr double kMinWeight = 4;
 /** The limit may rise below this multiple of the allowed time. */
-constexpr double kInside = 0.9;
+constexpr double kIncreaseThreshold = 0.9;
 /** Below this it rises by a part of itself. */
-constexpr double kFarInside = 0.6;
-constexpr uint64_t kFastPart = 8;
+constexpr double kFastIncreaseThreshold = 0.6;
+constexpr uint64_t kFastStepDivisor = 8;
 /** Otherwise by this part, of its first value at the least. */
-constexpr uint64_t kStepPart = 24;
+constexpr uint64_t kStepDivisor = 24;
 /** The most that one window takes off. */
-constexpr double kLeastFactor = 0.8;
+constexpr double kMinDecreaseFactor = 0.8;
 /** Times up to this multiple of the best are borne where the best is more
  * than is allowed. */
-constexpr double kBearable = 1.25;
+constexpr double kBestTolerance = 1.25;
 /** The best grows by this in each window: it doubles in two to three minutes.
  */
-constexpr double kForget = 1.001;
+constexpr double kBestGrowth = 1.001;
 /** The use may exceed the limit by this when it decreases again. */
-constexpr double kSettled = 1.05;
+constexpr double kUseTolerance = 1.05;
 
 } // namespace
 
@@ -53,26 +53,27 @@
       ratio = std::max(ratio, mRatioSum[cause] / mWeightSum[cause]);
     }
   }
-  if (aNow < mWindowStart + kWindow || weight < kLeastWeight) {
+  if (aNow < mWindowStart + kWindow || weight < kMinWeight) {
     return;
   }
-  ratio = Judge(ratio);
+  ratio = NormalizeRatio(ratio);
   if (ratio > 1) {
     Decrease(ratio, aUsed);
-  } else if (ratio < kInside && mWanted) {
+  } else if (ratio < kIncreaseThreshold && mLimited) {
     Increase(ratio);
   }
   mWindowStart = aNow;
   mRatioSum.fill(0);
   mWeightSum.fill(0);
-  mWanted = false;
+  mLimited = false;
 }
 
 double
-AdaptiveLimit::Judge(double aRatio)
+AdaptiveLimit::NormalizeRatio(double aRatio)
 {
-  mBest = mBest > 0 ? std::min(mBest * kForget, aRatio) : aRatio;
-  return aRatio / std::max(1.0, mBest * kBearable);
+  mBestRatio =
+    mBestRatio > 0 ? std::min(mBestRatio * kBestGrowth, aRatio) : aRatio;
+  return aRatio / std::max(1.0, mBestRatio * kBestTolerance);
 }
 
 void
@@ -80,19 +81,20 @@
 {
   const auto value = static_cast<double>(mValue);
   const auto used = static_cast<double>(aUsed);
-  if (used > value * kSettled) {
+  if (used > value * kUseTolerance) {
     return;
   }
   const double next =
-    std::min(value, used) * std::max(kLeastFactor, 1 / aRatio);
+    std::min(value, used) * std::max(kMinDecreaseFactor, 1 / aRatio);
   mValue = std::max(static_cast<uint64_t>(next), mOptions.mMin);
 }
 
 void
 AdaptiveLimit::Increase(double aRatio)
 {
-  const uint64_t step =
-    aRatio < kFarInside ? mValue / kFastPart : mOptions.mInitial / kStepPart;
+  const uint64_t step = aRatio < kFastIncreaseThreshold
+                          ? mValue / kFastStepDivisor
+                          : mOptions.mInitial / kStepDivisor;
   mValue = std::min(mValue + std::max<uint64_t>(step, 1), mOptions.mMax);
 }
 
--- a/src/libtrefoilarch/adaptivelimit.h
+++ b/src/libtrefoilarch/adaptivelimit.h
@@ -37,7 +37,7 @@
    */
   void OnMeasured(size_t aCause, double aRatio, double aWeight);
   /** Somebody was kept out by the limit. */
-  void OnWanted() { mWanted = true; }
+  void OnLimited() { mLimited = true; }
   /** Moves the limit if a window of measurements is complete. */
   void Adapt(uint64_t aUsed, Millis aNow);
 
@@ -49,14 +49,14 @@
   void Decrease(double aRatio, uint64_t aUsed);
   void Increase(double aRatio);
   /** The window's ratio by what the upstream can do at best. */
-  double Judge(double aRatio);
+  double NormalizeRatio(double aRatio);
 
   AdaptiveLimitOptions mOptions;
   uint64_t mValue;
   std::array<double, kCauses> mRatioSum{};
   std::array<double, kCauses> mWeightSum{};
-  bool mWanted = false;
-  double mBest = 0;
+  bool mLimited = false;
+  double mBestRatio = 0;
   Millis mWindowStart;
 };
 
--- a/src/libtrefoilarch/admission.cpp
+++ b/src/libtrefoilarch/admission.cpp
@@ -9,99 +9,102 @@
 
 namespace {
 
-constexpr double kLeastRetry = 100;
-constexpr double kMostRetry = 30000;
+constexpr double kMinRetryAfter = 100;
+constexpr double kMaxRetryAfter = 30000;
 /** Where no rate has been measured, so no honest figure can be had. */
-constexpr double kUnmeasuredRetry = 1000;
+constexpr double kUnmeasuredRetryAfter = 1000;
 /** A time to come back is lengthened by up to this share. */
 constexpr double kJitter = 0.5;
 /** Longer than any deadline. */
-constexpr double kHopeless = 1e12;
+constexpr double kUnboundedWait = 1e12;
 
 } // namespace
 
 Admission::Admission(const Schedule& aSchedule,
-                     const UpstreamCapacity& aRoom,
+                     const UpstreamCapacity& aCapacity,
                      const ServiceRate& aRate,
                      uint64_t aSeed)
   : mSchedule(aSchedule)
-  , mCapacity(aRoom)
+  , mCapacity(aCapacity)
   , mRate(aRate)
   , mRandom(aSeed)
 {
 }
 
 std::optional<Millis>
-Admission::Refuse(const Prospect& aProspect, Millis aNow)
+Admission::Refuse(const AdmissionRequest& aRequest, Millis aNow)
 {
   if (mCapacity.Running() == 0) {
     return std::nullopt;
   }
-  const double onTime = Wait(aProspect, false, aNow);
-  const auto startDue = static_cast<double>(aProspect.mStartDue.Count());
-  const auto last =
-    static_cast<double>((aProspect.mDeadline - aProspect.mLeastTime).Count());
-  if (onTime <= std::min(startDue, last)) {
+  const double onTime = EstimateWait(aRequest, false, aNow);
+  const auto latestStart = static_cast<double>(aRequest.mLatestStart.Count());
+  const auto latestEnd =
+    static_cast<double>((aRequest.mDeadline - aRequest.mMinDuration).Count());
+  if (onTime <= std::min(latestStart, latestEnd)) {
     return std::nullopt;
   }
-  return GiveUp(aProspect, aNow);
+  return GiveUp(aRequest, aNow);
 }
 
 std::optional<Millis>
-Admission::GiveUp(const Prospect& aProspect, Millis aNow)
+Admission::GiveUp(const AdmissionRequest& aRequest, Millis aNow)
 {
   if (mCapacity.Running() == 0) {
     return std::nullopt;
   }
-  const double wait =
-    std::min(Wait(aProspect, true, aNow), FloorWait(aProspect.mLevel, aNow));
-  const auto last =
-    static_cast<double>((aProspect.mDeadline - aProspect.mLeastTime).Count());
-  if (wait <= last) {
+  const double wait = std::min(EstimateWait(aRequest, true, aNow),
+                               EstimateFloorWait(aRequest.mLevel, aNow));
+  const auto latestEnd =
+    static_cast<double>((aRequest.mDeadline - aRequest.mMinDuration).Count());
+  if (wait <= latestEnd) {
     return std::nullopt;
   }
-  return RetryAfter(aProspect.mLevel, aNow);
+  return RetryAfter(aRequest.mLevel, aNow);
 }
 
 Millis
 Admission::RetryAfter(const ServiceLevel& aLevel, Millis aNow)
 {
-  const Prospect next{ .mLevel = aLevel,
-                       .mTokens = static_cast<uint64_t>(mRate.MeanTokens()),
-                       .mLeastTime = {},
-                       .mStartDue = {},
-                       .mDeadline = {} };
+  const AdmissionRequest next{ .mLevel = aLevel,
+                               .mTokens =
+                                 static_cast<uint64_t>(mRate.MeanTokens()),
+                               .mMinDuration = {},
+                               .mLatestStart = {},
+                               .mDeadline = {} };
   if (mRate.Capacity(Limit(), aNow) <= 0) {
-    return Jittered(kUnmeasuredRetry);
+    return Jittered(kUnmeasuredRetryAfter);
   }
-  return Jittered(Wait(next, false, aNow));
+  return Jittered(EstimateWait(next, false, aNow));
 }
 
 double
-Admission::Wait(const Prospect& aProspect, bool aLate, Millis aNow) const
+Admission::EstimateWait(const AdmissionRequest& aRequest,
+                        bool aLate,
+                        Millis aNow) const
 {
-  const Tier tier = aProspect.mLevel.mTier;
-  const double due =
-    static_cast<double>(mSchedule.TokensAhead(aProspect.mLevel, aLate)) +
-    static_cast<double>(mCapacity.InFlight() + aProspect.mTokens) -
+  const Tier tier = aRequest.mLevel.mTier;
+  const double tokensToDrain =
+    static_cast<double>(mSchedule.TokensAhead(aRequest.mLevel, aLate)) +
+    static_cast<double>(mCapacity.InFlight() + aRequest.mTokens) -
     static_cast<double>(Limit());
-  if (due <= 0 || mRate.Capacity(Limit(), aNow) <= 0) {
+  if (tokensToDrain <= 0 || mRate.Capacity(Limit(), aNow) <= 0) {
     return 0;
   }
-  const double drain = mRate.Drain(tier, aLate, Limit(), aNow);
-  return drain > 0 ? due / drain : kHopeless;
+  const double drain = mRate.DrainRate(tier, aLate, Limit(), aNow);
+  return drain > 0 ? tokensToDrain / drain : kUnboundedWait;
 }
 
 double
-Admission::FloorWait(const ServiceLevel& aLevel, Millis aNow) const
+Admission::EstimateFloorWait(const ServiceLevel& aLevel, Millis aNow) const
 {
   const double capacity = mRate.Capacity(Limit(), aNow);
   if (capacity <= 0) {
     return 0;
   }
-  const double startSpan = mRate.MeanTokens() / capacity;
-  const double turns = static_cast<double>(mSchedule.WaitingOf(aLevel) + 1);
-  return turns * startSpan / mSchedule.Floor(aLevel);
+  const double startInterval = mRate.MeanTokens() / capacity;
+  const double starts = static_cast<double>(mSchedule.WaitingOf(aLevel) + 1);
+  return starts * startInterval / mSchedule.Floor(aLevel);
 }
 
 uint64_t
@@ -116,10 +119,10 @@
 }
 
 Millis
-Admission::Jittered(double aSpan)
+Admission::Jittered(double aMillis)
 {
   std::uniform_real_distribution<double> jitter(1, 1 + kJitter);
-  const double span = std::clamp(aSpan, kLeastRetry, kMostRetry);
+  const double span = std::clamp(aMillis, kMinRetryAfter, kMaxRetryAfter);
   return Millis(static_cast<int64_t>(span * jitter(mRandom)));
 }
 
--- a/src/libtrefoilarch/admission.h
+++ b/src/libtrefoilarch/admission.h
@@ -14,14 +14,14 @@
 class ServiceRate;
 
 /** A request as Admission looks at it. */
-struct Prospect
+struct AdmissionRequest
 {
   ServiceLevel mLevel;
   uint64_t mTokens = 0;
   /** From start to end, at the least. */
-  Millis mLeastTime;
+  Millis mMinDuration;
   /** Until the start is too late for the first-token target. */
-  Millis mStartDue;
+  Millis mLatestStart;
   Millis mDeadline;
 };
 
@@ -37,23 +37,25 @@
 {
 public:
   Admission(const Schedule& aSchedule,
-            const UpstreamCapacity& aRoom,
+            const UpstreamCapacity& aCapacity,
             const ServiceRate& aRate,
             uint64_t aSeed);
 
   /** When to come back, if a new request can't meet its deadline. */
-  std::optional<Millis> Refuse(const Prospect& aProspect, Millis aNow);
+  std::optional<Millis> Refuse(const AdmissionRequest& aRequest, Millis aNow);
   /** The same for one that waits and can't be on time any more. */
-  std::optional<Millis> GiveUp(const Prospect& aProspect, Millis aNow);
+  std::optional<Millis> GiveUp(const AdmissionRequest& aRequest, Millis aNow);
   /** When a place is likely, jittered so that callers don't return at once. */
   Millis RetryAfter(const ServiceLevel& aLevel, Millis aNow);
 
 private:
-  double Wait(const Prospect& aProspect, bool aLate, Millis aNow) const;
-  double FloorWait(const ServiceLevel& aLevel, Millis aNow) const;
+  double EstimateWait(const AdmissionRequest& aRequest,
+                      bool aLate,
+                      Millis aNow) const;
+  double EstimateFloorWait(const ServiceLevel& aLevel, Millis aNow) const;
   /** Tokens in flight at the most, whichever bound is reached first. */
   uint64_t Limit() const;
-  Millis Jittered(double aSpan);
+  Millis Jittered(double aMillis);
 
   const Schedule& mSchedule;
   const UpstreamCapacity& mCapacity;
--- a/src/libtrefoilarch/callwatch.cpp
+++ b/src/libtrefoilarch/callwatch.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** A shorter wait takes this part off the longest one. */
-constexpr int64_t kFadeParts = 8;
+constexpr int64_t kDecayDivisor = 8;
 
 } // namespace
 
@@ -19,7 +19,7 @@
 void
 CallWatch::Started(const AttemptKey& aKey, Millis aNow)
 {
-  mCalls[aKey] = Call{ .mLast = aNow };
+  mCalls[aKey] = Call{ .mLastReceivedAt = aNow };
 }
 
 void
@@ -29,10 +29,11 @@
   if (found == mCalls.end()) {
     return;
   }
-  mLastHeard = aNow;
+  mAnyReceivedAt = aNow;
   Call& call = found->second;
-  Learn(call.mBegun ? mLongestNext : mLongestFirst, aNow - call.mLast);
-  call = Call{ .mLast = aNow, .mBegun = true };
+  UpdateLongest(call.mHasOutput ? mLongestNextWait : mLongestFirstWait,
+                aNow - call.mLastReceivedAt);
+  call = Call{ .mLastReceivedAt = aNow, .mHasOutput = true };
 }
 
 void
@@ -46,7 +47,7 @@
 {
   std::vector<AttemptKey> silent;
   for (const auto& [key, call] : mCalls) {
-    if (Silent(call, aNow)) {
+    if (IsSilent(call, aNow)) {
       silent.push_back(key);
     }
   }
@@ -57,40 +58,41 @@
 }
 
 bool
-CallWatch::Silent(const Call& aCall, Millis aNow) const
+CallWatch::IsSilent(const Call& aCall, Millis aNow) const
 {
-  const Millis silence = aNow - aCall.mLast;
-  if (silence < (aCall.mBegun ? NextTokenTimeout() : FirstTokenTimeout())) {
+  const Millis silence = aNow - aCall.mLastReceivedAt;
+  if (silence < (aCall.mHasOutput ? NextTokenTimeout() : FirstTokenTimeout())) {
     return false;
   }
-  const bool othersHeard = mLastHeard > aCall.mLast + silence / 2;
-  return othersHeard || silence >= mOptions.mStalledTimeout;
+  const bool othersReceived =
+    mAnyReceivedAt > aCall.mLastReceivedAt + silence / 2;
+  return othersReceived || silence >= mOptions.mStalledTimeout;
 }
 
 Millis
 CallWatch::FirstTokenTimeout() const
 {
-  if (mLongestFirst == Millis(0)) {
+  if (mLongestFirstWait == Millis(0)) {
     return mOptions.mInitialFirstTokenTimeout;
   }
-  return SpanFor(mLongestFirst);
+  return TimeoutFor(mLongestFirstWait);
 }
 
 Millis
 CallWatch::NextTokenTimeout() const
 {
-  return SpanFor(mLongestNext);
+  return TimeoutFor(mLongestNextWait);
 }
 
 void
-CallWatch::Learn(Millis& aLongest, Millis aWait)
+CallWatch::UpdateLongest(Millis& aLongest, Millis aWait)
 {
-  const Millis faded = aLongest - (aLongest - aWait) / kFadeParts;
-  aLongest = std::max({ aWait, faded, Millis(1) });
+  const Millis decayed = aLongest - (aLongest - aWait) / kDecayDivisor;
+  aLongest = std::max({ aWait, decayed, Millis(1) });
 }
 
 Millis
-CallWatch::SpanFor(Millis aLongest) const
+CallWatch::TimeoutFor(Millis aLongest) const
 {
   return std::max(mOptions.mMinTimeout, aLongest * mOptions.mFactor);
 }
--- a/src/libtrefoilarch/callwatch.h
+++ b/src/libtrefoilarch/callwatch.h
@@ -50,19 +50,19 @@
 private:
   struct Call
   {
-    Millis mLast;
-    bool mBegun = false;
+    Millis mLastReceivedAt;
+    bool mHasOutput = false;
   };
 
-  static void Learn(Millis& aLongest, Millis aWait);
-  Millis SpanFor(Millis aLongest) const;
-  bool Silent(const Call& aCall, Millis aNow) const;
+  static void UpdateLongest(Millis& aLongest, Millis aWait);
+  Millis TimeoutFor(Millis aLongest) const;
+  bool IsSilent(const Call& aCall, Millis aNow) const;
 
   CallWatchOptions mOptions;
   std::unordered_map<AttemptKey, Call> mCalls;
-  Millis mLongestFirst;
-  Millis mLongestNext;
-  Millis mLastHeard; /**< from any call */
+  Millis mLongestFirstWait;
+  Millis mLongestNextWait;
+  Millis mAnyReceivedAt; /**< from any call */
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/channelhealth.cpp
+++ b/src/libtrefoilarch/channelhealth.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 /** Idle probes that may go unanswered before a channel counts as silent. */
-constexpr int64_t kIdleMisses = 2;
+constexpr int64_t kMaxMissedIdleProbes = 2;
 
 } // namespace
 
-ChannelHealth::ChannelHealth(ChannelTimeouts aSpans)
-  : mSpans(aSpans)
+ChannelHealth::ChannelHealth(ChannelTimeouts aTimeouts)
+  : mTimeouts(aTimeouts)
 {
 }
 
@@ -21,9 +21,9 @@
 ChannelHealth::OnUp(Millis aNow)
 {
   mState = ChannelState::Greeting;
-  mLastSent = aNow;
-  mProven = aNow;
-  mProbe.reset();
+  mLastSentAt = aNow;
+  mLastDeliveredAt = aNow;
+  mProbeSentAt.reset();
 }
 
 void
@@ -39,45 +39,46 @@
 ChannelHealth::OnWelcome(Millis aNow)
 {
   mState = ChannelState::Ready;
-  mProven = aNow;
+  mLastDeliveredAt = aNow;
 }
 
 void
 ChannelHealth::OnProbeSent(Millis aNow)
 {
-  mProbe = aNow;
+  mProbeSentAt = aNow;
 }
 
 std::optional<Millis>
 ChannelHealth::OnProbeAnswered(Millis aNow)
 {
-  const std::optional<Millis> sentAt = std::exchange(mProbe, std::nullopt);
+  const std::optional<Millis> sentAt =
+    std::exchange(mProbeSentAt, std::nullopt);
   if (!sentAt) {
     return std::nullopt;
   }
-  OnProven(*sentAt);
+  OnDelivered(*sentAt);
   return aNow - *sentAt;
 }
 
 void
-ChannelHealth::OnProven(Millis aSentAt)
+ChannelHealth::OnDelivered(Millis aSentAt)
 {
-  mProven = std::max(mProven, aSentAt);
+  mLastDeliveredAt = std::max(mLastDeliveredAt, aSentAt);
 }
 
 void
 ChannelHealth::OnSent(Millis aNow)
 {
-  mLastSent = aNow;
+  mLastSentAt = aNow;
 }
 
 void
-ChannelHealth::SetStake(bool aStake, Millis aNow)
+ChannelHealth::SetAwaitingReply(bool aAwaiting, Millis aNow)
 {
-  if (aStake && !mStake) {
-    mStakeSince = aNow;
+  if (aAwaiting && !mAwaitingReply) {
+    mAwaitingSince = aNow;
   }
-  mStake = aStake;
+  mAwaitingReply = aAwaiting;
 }
 
 Millis
@@ -93,34 +94,35 @@
     return Millis::Never();
   }
   if (mState == ChannelState::Greeting) {
-    return mProven + mSpans.mSilence;
+    return mLastDeliveredAt + mTimeouts.mSilence;
   }
-  if (mStake) {
-    return std::max(mProven, mStakeSince) + mSpans.mSilence;
+  if (mAwaitingReply) {
+    return std::max(mLastDeliveredAt, mAwaitingSince) + mTimeouts.mSilence;
   }
-  return mProven + mSpans.mIdleHeartbeat * kIdleMisses + mSpans.mSilence;
+  return mLastDeliveredAt + mTimeouts.mIdleHeartbeat * kMaxMissedIdleProbes +
+         mTimeouts.mSilence;
 }
 
 Millis
 ChannelHealth::HeartbeatAt() const
 {
-  return mState == ChannelState::Ready ? mLastSent + Interval()
+  return mState == ChannelState::Ready ? mLastSentAt + ProbeInterval()
                                        : Millis::Never();
 }
 
 Millis
 ChannelHealth::ProbeAt() const
 {
-  if (mState != ChannelState::Ready || mProbe) {
+  if (mState != ChannelState::Ready || mProbeSentAt) {
     return Millis::Never();
   }
-  return mProven + Interval();
+  return mLastDeliveredAt + ProbeInterval();
 }
 
 Millis
-ChannelHealth::Interval() const
+ChannelHealth::ProbeInterval() const
 {
-  return mStake ? mSpans.mHeartbeat : mSpans.mIdleHeartbeat;
+  return mAwaitingReply ? mTimeouts.mHeartbeat : mTimeouts.mIdleHeartbeat;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/channelhealth.h
+++ b/src/libtrefoilarch/channelhealth.h
@@ -36,7 +36,7 @@
 class ChannelHealth
 {
 public:
-  explicit ChannelHealth(ChannelTimeouts aSpans);
+  explicit ChannelHealth(ChannelTimeouts aTimeouts);
 
   void OnUp(Millis aNow);
   void OnDown(Millis aNow);
@@ -46,35 +46,35 @@
   /** The peer answered a probe; gives the round trip. */
   std::optional<Millis> OnProbeAnswered(Millis aNow);
   /** The peer answered a message that was sent then. */
-  void OnProven(Millis aSentAt);
+  void OnDelivered(Millis aSentAt);
   /** Whether anything waits for this channel's peer. */
-  void SetStake(bool aStake, Millis aNow);
+  void SetAwaitingReply(bool aAwaiting, Millis aNow);
 
   ChannelState State() const { return mState; }
   /** When the state last became Down. */
   Millis DownSince() const { return mDownSince; }
   /** The channel is open, yet answers that should have come did not. */
-  bool Silent(Millis aNow) const { return aNow >= SilentAt(); }
-  bool HeartbeatDue(Millis aNow) const { return aNow >= HeartbeatAt(); }
-  bool ProbeDue(Millis aNow) const { return aNow >= ProbeAt(); }
+  bool IsSilent(Millis aNow) const { return aNow >= SilentAt(); }
+  bool IsHeartbeatDue(Millis aNow) const { return aNow >= HeartbeatAt(); }
+  bool IsProbeDue(Millis aNow) const { return aNow >= ProbeAt(); }
   Millis NextWake() const;
 
 private:
   Millis SilentAt() const;
   Millis HeartbeatAt() const;
   Millis ProbeAt() const;
-  Millis Interval() const;
+  Millis ProbeInterval() const;
 
-  ChannelTimeouts mSpans;
+  ChannelTimeouts mTimeouts;
   ChannelState mState = ChannelState::Down;
   Millis mDownSince;
-  Millis mLastSent;
+  Millis mLastSentAt;
   /** The newest message that the peer is known to have received. */
-  Millis mProven;
+  Millis mLastDeliveredAt;
   /** The probe under way, if one is. */
-  std::optional<Millis> mProbe;
-  bool mStake = false;
-  Millis mStakeSince;
+  std::optional<Millis> mProbeSentAt;
+  bool mAwaitingReply = false;
+  Millis mAwaitingSince;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/claims.cpp
+++ b/src/libtrefoilarch/claims.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr unsigned kMostDoublings = 8;
+constexpr unsigned kMaxDoublings = 8;
 /** Entries' clocks may differ by one epoch, and each looks one further. */
-constexpr uint64_t kEpochsKept = 2;
+constexpr uint64_t kRetainedEpochs = 2;
 
 ClaimOutcome
-EndOf(ClaimStatus aStanding)
+OutcomeOf(ClaimStatus aStatus)
 {
-  switch (aStanding) {
+  switch (aStatus) {
     case ClaimStatus::InProgress:
       return ClaimOutcome::InProgress;
     case ClaimStatus::Finished:
@@ -39,10 +39,10 @@
 ClaimActions
 Claims::Claim(ClaimRequest aRequest, int64_t aUnixSeconds, Millis aNow)
 {
-  const std::optional<ClaimDecided> answered = AnswerHere(aRequest);
+  const std::optional<ClaimDecided> decided = DecideLocally(aRequest);
   ClaimActions out;
-  if (answered) {
-    out.emplace_back(*answered);
+  if (decided) {
+    out.emplace_back(*decided);
     return out;
   }
   const RequestId id = aRequest.mId;
@@ -53,13 +53,13 @@
   mUndecided[id] = { .mDeadline = aNow + mOptions.mDecisionTimeout,
                      .mReplaces = std::nullopt };
   mWaiting.push_back(id);
-  Drive(out, aUnixSeconds, aNow);
+  Advance(out, aUnixSeconds, aNow);
   return out;
 }
 
 /** Settles a repeat whose first request is known in this process. */
 std::optional<ClaimDecided>
-Claims::AnswerHere(const ClaimRequest& aRequest) const
+Claims::DecideLocally(const ClaimRequest& aRequest) const
 {
   const auto first = mByKey.find(aRequest.mKey);
   if (first == mByKey.end()) {
@@ -72,7 +72,9 @@
   if (record.mFingerprint != aRequest.mFingerprint) {
     return ClaimDecided{ aRequest.mId, ClaimOutcome::OtherIntent, nullptr };
   }
-  return ClaimDecided{ aRequest.mId, EndOf(record.mStatus), record.mAnswer };
+  return ClaimDecided{ aRequest.mId,
+                       OutcomeOf(record.mStatus),
+                       record.mAnswer };
 }
 
 void
@@ -86,46 +88,46 @@
   if (bytes <= mOptions.mMaxCachedAnswerSize) {
     record->second.mAnswer =
       std::make_shared<const CachedAnswer>(std::move(aAnswer));
-    mAnswerBytes += bytes;
-    mKept.push_back(aId);
+    mCachedBytes += bytes;
+    mCached.push_back(aId);
   }
-  while (mAnswerBytes > mOptions.mMaxCachedBytes) {
-    const auto oldest = mRecords.find(mKept.front());
-    mKept.pop_front();
+  while (mCachedBytes > mOptions.mMaxCachedBytes) {
+    const auto oldest = mRecords.find(mCached.front());
+    mCached.pop_front();
     if (oldest != mRecords.end()) {
       DropAnswer(oldest->second);
     }
   }
-  End(aId, ClaimStatus::Finished);
+  Finish(aId, ClaimStatus::Finished);
 }
 
 void
 Claims::AnsweredUncached(RequestId aId)
 {
-  End(aId, ClaimStatus::Finished);
+  Finish(aId, ClaimStatus::Finished);
 }
 
 void
 Claims::NotRun(RequestId aId)
 {
-  End(aId, ClaimStatus::NotRun);
+  Finish(aId, ClaimStatus::NotRun);
 }
 
 void
 Claims::MaybeRan(RequestId aId)
 {
-  End(aId, ClaimStatus::MaybeRan);
+  Finish(aId, ClaimStatus::MaybeRan);
 }
 
 void
-Claims::End(RequestId aId, ClaimStatus aStanding)
+Claims::Finish(RequestId aId, ClaimStatus aStatus)
 {
   const auto record = mRecords.find(aId);
   if (record == mRecords.end() ||
       record->second.mStatus != ClaimStatus::InProgress) {
     return;
   }
-  record->second.mStatus = aStanding;
+  record->second.mStatus = aStatus;
   Remember(aId);
 }
 
@@ -154,7 +156,7 @@
 Claims::DropAnswer(Record& aRecord)
 {
   if (aRecord.mAnswer) {
-    mAnswerBytes -= aRecord.mAnswer->mBody.size();
+    mCachedBytes -= aRecord.mAnswer->mBody.size();
     aRecord.mAnswer.reset();
   }
 }
@@ -168,20 +170,20 @@
   mFailures =
     aCommit.mOutcome == ClaimCommitOutcome::Unknown ? mFailures + 1 : 0;
   if (aCommit.mOutcome == ClaimCommitOutcome::Unknown) {
-    mNextCommit = aNow + RetrySpan();
+    mNextCommit = aNow + RetryDelay();
   }
-  for (size_t place = 0; place < batch.size(); ++place) {
-    const RequestId id = batch[place];
+  for (size_t index = 0; index < batch.size(); ++index) {
+    const RequestId id = batch[index];
     const bool found = aCommit.mOutcome == ClaimCommitOutcome::Refused &&
-                       place < aCommit.mFound.size() &&
-                       aCommit.mFound[place].has_value();
+                       index < aCommit.mFound.size() &&
+                       aCommit.mFound[index].has_value();
     if (!mUndecided.contains(id)) {
       continue; // it was too late, and will not run
     }
     if (aCommit.mOutcome == ClaimCommitOutcome::Done) {
       Decide(out, id, ClaimOutcome::Run);
     } else if (found) {
-      Weigh(out, id, *aCommit.mFound[place]);
+      ResolveFoundRow(out, id, *aCommit.mFound[index]);
     } else {
       if (aCommit.mOutcome == ClaimCommitOutcome::Refused) {
         mUndecided.at(id).mReplaces.reset();
@@ -189,13 +191,15 @@
       mWaiting.push_back(id);
     }
   }
-  Drive(out, aUnixSeconds, aNow);
+  Advance(out, aUnixSeconds, aNow);
   return out;
 }
 
 /** The key has a row: our own, one of this entry's, or another entry's. */
 void
-Claims::Weigh(ClaimActions& aOut, RequestId aId, const FoundClaim& aFound)
+Claims::ResolveFoundRow(ClaimActions& aOut,
+                        RequestId aId,
+                        const FoundClaim& aFound)
 {
   Pending& undecided = mUndecided.at(aId);
   if (undecided.mReplaces && *undecided.mReplaces == aFound) {
@@ -210,26 +214,26 @@
   } else if (row->mFingerprint != mRecords.at(aId).mFingerprint) {
     Decide(aOut, aId, ClaimOutcome::OtherIntent);
   } else if (row->mAddress == mOptions.mAddress) {
-    Follow(aOut, aId, aFound, Report(row->mRequest));
+    ApplyReport(aOut, aId, aFound, Report(row->mRequest));
   } else {
-    undecided.mAsking = true;
-    mAsked[++mLastTicket] = { aId, aFound };
+    undecided.mQueryOpen = true;
+    mOpenQueries[++mLastTicket] = { aId, aFound };
     aOut.push_back(QueryClaimant{ mLastTicket, row->mAddress, row->mRequest });
   }
 }
 
 void
-Claims::Follow(ClaimActions& aOut,
-               RequestId aId,
-               const FoundClaim& aFound,
-               const ClaimReport& aReport)
+Claims::ApplyReport(ClaimActions& aOut,
+                    RequestId aId,
+                    const FoundClaim& aFound,
+                    const ClaimReport& aReport)
 {
   if (aReport.mStatus == ClaimStatus::NotRun) {
     mUndecided.at(aId).mReplaces = aFound;
     mWaiting.push_back(aId);
     return;
   }
-  Decide(aOut, aId, EndOf(aReport.mStatus), aReport.mAnswer);
+  Decide(aOut, aId, OutcomeOf(aReport.mStatus), aReport.mAnswer);
 }
 
 ClaimActions
@@ -239,17 +243,17 @@
                          Millis aNow)
 {
   ClaimActions out;
-  const auto asked = mAsked.find(aTicket);
-  if (asked != mAsked.end()) {
-    const auto [id, found] = std::move(asked->second);
-    mAsked.erase(asked);
+  const auto query = mOpenQueries.find(aTicket);
+  if (query != mOpenQueries.end()) {
+    const auto [id, found] = std::move(query->second);
+    mOpenQueries.erase(query);
     const auto undecided = mUndecided.find(id);
     if (undecided != mUndecided.end()) {
-      undecided->second.mAsking = false;
-      Follow(out, id, found, aReport);
+      undecided->second.mQueryOpen = false;
+      ApplyReport(out, id, found, aReport);
     }
   }
-  Drive(out, aUnixSeconds, aNow);
+  Advance(out, aUnixSeconds, aNow);
   return out;
 }
 
@@ -257,7 +261,7 @@
 Claims::OnTick(int64_t aUnixSeconds, Millis aNow)
 {
   ClaimActions out;
-  Drive(out, aUnixSeconds, aNow);
+  Advance(out, aUnixSeconds, aNow);
   return out;
 }
 
@@ -285,16 +289,16 @@
 }
 
 void
-Claims::Drive(ClaimActions& aOut, int64_t aUnixSeconds, Millis aNow)
+Claims::Advance(ClaimActions& aOut, int64_t aUnixSeconds, Millis aNow)
 {
-  DropLate(aOut, aNow);
+  ExpireUndecided(aOut, aNow);
   Commit(aOut, aUnixSeconds, aNow);
   Expire(aOut, aUnixSeconds);
 }
 
 /** A request that gets no claim in time will never run. */
 void
-Claims::DropLate(ClaimActions& aOut, Millis aNow)
+Claims::ExpireUndecided(ClaimActions& aOut, Millis aNow)
 {
   std::vector<RequestId> late;
   for (const auto& [id, undecided] : mUndecided) {
@@ -303,22 +307,23 @@
     }
   }
   for (const RequestId id : late) {
-    const bool taken = mUndecided.at(id).mAsking;
-    Decide(aOut, id, taken ? ClaimOutcome::MaybeRan : ClaimOutcome::Unsettled);
+    const bool queryOpen = mUndecided.at(id).mQueryOpen;
+    Decide(
+      aOut, id, queryOpen ? ClaimOutcome::MaybeRan : ClaimOutcome::Unsettled);
   }
 }
 
 void
 Claims::Decide(ClaimActions& aOut,
                RequestId aId,
-               ClaimOutcome aEnd,
+               ClaimOutcome aOutcome,
                std::shared_ptr<const CachedAnswer> aAnswer)
 {
   mUndecided.erase(aId);
-  if (aEnd != ClaimOutcome::Run) {
+  if (aOutcome != ClaimOutcome::Run) {
     NotRun(aId);
   }
-  aOut.push_back(ClaimDecided{ aId, aEnd, std::move(aAnswer) });
+  aOut.push_back(ClaimDecided{ aId, aOutcome, std::move(aAnswer) });
 }
 
 /** All that waits goes into one transaction: a group commit. */
@@ -353,10 +358,10 @@
 Claims::Expire(ClaimActions& aOut, int64_t aUnixSeconds)
 {
   const uint64_t epoch = EpochOf(aUnixSeconds);
-  if (epoch <= kEpochsKept || epoch - kEpochsKept <= mExpiredBelow) {
+  if (epoch <= kRetainedEpochs || epoch - kRetainedEpochs <= mExpiredBelow) {
     return;
   }
-  mExpiredBelow = epoch - kEpochsKept;
+  mExpiredBelow = epoch - kRetainedEpochs;
   aOut.push_back(ExpireClaims{ mExpiredBelow });
 }
 
@@ -368,13 +373,14 @@
 }
 
 Millis
-Claims::RetrySpan()
+Claims::RetryDelay()
 {
-  const int64_t factor = int64_t{ 1 } << std::min(mFailures, kMostDoublings);
-  const Millis most =
+  const int64_t factor = int64_t{ 1 } << std::min(mFailures, kMaxDoublings);
+  const Millis maxDelay =
     std::min(mOptions.mInitialRetryDelay * factor, mOptions.mMaxRetryDelay);
-  std::uniform_int_distribution<int64_t> draw(most.Count() / 2, most.Count());
-  return Millis(draw(mRandom));
+  std::uniform_int_distribution<int64_t> jitter(maxDelay.Count() / 2,
+                                                maxDelay.Count());
+  return Millis(jitter(mRandom));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/claims.h
+++ b/src/libtrefoilarch/claims.h
@@ -74,7 +74,7 @@
 
   size_t Undecided() const { return mUndecided.size(); }
   size_t Remembered() const { return mRecords.size(); }
-  size_t AnswerBytes() const { return mAnswerBytes; }
+  size_t AnswerBytes() const { return mCachedBytes; }
   Millis NextWake() const;
 
 private:
@@ -92,41 +92,43 @@
   {
     Millis mDeadline;
     std::optional<FoundClaim> mReplaces;
-    bool mAsking = false;
+    bool mQueryOpen = false;
   };
 
   uint64_t EpochOf(int64_t aUnixSeconds) const;
-  std::optional<ClaimDecided> AnswerHere(const ClaimRequest& aRequest) const;
-  void End(RequestId aId, ClaimStatus aStanding);
+  std::optional<ClaimDecided> DecideLocally(const ClaimRequest& aRequest) const;
+  void Finish(RequestId aId, ClaimStatus aStatus);
   void Remember(RequestId aId);
   void DropAnswer(Record& aRecord);
   void Decide(ClaimActions& aOut,
               RequestId aId,
-              ClaimOutcome aEnd,
+              ClaimOutcome aOutcome,
               std::shared_ptr<const CachedAnswer> aAnswer = nullptr);
-  void Weigh(ClaimActions& aOut, RequestId aId, const FoundClaim& aFound);
-  void Follow(ClaimActions& aOut,
-              RequestId aId,
-              const FoundClaim& aFound,
-              const ClaimReport& aReport);
-  void DropLate(ClaimActions& aOut, Millis aNow);
+  void ResolveFoundRow(ClaimActions& aOut,
+                       RequestId aId,
+                       const FoundClaim& aFound);
+  void ApplyReport(ClaimActions& aOut,
+                   RequestId aId,
+                   const FoundClaim& aFound,
+                   const ClaimReport& aReport);
+  void ExpireUndecided(ClaimActions& aOut, Millis aNow);
   void Commit(ClaimActions& aOut, int64_t aUnixSeconds, Millis aNow);
   void Expire(ClaimActions& aOut, int64_t aUnixSeconds);
-  void Drive(ClaimActions& aOut, int64_t aUnixSeconds, Millis aNow);
-  Millis RetrySpan();
+  void Advance(ClaimActions& aOut, int64_t aUnixSeconds, Millis aNow);
+  Millis RetryDelay();
 
   ClaimOptions mOptions;
   std::minstd_rand mRandom;
   std::unordered_map<RequestId, Record> mRecords;
   /** The newest request of a key here. */
   std::unordered_map<std::string, RequestId> mByKey;
-  std::deque<RequestId> mEnded; /**< in order of their end */
-  std::deque<RequestId> mKept;  /**< those with an answer, in order */
-  size_t mAnswerBytes = 0;
+  std::deque<RequestId> mEnded;  /**< in order of their end */
+  std::deque<RequestId> mCached; /**< those with an answer, in order */
+  size_t mCachedBytes = 0;
   std::map<RequestId, Pending> mUndecided;
   std::deque<RequestId> mWaiting; /**< for the next commit */
   std::vector<RequestId> mCommitting;
-  std::map<uint64_t, std::pair<RequestId, FoundClaim>> mAsked;
+  std::map<uint64_t, std::pair<RequestId, FoundClaim>> mOpenQueries;
   uint64_t mLastTicket = 0;
   uint64_t mExpiredBelow = 0;
   unsigned mFailures = 0;
--- a/src/libtrefoilarch/eligiblelinks.cpp
+++ b/src/libtrefoilarch/eligiblelinks.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** Rankings that are kept; beyond it, all are made anew. */
-constexpr size_t kMostRanked = 1024;
+constexpr size_t kMaxRankedSets = 1024;
 
 } // namespace
 
@@ -15,7 +15,7 @@
 EligibleLinks::SetClassifier(std::shared_ptr<const Classifier> aClassifier)
 {
   mSets.SetClassifier(std::move(aClassifier));
-  mRanked.clear();
+  mRankedSets.clear();
 }
 
 RankedSet&
@@ -23,28 +23,28 @@
                    std::map<UpstreamId, UpstreamLink>& aLinks)
 {
   if (mStale) {
-    LookAt(aLinks);
+    Rebuild(aLinks);
   }
   const auto set = mSets.For(aTraffic);
-  const auto known = mRanked.find(set);
-  if (known != mRanked.end()) {
-    return known->second;
+  const auto found = mRankedSets.find(set);
+  if (found != mRankedSets.end()) {
+    return found->second;
   }
-  if (mRanked.size() >= kMostRanked) {
-    mRanked.clear();
+  if (mRankedSets.size() >= kMaxRankedSets) {
+    mRankedSets.clear();
   }
   std::vector<UpstreamLink*> members;
-  for (const uint32_t place : *set) {
-    members.push_back(mLinks.at(place));
+  for (const uint32_t index : *set) {
+    members.push_back(mLinks.at(index));
   }
-  return mRanked.emplace(set, RankedSet(std::move(members))).first->second;
+  return mRankedSets.emplace(set, RankedSet(std::move(members))).first->second;
 }
 
 void
-EligibleLinks::LookAt(std::map<UpstreamId, UpstreamLink>& aLinks)
+EligibleLinks::Rebuild(std::map<UpstreamId, UpstreamLink>& aLinks)
 {
   mStale = false;
-  mRanked.clear();
+  mRankedSets.clear();
   mLinks.clear();
   std::vector<UpstreamView> views;
   for (auto& [name, link] : aLinks) {
--- a/src/libtrefoilarch/eligiblelinks.h
+++ b/src/libtrefoilarch/eligiblelinks.h
@@ -21,19 +21,19 @@
 public:
   void SetClassifier(std::shared_ptr<const Classifier> aClassifier);
   /** Links have come or gone, or an upstream's labels have changed. */
-  void Forget() { mStale = true; }
+  void Invalidate() { mStale = true; }
 
   /** Valid until Forget(), SetClassifier() or the next call. */
   RankedSet& For(const Labels& aTraffic,
                  std::map<UpstreamId, UpstreamLink>& aLinks);
 
 private:
-  void LookAt(std::map<UpstreamId, UpstreamLink>& aLinks);
+  void Rebuild(std::map<UpstreamId, UpstreamLink>& aLinks);
 
   EligibleSets mSets;
   bool mStale = true;
   std::vector<UpstreamLink*> mLinks;
-  std::unordered_map<std::shared_ptr<const EligibleSet>, RankedSet> mRanked;
+  std::unordered_map<std::shared_ptr<const EligibleSet>, RankedSet> mRankedSets;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/eligiblesets.cpp
+++ b/src/libtrefoilarch/eligiblesets.cpp
@@ -15,19 +15,19 @@
 void
 AppendLabel(std::string& aKey, const Labels& aTraffic, const std::string& aName)
 {
-  const auto place = aTraffic.find(aName);
-  if (place == aTraffic.end()) {
+  const auto found = aTraffic.find(aName);
+  if (found == aTraffic.end()) {
     aKey += kAbsent;
   } else {
-    aKey += place->second;
+    aKey += found->second;
   }
   aKey += kSeparator;
 }
 
 } // namespace
 
-EligibleSets::EligibleSets(size_t aMostKept)
-  : mMostKept(aMostKept)
+EligibleSets::EligibleSets(size_t aMaxCached)
+  : mMaxCached(aMaxCached)
 {
 }
 
@@ -49,21 +49,21 @@
 EligibleSets::For(const Labels& aTraffic)
 {
   if (!mClassifier) {
-    return mNone;
+    return mEmptySet;
   }
   if (!mPrepared) {
     Prepare();
   }
   std::string trafficKey = TrafficKey(aTraffic);
-  const auto kept = mByTraffic.find(trafficKey);
-  if (kept != mByTraffic.end()) {
-    return kept->second;
+  const auto cached = mByTraffic.find(trafficKey);
+  if (cached != mByTraffic.end()) {
+    return cached->second;
   }
-  if (mByTraffic.size() >= mMostKept) {
+  if (mByTraffic.size() >= mMaxCached) {
     mByTraffic.clear();
     mByMatch.clear();
   }
-  std::vector<const SelectorPlaces*> matching;
+  std::vector<const SelectorUpstreams*> matching;
   auto& set = mByMatch[MatchKey(aTraffic, matching)];
   if (!set) {
     set = std::make_shared<EligibleSet>(Collect(aTraffic, matching));
@@ -82,15 +82,15 @@
   mByMatch.clear();
   for (const auto& [name, selector] : policy.mSelectors) {
     AddKeys(selector.mTraffic);
-    SelectorPlaces places{ &selector, {} };
-    for (uint32_t place = 0; place < mUpstreams.size(); ++place) {
-      const UpstreamLabels labels(policy, mUpstreams[place]);
+    SelectorUpstreams upstreams{ &selector, {} };
+    for (uint32_t found = 0; found < mUpstreams.size(); ++found) {
+      const UpstreamLabels labels(policy, mUpstreams[found]);
       if (!labels.Drained() && labels.MeetsAll(selector.mUpstreams)) {
-        places.mUpstreams.push_back(place);
+        upstreams.mUpstreams.push_back(found);
       }
     }
-    if (!places.mUpstreams.empty()) {
-      mSelectors.push_back(std::move(places));
+    if (!upstreams.mUpstreams.empty()) {
+      mSelectors.push_back(std::move(upstreams));
     }
   }
   std::sort(mKeys.begin(), mKeys.end());
@@ -118,12 +118,12 @@
 
 std::string
 EligibleSets::MatchKey(const Labels& aTraffic,
-                       std::vector<const SelectorPlaces*>& aMatching) const
+                       std::vector<const SelectorUpstreams*>& aMatching) const
 {
   std::string key;
   AppendLabel(key, aTraffic, "model");
   AppendLabel(key, aTraffic, "service");
-  for (const SelectorPlaces& one : mSelectors) {
+  for (const SelectorUpstreams& one : mSelectors) {
     if (MeetsRequirements(aTraffic, one.mSelector->mTraffic)) {
       aMatching.push_back(&one);
       key += one.mSelector->mName;
@@ -135,17 +135,17 @@
 
 EligibleSet
 EligibleSets::Collect(const Labels& aTraffic,
-                      const std::vector<const SelectorPlaces*>& aFrom) const
+                      const std::vector<const SelectorUpstreams*>& aFrom) const
 {
   EligibleSet all;
-  for (const SelectorPlaces* one : aFrom) {
+  for (const SelectorUpstreams* one : aFrom) {
     all.insert(all.end(), one->mUpstreams.begin(), one->mUpstreams.end());
   }
   std::sort(all.begin(), all.end());
   all.erase(std::unique(all.begin(), all.end()), all.end());
   const Policy& policy = mClassifier->CurrentPolicy();
-  std::erase_if(all, [&](uint32_t aPlace) {
-    return !UpstreamLabels(policy, mUpstreams[aPlace]).Serves(aTraffic);
+  std::erase_if(all, [&](uint32_t aIndex) {
+    return !UpstreamLabels(policy, mUpstreams[aIndex]).Serves(aTraffic);
   });
   return all;
 }
--- a/src/libtrefoilarch/eligiblesets.h
+++ b/src/libtrefoilarch/eligiblesets.h
@@ -25,7 +25,7 @@
 {
 public:
   /** Sets kept at the most, by traffic; beyond it all are dropped. */
-  explicit EligibleSets(size_t aMostKept = 8192);
+  explicit EligibleSets(size_t aMaxCached = 8192);
 
   void SetClassifier(std::shared_ptr<const Classifier> aClassifier);
   void SetUpstreams(std::vector<UpstreamView> aUpstreams);
@@ -36,7 +36,7 @@
   const std::vector<UpstreamView>& Upstreams() const { return mUpstreams; }
 
 private:
-  struct SelectorPlaces
+  struct SelectorUpstreams
   {
     const Selector* mSelector = nullptr;
     EligibleSet mUpstreams;
@@ -46,24 +46,25 @@
   void AddKeys(const std::vector<Requirement>& aAll);
   std::string TrafficKey(const Labels& aTraffic) const;
   std::string MatchKey(const Labels& aTraffic,
-                       std::vector<const SelectorPlaces*>& aMatching) const;
+                       std::vector<const SelectorUpstreams*>& aMatching) const;
   EligibleSet Collect(const Labels& aTraffic,
-                      const std::vector<const SelectorPlaces*>& aFrom) const;
+                      const std::vector<const SelectorUpstreams*>& aFrom) const;
 
   using Sets =
     std::unordered_map<std::string, std::shared_ptr<const EligibleSet>>;
 
-  size_t mMostKept;
+  size_t mMaxCached;
   std::shared_ptr<const Classifier> mClassifier;
   std::vector<UpstreamView> mUpstreams;
   bool mPrepared = false;
   std::vector<std::string> mKeys; /**< labels that decide, sorted */
-  std::vector<SelectorPlaces> mSelectors;
+  std::vector<SelectorUpstreams> mSelectors;
   Sets mByTraffic;
   /** The same sets by the selectors that match, so that traffic of many
    * workspaces shares one. */
   Sets mByMatch;
-  std::shared_ptr<const EligibleSet> mNone = std::make_shared<EligibleSet>();
+  std::shared_ptr<const EligibleSet> mEmptySet =
+    std::make_shared<EligibleSet>();
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/entryanswers.cpp
+++ b/src/libtrefoilarch/entryanswers.cpp
@@ -15,13 +15,13 @@
 constexpr int64_t kRoundTripSmoothing = 4;
 
 /** First tokens are compared as if each prompt had this many tokens more. */
-constexpr int64_t kTypicalPrompt = 2000;
+constexpr int64_t kTypicalPromptTokens = 2000;
 
 /** Sets of offers made for one request before its declines are final. */
-constexpr uint32_t kMostRounds = 3;
+constexpr uint32_t kMaxOfferRounds = 3;
 
 bool
-IsUpstreamsFault(ErrorKind aKind)
+IsUpstreamFailure(ErrorKind aKind)
 {
   return aKind == ErrorKind::UpstreamUnreachable ||
          aKind == ErrorKind::UpstreamFailed || aKind == ErrorKind::AnswerCut;
@@ -35,19 +35,19 @@
                            Millis aNow)
 {
   UpstreamLink* link = LinkOf(aUpstream);
-  const bool greeting = std::holds_alternative<Welcome>(aMessage);
+  const bool isWelcome = std::holds_alternative<Welcome>(aMessage);
   if (!link || link->mHealth.State() == ChannelState::Down ||
-      (!link->Ready() && !greeting)) {
-    mCounters.mDropped++;
+      (!link->Ready() && !isWelcome)) {
+    mCounters.mMessagesDropped++;
     return;
   }
-  std::visit([&](auto& aKnown) { On(*link, std::move(aKnown), aNow); },
+  std::visit([&](auto& aTyped) { Handle(*link, std::move(aTyped), aNow); },
              aMessage);
-  Watch(*link, aNow);
+  ArmTimer(*link, aNow);
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink, const Grant& aMessage, Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink, const Grant& aMessage, Millis aNow)
 {
   OpenRequest* request = RequestOf(aMessage.mKey);
   const auto offer =
@@ -56,7 +56,7 @@
     OnStray(aLink, aMessage.mKey, aNow);
     return;
   }
-  aLink.mHealth.OnProven(offer->mOfferedAt);
+  aLink.mHealth.OnDelivered(offer->mOfferedAt);
   if (IsEligible(*request, aLink)) {
     StartAt(aLink, *request, *offer, aNow);
     return;
@@ -81,40 +81,42 @@
   mCounters.mStarts++;
   Send(aLink, Start{ aOffer.mKey, aRequest.mRequest.mCall }, aNow);
   DropOffers(aRequest, aNow);
-  Watch(aRequest);
+  ArmTimer(aRequest);
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink, const Decline& aMessage, Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink,
+                        const Decline& aMessage,
+                        Millis aNow)
 {
   OpenRequest* request = RequestOf(aMessage.mKey);
   const auto offer =
     request ? TakeOffer(aLink, *request, aMessage.mKey) : std::nullopt;
   if (!offer) {
-    Confirm(aLink, aMessage.mKey);
+    ConfirmWithdrawal(aLink, aMessage.mKey);
     return;
   }
-  aLink.mHealth.OnProven(offer->mOfferedAt);
+  aLink.mHealth.OnDelivered(offer->mOfferedAt);
   Release(aLink, *offer);
   request->mDeclinedBy.push_back(aLink.mView.mName);
-  NoteDecline(*request, aMessage);
+  RecordDecline(*request, aMessage);
   if (aMessage.mKind == ErrorKind::DeadlineExceeded) {
     ConcludeWithError(*request, *request->mRefusal, aNow);
   } else if (!HasReadyOffer(*request)) {
-    PlaceOnceMore(*request, aMessage.mKind, aNow);
+    PlaceAgain(*request, aMessage.mKind, aNow);
   }
 }
 
 void
-EntryCore::Impl::NoteDecline(OpenRequest& aRequest, const Decline& aDecline)
+EntryCore::Impl::RecordDecline(OpenRequest& aRequest, const Decline& aDecline)
 {
-  const auto& known = aRequest.mRefusal;
-  const bool leaves = aDecline.mKind == ErrorKind::ShuttingDown;
-  const bool moreTelling =
-    !known || known->mKind == ErrorKind::ShuttingDown ||
+  const auto& current = aRequest.mRefusal;
+  const bool shuttingDown = aDecline.mKind == ErrorKind::ShuttingDown;
+  const bool replaces =
+    !current || current->mKind == ErrorKind::ShuttingDown ||
     aDecline.mKind == ErrorKind::DeadlineExceeded ||
-    (!leaves && aDecline.mRetryAfter < known->mRetryAfter);
-  if (moreTelling) {
+    (!shuttingDown && aDecline.mRetryAfter < current->mRetryAfter);
+  if (replaces) {
     aRequest.mRefusal = { aDecline.mKind,
                           Ran::No,
                           aDecline.mRetryAfter,
@@ -123,13 +125,13 @@
 }
 
 void
-EntryCore::Impl::PlaceOnceMore(OpenRequest& aRequest,
-                               ErrorKind aDeclined,
-                               Millis aNow)
+EntryCore::Impl::PlaceAgain(OpenRequest& aRequest,
+                            ErrorKind aDeclined,
+                            Millis aNow)
 {
-  const bool leaves = aDeclined == ErrorKind::ShuttingDown;
-  aRequest.mRounds += leaves ? 0 : 1;
-  if (aRequest.mRounds < kMostRounds) {
+  const bool shuttingDown = aDeclined == ErrorKind::ShuttingDown;
+  aRequest.mRounds += shuttingDown ? 0 : 1;
+  if (aRequest.mRounds < kMaxOfferRounds) {
     PlaceOrConclude(aRequest, aNow);
   } else {
     ConcludeWithError(aRequest, *aRequest.mRefusal, aNow);
@@ -137,7 +139,9 @@
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink, const Voided& aMessage, Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink,
+                        const Voided& aMessage,
+                        Millis aNow)
 {
   if (aMessage.mKey == kProbe) {
     OnProbeAnswered(aLink, aNow);
@@ -145,7 +149,7 @@
   }
   OpenRequest* request = RequestOf(aMessage.mKey);
   if (!request || aMessage.mIncarnation != aLink.mIncarnation) {
-    Confirm(aLink, aMessage.mKey);
+    ConfirmWithdrawal(aLink, aMessage.mKey);
     return;
   }
   auto attempt = TakeOffer(aLink, *request, aMessage.mKey);
@@ -153,7 +157,7 @@
     attempt = std::exchange(request->mStarted, std::nullopt);
   }
   if (!attempt) {
-    Confirm(aLink, aMessage.mKey);
+    ConfirmWithdrawal(aLink, aMessage.mKey);
     return;
   }
   Release(aLink, *attempt);
@@ -163,7 +167,7 @@
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink, Chunk aMessage, Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink, Chunk aMessage, Millis aNow)
 {
   OpenRequest* request = StartedAt(aLink, aMessage.mKey);
   if (!request) {
@@ -171,15 +175,15 @@
     return;
   }
   if (aMessage.mNumber != request->mNextChunk) {
-    mCounters.mDropped++;
+    mCounters.mMessagesDropped++;
     if (aMessage.mNumber > request->mNextChunk) {
-      AskForMissing(aLink, *request, aNow);
+      RequestMissingChunks(aLink, *request, aNow);
     }
     return;
   }
   Deliver(*request, std::move(aMessage), aNow);
   if (request->mEndChunk == request->mNextChunk) {
-    ConcludeWhole(*request, aNow);
+    ConcludeComplete(*request, aNow);
   } else {
     AckIfDue(aLink, *request, aNow);
   }
@@ -219,9 +223,9 @@
 }
 
 void
-EntryCore::Impl::AskForMissing(UpstreamLink& aLink,
-                               OpenRequest& aRequest,
-                               Millis aNow)
+EntryCore::Impl::RequestMissingChunks(UpstreamLink& aLink,
+                                      OpenRequest& aRequest,
+                                      Millis aNow)
 {
   if (std::exchange(aRequest.mResumeSent, true)) {
     return;
@@ -230,16 +234,18 @@
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink, const Finished& aMessage, Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink,
+                        const Finished& aMessage,
+                        Millis aNow)
 {
   OpenRequest* request = StartedAt(aLink, aMessage.mKey);
   if (!request) {
-    Confirm(aLink, aMessage.mKey);
+    ConfirmWithdrawal(aLink, aMessage.mKey);
     return;
   }
-  const bool broken =
+  const bool inconsistent =
     aMessage.mChunks == 0 || aMessage.mChunks < request->mNextChunk;
-  if (broken) {
+  if (inconsistent) {
     request->mMayHaveRun = true;
     ConcludeWithError(*request,
                       { ErrorKind::UpstreamFailed,
@@ -251,36 +257,39 @@
   }
   if (!std::exchange(request->mEndChunk, aMessage.mChunks)) {
     const ServiceLevel& level = request->mRequest.mClassified.mLevel;
-    mOutputs.Add(level.mClass, level.mWorkspace, aMessage.mOutputTokens);
+    mOutputEstimator.Add(
+      level.mClass, level.mWorkspace, aMessage.mOutputTokens);
   }
   if (request->mNextChunk == aMessage.mChunks) {
-    ConcludeWhole(*request, aNow);
+    ConcludeComplete(*request, aNow);
   } else {
-    AskForMissing(aLink, *request, aNow);
+    RequestMissingChunks(aLink, *request, aNow);
   }
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink, const Failed& aMessage, Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink,
+                        const Failed& aMessage,
+                        Millis aNow)
 {
   if (aMessage.mChunks > 0) {
     Send(aLink, Ack{ aMessage.mKey, aMessage.mChunks }, aNow);
   }
   OpenRequest* request = StartedAt(aLink, aMessage.mKey);
   if (!request) {
-    Confirm(aLink, aMessage.mKey);
+    ConfirmWithdrawal(aLink, aMessage.mKey);
     return;
   }
   request->mMayHaveRun |= aMessage.mRan == Ran::Maybe || request->mHeadSent;
   Release(aLink, *request->mStarted);
   request->mStarted.reset();
   request->mFailedUpstreams.push_back(aLink.mView.mName);
-  if (IsUpstreamsFault(aMessage.mKind)) {
-    mOutliers.OnFailure(aLink.mView.mName, aNow);
+  if (IsUpstreamFailure(aMessage.mKind)) {
+    mOutlierDetector.OnFailure(aLink.mView.mName, aNow);
   }
   // A sidecar that lost sight of this entry ends what it ran for it.
   if (aMessage.mKind == ErrorKind::CallerLeft) {
-    RetryOrConclude(*request, LostAfterStart(*request), aNow);
+    RetryOrConclude(*request, LostStartRefusal(*request), aNow);
     return;
   }
   RetryOrConclude(*request,
@@ -292,40 +301,41 @@
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink,
-                    const LedgerEntry& aMessage,
-                    Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink,
+                        const LedgerEntry& aMessage,
+                        Millis aNow)
 {
   if (aMessage.mKey == kProbe) {
     OnProbeAnswered(aLink, aNow);
     return;
   }
   if (aMessage.mIncarnation != aLink.mIncarnation) {
-    mCounters.mDropped++;
+    mCounters.mMessagesDropped++;
     return;
   }
   if (aMessage.mState == AttemptState::Voided) {
-    On(aLink, Voided{ aMessage.mKey, aMessage.mIncarnation }, aNow);
+    Handle(aLink, Voided{ aMessage.mKey, aMessage.mIncarnation }, aNow);
     return;
   }
   OpenRequest* request = StartedAt(aLink, aMessage.mKey);
   if (!request) {
-    OnLedgerEntryOfStray(aLink, aMessage, aNow);
+    OnStrayLedgerEntry(aLink, aMessage, aNow);
     return;
   }
-  const bool askedBefore = std::exchange(request->mResumeSent, true);
-  const bool runs = aMessage.mState == AttemptState::Running;
-  if (aMessage.mState == AttemptState::Unknown || (askedBefore && !runs)) {
-    LoseStarted(*request, aNow);
-  } else if (!askedBefore) {
+  const bool alreadyRequested = std::exchange(request->mResumeSent, true);
+  const bool running = aMessage.mState == AttemptState::Running;
+  if (aMessage.mState == AttemptState::Unknown ||
+      (alreadyRequested && !running)) {
+    HandleLostStart(*request, aNow);
+  } else if (!alreadyRequested) {
     Send(aLink, Resume{ aMessage.mKey, request->mNextChunk }, aNow);
   }
 }
 
 void
-EntryCore::Impl::OnLedgerEntryOfStray(UpstreamLink& aLink,
-                                      const LedgerEntry& aMessage,
-                                      Millis aNow)
+EntryCore::Impl::OnStrayLedgerEntry(UpstreamLink& aLink,
+                                    const LedgerEntry& aMessage,
+                                    Millis aNow)
 {
   OpenRequest* request = RequestOf(aMessage.mKey);
   const auto offer =
@@ -338,11 +348,11 @@
     return;
   }
   if (!aLink.mWithdrawn.contains(aMessage.mKey)) {
-    mCounters.mDropped++;
+    mCounters.mMessagesDropped++;
     return;
   }
   if (aMessage.mState != AttemptState::Running) {
-    Confirm(aLink, aMessage.mKey);
+    ConfirmWithdrawal(aLink, aMessage.mKey);
   }
   if (aMessage.mState != AttemptState::Unknown) {
     Send(aLink, trefoilarch::Withdraw{ aMessage.mKey }, aNow);
@@ -364,9 +374,10 @@
 {
   const Millis took = aNow - aRequest.mStarted->mStarted;
   const int64_t tokens = aRequest.mRequest.mPromptTokens;
-  mOutliers.OnFirstToken(aRequest.mStarted->mUpstream,
-                         took * kTypicalPrompt / (kTypicalPrompt + tokens),
-                         aNow);
+  mOutlierDetector.OnFirstToken(aRequest.mStarted->mUpstream,
+                                took * kTypicalPromptTokens /
+                                  (kTypicalPromptTokens + tokens),
+                                aNow);
 }
 
 void
@@ -374,9 +385,9 @@
                          const AttemptKey& aKey,
                          Millis aNow)
 {
-  mCounters.mDropped++;
-  const auto whole = aLink.mWhole.find(aKey);
-  if (whole != aLink.mWhole.end()) {
+  mCounters.mMessagesDropped++;
+  const auto completed = aLink.mCompleted.find(aKey);
+  if (completed != aLink.mCompleted.end()) {
     return;
   }
   if (!aLink.mWithdrawn.contains(aKey)) {
@@ -385,16 +396,16 @@
 }
 
 void
-EntryCore::Impl::Confirm(UpstreamLink& aLink, const AttemptKey& aKey)
+EntryCore::Impl::ConfirmWithdrawal(UpstreamLink& aLink, const AttemptKey& aKey)
 {
-  mCounters.mDropped += aLink.mWithdrawn.erase(aKey) ? 0 : 1;
+  mCounters.mMessagesDropped += aLink.mWithdrawn.erase(aKey) ? 0 : 1;
 }
 
 OpenRequest*
 EntryCore::Impl::RequestOf(const AttemptKey& aKey)
 {
-  const auto place = mRequests.find(aKey.mRequest);
-  return place == mRequests.end() ? nullptr : &place->second;
+  const auto found = mRequests.find(aKey.mRequest);
+  return found == mRequests.end() ? nullptr : &found->second;
 }
 
 OpenRequest*
@@ -413,17 +424,17 @@
                            OpenRequest& aRequest,
                            const AttemptKey& aKey)
 {
-  const auto place = std::find_if(
+  const auto found = std::find_if(
     aRequest.mOffers.begin(),
     aRequest.mOffers.end(),
     [&](const EntryAttempt& aOffer) {
       return aOffer.mKey == aKey && aOffer.mUpstream == aLink.mView.mName;
     });
-  if (place == aRequest.mOffers.end()) {
+  if (found == aRequest.mOffers.end()) {
     return std::nullopt;
   }
-  EntryAttempt offer = std::move(*place);
-  aRequest.mOffers.erase(place);
+  EntryAttempt offer = std::move(*found);
+  aRequest.mOffers.erase(found);
   return offer;
 }
 
--- a/src/libtrefoilarch/entrychannels.cpp
+++ b/src/libtrefoilarch/entrychannels.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 /** How long a withdrawn or whole attempt is kept for a lost channel. */
-constexpr Millis kForgetSpan{ 10000 };
+constexpr Millis kForgetDelay{ 10000 };
 
 /**
  * How long a started attempt waits for a lost channel before it is run
  * elsewhere, where that is safe.
  */
-constexpr Millis kRerunSpan{ 1000 };
+constexpr Millis kRerunDelay{ 1000 };
 
 /** The same where it is not; sidecars cancel orphans after as long. */
-constexpr Millis kResumeSpan{ 5000 };
+constexpr Millis kResumeTimeout{ 5000 };
 
 } // namespace
 
@@ -29,7 +29,7 @@
     return;
   }
   if (link->mHealth.State() != ChannelState::Down) {
-    LoseChannel(*link, aNow);
+    HandleChannelLoss(*link, aNow);
   }
   link->mHealth.OnUp(aNow);
   Send(*link,
@@ -42,7 +42,7 @@
 {
   UpstreamLink* link = LinkOf(aUpstream);
   if (link && link->mHealth.State() != ChannelState::Down) {
-    LoseChannel(*link, aNow);
+    HandleChannelLoss(*link, aNow);
   }
 }
 
@@ -55,11 +55,11 @@
     link.mListed = false;
   }
   for (UpstreamView& view : aUpstreams) {
-    const ChannelTimeouts spans{ .mSilence = mOptions.mSilenceTimeout,
-                                 .mHeartbeat = mOptions.mHeartbeat,
-                                 .mIdleHeartbeat = mOptions.mIdleHeartbeat };
-    const auto [place, isNew] = mLinks.try_emplace(view.mName, spans);
-    UpstreamLink& link = place->second;
+    const ChannelTimeouts timeouts{ .mSilence = mOptions.mSilenceTimeout,
+                                    .mHeartbeat = mOptions.mHeartbeat,
+                                    .mIdleHeartbeat = mOptions.mIdleHeartbeat };
+    const auto [found, isNew] = mLinks.try_emplace(view.mName, timeouts);
+    UpstreamLink& link = found->second;
     if (isNew) {
       link.mListedSince = aNow;
     }
@@ -72,7 +72,7 @@
   }
   for (auto& [name, link] : mLinks) {
     if (!link.AcceptsWork()) {
-      MoveOffersAway(link, aNow);
+      WithdrawOffers(link, aNow);
     }
   }
   EraseUnlisted();
@@ -82,67 +82,67 @@
 void
 EntryCore::Impl::EraseUnlisted()
 {
-  for (auto place = mLinks.begin(); place != mLinks.end();) {
-    const auto& [name, link] = *place;
+  for (auto found = mLinks.begin(); found != mLinks.end();) {
+    const auto& [name, link] = *found;
     if (link.mListed || !link.mOpen.empty()) {
-      ++place;
+      ++found;
       continue;
     }
-    mEligible.Forget();
-    mOutliers.Remove(name);
+    mEligibleLinks.Invalidate();
+    mOutlierDetector.Remove(name);
     mLinkTimers.Disarm(name);
-    place = mLinks.erase(place);
+    found = mLinks.erase(found);
   }
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink, Welcome aMessage, Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink, Welcome aMessage, Millis aNow)
 {
-  const bool forgotten =
+  const bool restarted =
     aLink.mWelcomed && aLink.mIncarnation != aMessage.mIncarnation;
   aLink.mHealth.OnWelcome(aNow);
   aLink.mIncarnation = aMessage.mIncarnation;
   aLink.SetLoad(aMessage.mLoad);
-  LearnLabels(aLink, std::move(aMessage));
-  if (forgotten) {
-    mOutliers.Reset(aLink.mView.mName);
+  UpdateLabels(aLink, std::move(aMessage));
+  if (restarted) {
+    mOutlierDetector.Reset(aLink.mView.mName);
     aLink.mWithdrawn.clear();
-    aLink.mWhole.clear();
+    aLink.mCompleted.clear();
   }
   Recover(aLink, aNow);
   PlaceParked(aNow);
 }
 
 void
-EntryCore::Impl::LearnLabels(UpstreamLink& aLink, Welcome aMessage)
+EntryCore::Impl::UpdateLabels(UpstreamLink& aLink, Welcome aMessage)
 {
-  const bool same = aLink.mWelcomed &&
-                    aLink.mView.mLabels == aMessage.mLabels &&
-                    aLink.mView.mDataCentre == aMessage.mDataCentre;
-  if (same) {
+  const bool unchanged = aLink.mWelcomed &&
+                         aLink.mView.mLabels == aMessage.mLabels &&
+                         aLink.mView.mDataCentre == aMessage.mDataCentre;
+  if (unchanged) {
     return;
   }
   aLink.mWelcomed = true;
   aLink.mView.mDataCentre = std::move(aMessage.mDataCentre);
   aLink.mView.mLabels = std::move(aMessage.mLabels);
-  mEligible.Forget();
+  mEligibleLinks.Invalidate();
   const Labels& labels = aLink.mView.mLabels;
   const auto model = labels.find("model");
   const auto service = labels.find("service");
-  mOutliers.Add(aLink.mView.mName,
-                model != labels.end()     ? "model=" + model->second
-                : service != labels.end() ? "service=" + service->second
-                                          : "");
+  mOutlierDetector.Add(aLink.mView.mName,
+                       model != labels.end()     ? "model=" + model->second
+                       : service != labels.end() ? "service=" + service->second
+                                                 : "");
 }
 
 void
-EntryCore::Impl::On(UpstreamLink& aLink,
-                    const SidecarHeartbeat& aMessage,
-                    Millis aNow)
+EntryCore::Impl::Handle(UpstreamLink& aLink,
+                        const SidecarHeartbeat& aMessage,
+                        Millis aNow)
 {
   aLink.SetLoad(aMessage.mLoad);
   if (!aLink.AcceptsWork()) {
-    MoveOffersAway(aLink, aNow);
+    WithdrawOffers(aLink, aNow);
   }
 }
 
@@ -152,7 +152,7 @@
   for (const AttemptKey& key : aLink.mWithdrawn) {
     Send(aLink, VoidOrReport{ key }, aNow);
   }
-  for (const auto& [key, chunks] : aLink.mWhole) {
+  for (const auto& [key, chunks] : aLink.mCompleted) {
     Send(aLink, Ack{ key, chunks }, aNow);
   }
   const std::vector<AttemptKey> open(aLink.mOpen.begin(), aLink.mOpen.end());
@@ -172,11 +172,11 @@
   }
   if (request->mStarted && request->mStarted->mKey == aKey) {
     if (request->mStarted->mIncarnation != aLink.mIncarnation) {
-      LoseStarted(*request, aNow);
+      HandleLostStart(*request, aNow);
       return;
     }
     request->mRetryAt = Millis::Never();
-    Watch(*request);
+    ArmTimer(*request);
     request->mResumeSent = request->mNextChunk > 0;
     if (request->mResumeSent) {
       Send(aLink, Resume{ aKey, request->mNextChunk }, aNow);
@@ -196,7 +196,7 @@
 }
 
 void
-EntryCore::Impl::LoseChannel(UpstreamLink& aLink, Millis aNow)
+EntryCore::Impl::HandleChannelLoss(UpstreamLink& aLink, Millis aNow)
 {
   aLink.mHealth.OnDown(aNow);
   const std::vector<AttemptKey> open(aLink.mOpen.begin(), aLink.mOpen.end());
@@ -206,10 +206,10 @@
       continue;
     }
     if (request->mStarted && request->mStarted->mKey == key) {
-      const bool safe =
+      const bool mayRerun =
         request->mRequest.mClassified.mIdempotent && !request->mHeadSent;
-      request->mRetryAt = aNow + (safe ? kRerunSpan : kResumeSpan);
-      Watch(*request);
+      request->mRetryAt = aNow + (mayRerun ? kRerunDelay : kResumeTimeout);
+      ArmTimer(*request);
     } else if (!HasReadyOffer(*request)) {
       PlaceOrConclude(*request, aNow);
     }
@@ -217,7 +217,7 @@
 }
 
 void
-EntryCore::Impl::MoveOffersAway(UpstreamLink& aLink, Millis aNow)
+EntryCore::Impl::WithdrawOffers(UpstreamLink& aLink, Millis aNow)
 {
   const std::vector<AttemptKey> open(aLink.mOpen.begin(), aLink.mOpen.end());
   for (const AttemptKey& key : open) {
@@ -239,39 +239,40 @@
 {
   const std::vector<RequestId> parked(mParked.begin(), mParked.end());
   for (const RequestId& id : parked) {
-    const auto place = mRequests.find(id);
-    if (place != mRequests.end()) {
-      PlaceOrConclude(place->second, aNow);
+    const auto found = mRequests.find(id);
+    if (found != mRequests.end()) {
+      PlaceOrConclude(found->second, aNow);
     }
   }
 }
 
 void
-EntryCore::Impl::OnLinkDue(UpstreamLink& aLink, Millis aNow)
+EntryCore::Impl::OnLinkTimer(UpstreamLink& aLink, Millis aNow)
 {
   aLink.mWakeAt = Millis::Never();
-  while (!aLink.mForget.empty() && aLink.mForget.front().first <= aNow) {
-    const AttemptKey key = aLink.mForget.front().second;
-    aLink.mForget.pop_front();
+  while (!aLink.mForgetQueue.empty() &&
+         aLink.mForgetQueue.front().first <= aNow) {
+    const AttemptKey key = aLink.mForgetQueue.front().second;
+    aLink.mForgetQueue.pop_front();
     aLink.mWithdrawn.erase(key);
-    aLink.mWhole.erase(key);
+    aLink.mCompleted.erase(key);
   }
-  aLink.mHealth.SetStake(aLink.AtStake(), aNow);
-  if (aLink.mHealth.Silent(aNow)) {
-    mCounters.mReopened++;
+  aLink.mHealth.SetAwaitingReply(aLink.AwaitsReply(), aNow);
+  if (aLink.mHealth.IsSilent(aNow)) {
+    mCounters.mChannelsReopened++;
     mActions.emplace_back(ReopenChannel{ aLink.mView.mName });
-    LoseChannel(aLink, aNow);
-    Watch(aLink, aNow);
+    HandleChannelLoss(aLink, aNow);
+    ArmTimer(aLink, aNow);
     return;
   }
-  if (aLink.mHealth.HeartbeatDue(aNow)) {
+  if (aLink.mHealth.IsHeartbeatDue(aNow)) {
     Send(aLink, EntryHeartbeat{ PolicyVersion() }, aNow);
   }
-  if (aLink.mHealth.ProbeDue(aNow)) {
+  if (aLink.mHealth.IsProbeDue(aNow)) {
     aLink.mHealth.OnProbeSent(aNow);
     Send(aLink, VoidOrReport{ kProbe }, aNow);
   }
-  Watch(aLink, aNow);
+  ArmTimer(aLink, aNow);
 }
 
 void
@@ -280,7 +281,7 @@
   aLink.mHealth.OnSent(aNow);
   mActions.emplace_back(
     SendToSidecar{ aLink.mView.mName, std::move(aMessage) });
-  Watch(aLink, aNow);
+  ArmTimer(aLink, aNow);
 }
 
 void
@@ -289,7 +290,7 @@
                           Millis aNow)
 {
   aLink.mWithdrawn.insert(aKey);
-  Remember(aLink, aKey, aNow);
+  ScheduleForget(aLink, aKey, aNow);
   if (aLink.Ready()) {
     Send(aLink, trefoilarch::Withdraw{ aKey }, aNow);
   }
@@ -314,24 +315,24 @@
   if (aAttempt.mIncarnation == link->mIncarnation) {
     Withdraw(*link, aAttempt.mKey, aNow);
   }
-  Watch(*link, aNow);
+  ArmTimer(*link, aNow);
 }
 
 void
-EntryCore::Impl::Remember(UpstreamLink& aLink,
-                          const AttemptKey& aKey,
-                          Millis aNow)
+EntryCore::Impl::ScheduleForget(UpstreamLink& aLink,
+                                const AttemptKey& aKey,
+                                Millis aNow)
 {
-  aLink.mForget.emplace_back(aNow + kForgetSpan, aKey);
+  aLink.mForgetQueue.emplace_back(aNow + kForgetDelay, aKey);
 }
 
 void
-EntryCore::Impl::Watch(UpstreamLink& aLink, Millis aNow)
+EntryCore::Impl::ArmTimer(UpstreamLink& aLink, Millis aNow)
 {
-  aLink.mHealth.SetStake(aLink.AtStake(), aNow);
+  aLink.mHealth.SetAwaitingReply(aLink.AwaitsReply(), aNow);
   Millis wake = aLink.mHealth.NextWake();
-  if (!aLink.mForget.empty()) {
-    wake = std::min(wake, aLink.mForget.front().first);
+  if (!aLink.mForgetQueue.empty()) {
+    wake = std::min(wake, aLink.mForgetQueue.front().first);
   }
   if (wake < aLink.mWakeAt) {
     aLink.mWakeAt = wake;
@@ -342,15 +343,15 @@
 bool
 EntryCore::Impl::NeedsChannel(const UpstreamId& aUpstream) const
 {
-  const auto place = mLinks.find(aUpstream);
-  return place != mLinks.end() && !place->second.mOpen.empty();
+  const auto found = mLinks.find(aUpstream);
+  return found != mLinks.end() && !found->second.mOpen.empty();
 }
 
 UpstreamLink*
 EntryCore::Impl::LinkOf(const UpstreamId& aUpstream)
 {
-  const auto place = mLinks.find(aUpstream);
-  return place == mLinks.end() ? nullptr : &place->second;
+  const auto found = mLinks.find(aUpstream);
+  return found == mLinks.end() ? nullptr : &found->second;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/entrydump.cpp
+++ b/src/libtrefoilarch/entrydump.cpp
@@ -75,18 +75,18 @@
     refusals[std::string(Name(kind))] = count;
   }
   return { { "requests", aCounters.mRequests },
-           { "whole_answers", aCounters.mWholeAnswers },
+           { "whole_answers", aCounters.mCompleteResponses },
            { "callers_left", aCounters.mCallersLeft },
            { "offers", aCounters.mOffers },
            { "starts", aCounters.mStarts },
            { "retries", aCounters.mRetries },
-           { "channels_reopened", aCounters.mReopened },
-           { "messages_dropped", aCounters.mDropped },
+           { "channels_reopened", aCounters.mChannelsReopened },
+           { "messages_dropped", aCounters.mMessagesDropped },
            { "refusals", std::move(refusals) } };
 }
 
 /** A dump lists this many requests at the most. */
-constexpr size_t kMostDumped = 100;
+constexpr size_t kMaxDumpedRequests = 100;
 
 } // namespace
 
@@ -96,11 +96,11 @@
   nlohmann::json upstreams = nlohmann::json::object();
   for (const auto& [name, link] : mLinks) {
     upstreams[name] = Dump(link);
-    upstreams[name]["outlier"] = NameOf(mOutliers.State(name, aNow));
+    upstreams[name]["outlier"] = NameOf(mOutlierDetector.State(name, aNow));
   }
   nlohmann::json requests = nlohmann::json::object();
   for (const auto& [id, request] : mRequests) {
-    if (requests.size() == kMostDumped) {
+    if (requests.size() == kMaxDumpedRequests) {
       break;
     }
     requests[id.Text()] = Dump(request, aNow);
@@ -110,7 +110,7 @@
                                 { "policy_version", PolicyVersion() },
                                 { "open_requests", mRequests.size() },
                                 { "counters", Dump(mCounters) },
-                                { "ejections", mOutliers.Ejections() },
+                                { "ejections", mOutlierDetector.Ejections() },
                                 { "upstreams", std::move(upstreams) },
                                 { "requests", std::move(requests) } };
   return dump.dump();
--- a/src/libtrefoilarch/entryimpl.cpp
+++ b/src/libtrefoilarch/entryimpl.cpp
@@ -11,7 +11,7 @@
   : mOptions(std::move(aOptions))
   , mRandom(mOptions.mSeed)
   , mPlacement({ .mDataCentre = mOptions.mDataCentre, .mSeed = mOptions.mSeed })
-  , mOutliers({})
+  , mOutlierDetector({})
   , mRetryBudget({ .mPercent = mOptions.mRetryPercent })
 {
 }
@@ -21,20 +21,22 @@
 {
   const RequestId id = aRequest.mId;
   if (mRequests.contains(id)) {
-    mCounters.mDropped++;
+    mCounters.mMessagesDropped++;
     return;
   }
   mCounters.mRequests++;
   if (!mClassifier) {
-    Refuse(id, { ErrorKind::NotReady, Ran::No, ComeBack(), "no policy yet" });
+    Refuse(
+      id,
+      { ErrorKind::NotReady, Ran::No, JitteredRetryAfter(), "no policy yet" });
     return;
   }
   const Tier tier = aRequest.mClassified.mLevel.mTier;
-  if (mRequests.size() >= mOptions.mMaxOpen && !MakePlaceFor(tier, aNow)) {
+  if (mRequests.size() >= mOptions.mMaxOpen && !EvictLowerTier(tier, aNow)) {
     Refuse(id,
            { ErrorKind::TooManyOpen,
              Ran::No,
-             ComeBack(),
+             JitteredRetryAfter(),
              "too many open requests at this entry" });
     return;
   }
@@ -51,7 +53,7 @@
 }
 
 bool
-EntryCore::Impl::MakePlaceFor(Tier aTier, Millis aNow)
+EntryCore::Impl::EvictLowerTier(Tier aTier, Millis aNow)
 {
   const auto id = mShedOrder.FirstBelow(aTier);
   if (!id) {
@@ -60,7 +62,7 @@
   ConcludeWithError(mRequests.at(*id),
                     { ErrorKind::Shed,
                       Ran::No,
-                      ComeBack(),
+                      JitteredRetryAfter(),
                       "gave way to a higher tier at a full entry" },
                     aNow);
   return true;
@@ -69,26 +71,26 @@
 void
 EntryCore::Impl::OnCallerLeft(RequestId aId, Millis aNow)
 {
-  const auto place = mRequests.find(aId);
-  if (place == mRequests.end()) {
+  const auto found = mRequests.find(aId);
+  if (found == mRequests.end()) {
     return;
   }
   mCounters.mCallersLeft++;
-  Conclude(place->second, aNow);
+  Conclude(found->second, aNow);
 }
 
 void
 EntryCore::Impl::OnTick(Millis aNow)
 {
   while (const auto id = mRequestTimers.TakeDue(aNow)) {
-    const auto place = mRequests.find(*id);
-    if (place != mRequests.end()) {
-      OnRequestDue(place->second, aNow);
+    const auto found = mRequests.find(*id);
+    if (found != mRequests.end()) {
+      OnRequestTimer(found->second, aNow);
     }
   }
   while (const auto upstream = mLinkTimers.TakeDue(aNow)) {
     if (UpstreamLink* link = LinkOf(*upstream)) {
-      OnLinkDue(*link, aNow);
+      OnLinkTimer(*link, aNow);
     }
   }
 }
@@ -97,7 +99,7 @@
 EntryCore::Impl::SetClassifier(std::shared_ptr<const Classifier> aClassifier)
 {
   mClassifier = std::move(aClassifier);
-  mEligible.SetClassifier(mClassifier);
+  mEligibleLinks.SetClassifier(mClassifier);
 }
 
 EntryActions
--- a/src/libtrefoilarch/entryimpl.h
+++ b/src/libtrefoilarch/entryimpl.h
@@ -22,14 +22,14 @@
 struct EntryCounters
 {
   uint64_t mRequests = 0;
-  uint64_t mWholeAnswers = 0;
+  uint64_t mCompleteResponses = 0;
   uint64_t mCallersLeft = 0;
   uint64_t mOffers = 0;
   uint64_t mStarts = 0;
   uint64_t mRetries = 0;
-  uint64_t mReopened = 0;
+  uint64_t mChannelsReopened = 0;
   /** Late, crossed or duplicate messages that were dropped. */
-  uint64_t mDropped = 0;
+  uint64_t mMessagesDropped = 0;
   std::map<ErrorKind, uint64_t> mRefusals;
 };
 
@@ -64,14 +64,14 @@
 
 private:
   /** Why a request cannot be offered to anybody just now. */
-  struct Outlook
+  struct Availability
   {
     /** Some that it may go to are being reconnected, or are not known yet. */
-    bool mMoreLater = false;
+    bool mMayComeLater = false;
     bool mAnyEligible = false;
   };
 
-  bool MakePlaceFor(Tier aTier, Millis aNow);
+  bool EvictLowerTier(Tier aTier, Millis aNow);
 
   // Placing and concluding requests.
   void Place(OpenRequest& aRequest, Millis aNow);
@@ -82,11 +82,12 @@
                                     Millis aNow);
   bool IsCandidate(const OpenRequest& aRequest,
                    const UpstreamLink& aLink) const;
-  bool IsSound(const OpenRequest& aRequest,
-               const UpstreamLink& aLink,
-               Millis aNow) const;
-  Outlook LookAhead(const OpenRequest& aRequest, Millis aNow) const;
-  static bool MayComeBack(const UpstreamLink& aLink, Millis aNow);
+  bool IsHealthy(const OpenRequest& aRequest,
+                 const UpstreamLink& aLink,
+                 Millis aNow) const;
+  Availability CheckAvailability(const OpenRequest& aRequest,
+                                 Millis aNow) const;
+  static bool MayReconnect(const UpstreamLink& aLink, Millis aNow);
   bool IsEligible(const OpenRequest& aRequest, const UpstreamLink& aLink) const;
   bool HasReadyOffer(const OpenRequest& aRequest) const
   {
@@ -99,29 +100,32 @@
   void DropOffers(OpenRequest& aRequest, Millis aNow);
   void RetryOrConclude(OpenRequest& aRequest, Refusal aRefusal, Millis aNow);
   /** Whoever may repeat the request is told to come back. */
-  static Refusal LostAfterStart(const OpenRequest& aRequest);
-  void LoseStarted(OpenRequest& aRequest, Millis aNow);
-  void OnRequestDue(OpenRequest& aRequest, Millis aNow);
+  static Refusal LostStartRefusal(const OpenRequest& aRequest);
+  void HandleLostStart(OpenRequest& aRequest, Millis aNow);
+  void OnRequestTimer(OpenRequest& aRequest, Millis aNow);
   void ConcludeWithError(OpenRequest& aRequest, Refusal aRefusal, Millis aNow);
-  void ConcludeWhole(OpenRequest& aRequest, Millis aNow);
+  void ConcludeComplete(OpenRequest& aRequest, Millis aNow);
   void Conclude(OpenRequest& aRequest, Millis aNow);
   void Refuse(RequestId aId, Refusal aRefusal);
-  Refusal NothingUsable(const OpenRequest& aRequest, const Outlook& aOutlook);
-  bool LabelIsKnown(const OpenRequest& aRequest, const char* aKey) const;
+  Refusal NoUpstreamRefusal(const OpenRequest& aRequest,
+                            const Availability& aAvailability);
+  bool AnyUpstreamHasLabel(const OpenRequest& aRequest, const char* aKey) const;
   Millis Backoff(uint32_t aRetries);
-  Millis ComeBack();
-  void Watch(const OpenRequest& aRequest);
+  Millis JitteredRetryAfter();
+  void ArmTimer(const OpenRequest& aRequest);
 
   // What a sidecar says of an attempt.
-  void On(UpstreamLink& aLink, Welcome aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Grant& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Decline& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Voided& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, Chunk aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Finished& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Failed& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const LedgerEntry& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const SidecarHeartbeat& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, Welcome aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Grant& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Decline& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Voided& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, Chunk aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Finished& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Failed& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const LedgerEntry& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink,
+              const SidecarHeartbeat& aMessage,
+              Millis aNow);
   OpenRequest* RequestOf(const AttemptKey& aKey);
   OpenRequest* StartedAt(const UpstreamLink& aLink, const AttemptKey& aKey);
   static std::optional<EntryAttempt> TakeOffer(const UpstreamLink& aLink,
@@ -131,18 +135,20 @@
                OpenRequest& aRequest,
                EntryAttempt aOffer,
                Millis aNow);
-  static void NoteDecline(OpenRequest& aRequest, const Decline& aDecline);
-  void PlaceOnceMore(OpenRequest& aRequest, ErrorKind aDeclined, Millis aNow);
+  static void RecordDecline(OpenRequest& aRequest, const Decline& aDecline);
+  void PlaceAgain(OpenRequest& aRequest, ErrorKind aDeclined, Millis aNow);
   void OnProbeAnswered(UpstreamLink& aLink, Millis aNow);
   void ReportFirstToken(const OpenRequest& aRequest, Millis aNow);
   void Deliver(OpenRequest& aRequest, Chunk aChunk, Millis aNow);
   void AckIfDue(UpstreamLink& aLink, OpenRequest& aRequest, Millis aNow);
   /** A message for an attempt that is not open any more. */
-  void OnLedgerEntryOfStray(UpstreamLink& aLink,
-                            const LedgerEntry& aMessage,
-                            Millis aNow);
+  void OnStrayLedgerEntry(UpstreamLink& aLink,
+                          const LedgerEntry& aMessage,
+                          Millis aNow);
   void OnStray(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  void AskForMissing(UpstreamLink& aLink, OpenRequest& aRequest, Millis aNow);
+  void RequestMissingChunks(UpstreamLink& aLink,
+                            OpenRequest& aRequest,
+                            Millis aNow);
 
   // Channels.
   void Send(UpstreamLink& aLink, EntryMessage aMessage, Millis aNow);
@@ -150,17 +156,17 @@
   /** Takes the attempt off the upstream's open ones. */
   static void Release(UpstreamLink& aLink, const EntryAttempt& aAttempt);
   void CloseAttempt(const EntryAttempt& aAttempt, Millis aNow);
-  void Remember(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  void Confirm(UpstreamLink& aLink, const AttemptKey& aKey);
+  void ScheduleForget(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
+  void ConfirmWithdrawal(UpstreamLink& aLink, const AttemptKey& aKey);
   void Recover(UpstreamLink& aLink, Millis aNow);
   void RecoverAttempt(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  void LoseChannel(UpstreamLink& aLink, Millis aNow);
-  void LearnLabels(UpstreamLink& aLink, Welcome aMessage);
+  void HandleChannelLoss(UpstreamLink& aLink, Millis aNow);
+  void UpdateLabels(UpstreamLink& aLink, Welcome aMessage);
   void EraseUnlisted();
-  void MoveOffersAway(UpstreamLink& aLink, Millis aNow);
+  void WithdrawOffers(UpstreamLink& aLink, Millis aNow);
   void PlaceParked(Millis aNow);
-  void OnLinkDue(UpstreamLink& aLink, Millis aNow);
-  void Watch(UpstreamLink& aLink, Millis aNow);
+  void OnLinkTimer(UpstreamLink& aLink, Millis aNow);
+  void ArmTimer(UpstreamLink& aLink, Millis aNow);
   UpstreamLink* LinkOf(const UpstreamId& aUpstream);
   uint64_t PolicyVersion() const;
 
@@ -173,11 +179,11 @@
   std::set<RequestId> mParked;
   Timers<RequestId> mRequestTimers;
   Timers<UpstreamId> mLinkTimers;
-  EligibleLinks mEligible;
+  EligibleLinks mEligibleLinks;
   Placement mPlacement;
-  OutlierDetector mOutliers;
+  OutlierDetector mOutlierDetector;
   RetryBudget mRetryBudget;
-  OutputEstimator mOutputs;
+  OutputEstimator mOutputEstimator;
   /** Requests that have not started. */
   ShedOrder mShedOrder;
   EntryCounters mCounters;
--- a/src/libtrefoilarch/entryplacing.cpp
+++ b/src/libtrefoilarch/entryplacing.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 /** How long a request waits for a channel that is being opened again. */
-constexpr Millis kHoldSpan{ 2000 };
+constexpr Millis kReconnectWait{ 2000 };
 
 /** An upstream that was not reached for this long is not waited for. */
-constexpr Millis kReconnectSpan{ 3000 };
+constexpr Millis kReconnectTimeout{ 3000 };
 
 /** Reruns of one request. */
-constexpr uint32_t kMostRetries = 3;
+constexpr uint32_t kMaxRetries = 3;
 
 /** The least time to come back where no sidecar gave one. */
-constexpr Millis kComeBack{ 1000 };
+constexpr Millis kMinRetryAfter{ 1000 };
 
 constexpr std::array kRetryableKinds = { ErrorKind::UpstreamUnreachable,
                                          ErrorKind::UpstreamFailed,
@@ -58,27 +58,28 @@
     aRequest.mHoldUntil.reset();
     aRequest.mRetryAt = Millis::Never();
     mParked.erase(aRequest.mRequest.mId);
-    Watch(aRequest);
+    ArmTimer(aRequest);
     return;
   }
-  const Outlook outlook = LookAhead(aRequest, aNow);
-  const Millis holdUntil = aRequest.mHoldUntil.value_or(aNow + kHoldSpan);
-  if (!outlook.mMoreLater || aNow >= holdUntil) {
-    ConcludeWithError(aRequest, NothingUsable(aRequest, outlook), aNow);
+  const Availability availability = CheckAvailability(aRequest, aNow);
+  const Millis holdUntil = aRequest.mHoldUntil.value_or(aNow + kReconnectWait);
+  if (!availability.mMayComeLater || aNow >= holdUntil) {
+    ConcludeWithError(
+      aRequest, NoUpstreamRefusal(aRequest, availability), aNow);
     return;
   }
   aRequest.mHoldUntil = holdUntil;
   aRequest.mRetryAt = holdUntil;
   mParked.insert(aRequest.mRequest.mId);
-  Watch(aRequest);
+  ArmTimer(aRequest);
 }
 
 void
 EntryCore::Impl::Place(OpenRequest& aRequest, Millis aNow)
 {
-  const bool upper =
+  const bool isUpperTier =
     aRequest.mRequest.mClassified.mLevel.mTier < kTierCount / 2;
-  const size_t width = mOptions.mOfferWidth + (upper ? 1 : 0);
+  const size_t width = mOptions.mOfferWidth + (isUpperTier ? 1 : 0);
   const size_t ready = ReadyOffers(aRequest);
   if (ready >= width) {
     return;
@@ -92,13 +93,14 @@
 EntryCore::Impl::Choose(const OpenRequest& aRequest, size_t aCount, Millis aNow)
 {
   const EntryRequest& request = aRequest.mRequest;
-  RankedSet& eligible = mEligible.For(request.mClassified.mTraffic, mLinks);
+  RankedSet& eligible =
+    mEligibleLinks.For(request.mClassified.mTraffic, mLinks);
   auto chosen = mPlacement.Choose(
     eligible,
     request.mPrefixHash,
     aCount,
     [&](const UpstreamLink& aLink) {
-      return IsCandidate(aRequest, aLink) && IsSound(aRequest, aLink, aNow);
+      return IsCandidate(aRequest, aLink) && IsHealthy(aRequest, aLink, aNow);
     },
     aNow);
   if (!chosen.empty() || HasReadyOffer(aRequest)) {
@@ -127,42 +129,43 @@
 }
 
 bool
-EntryCore::Impl::IsSound(const OpenRequest& aRequest,
-                         const UpstreamLink& aLink,
-                         Millis aNow) const
+EntryCore::Impl::IsHealthy(const OpenRequest& aRequest,
+                           const UpstreamLink& aLink,
+                           Millis aNow) const
 {
   if (Contains(aRequest.mFailedUpstreams, aLink.mView.mName)) {
     return false;
   }
-  const OutlierState state = mOutliers.State(aLink.mView.mName, aNow);
+  const OutlierState state = mOutlierDetector.State(aLink.mView.mName, aNow);
   return state == OutlierState::Healthy ||
          (state == OutlierState::Probing && aLink.mOpen.empty());
 }
 
-EntryCore::Impl::Outlook
-EntryCore::Impl::LookAhead(const OpenRequest& aRequest, Millis aNow) const
+EntryCore::Impl::Availability
+EntryCore::Impl::CheckAvailability(const OpenRequest& aRequest,
+                                   Millis aNow) const
 {
-  Outlook outlook;
+  Availability availability;
   for (const auto& [name, link] : mLinks) {
     if (!link.mWelcomed) {
-      outlook.mMoreLater |= link.mListed && MayComeBack(link, aNow);
+      availability.mMayComeLater |= link.mListed && MayReconnect(link, aNow);
       continue;
     }
     if (!link.AcceptsWork() || !IsEligible(aRequest, link)) {
       continue;
     }
-    outlook.mAnyEligible = true;
-    outlook.mMoreLater |= !link.Ready() && MayComeBack(link, aNow) &&
-                          !Contains(aRequest.mDeclinedBy, name);
+    availability.mAnyEligible = true;
+    availability.mMayComeLater |= !link.Ready() && MayReconnect(link, aNow) &&
+                                  !Contains(aRequest.mDeclinedBy, name);
   }
-  return outlook;
+  return availability;
 }
 
 bool
-EntryCore::Impl::MayComeBack(const UpstreamLink& aLink, Millis aNow)
+EntryCore::Impl::MayReconnect(const UpstreamLink& aLink, Millis aNow)
 {
   return aNow < std::max(aLink.mListedSince, aLink.mHealth.DownSince()) +
-                  kReconnectSpan;
+                  kReconnectTimeout;
 }
 
 bool
@@ -180,8 +183,8 @@
     std::count_if(aRequest.mOffers.begin(),
                   aRequest.mOffers.end(),
                   [this](const EntryAttempt& aOffer) {
-                    const auto place = mLinks.find(aOffer.mUpstream);
-                    return place != mLinks.end() && place->second.Ready();
+                    const auto found = mLinks.find(aOffer.mUpstream);
+                    return found != mLinks.end() && found->second.Ready();
                   }));
 }
 
@@ -214,9 +217,9 @@
   const Millis due = aRequest.mArrivedAt + level.mFirstTokenTarget;
   const bool hasTokens = classified.mTraffic.contains("model");
   const uint32_t output =
-    hasTokens ? mOutputs.Estimate(level.mClass,
-                                  level.mWorkspace,
-                                  aRequest.mRequest.mMaxOutputTokens)
+    hasTokens ? mOutputEstimator.Estimate(level.mClass,
+                                          level.mWorkspace,
+                                          aRequest.mRequest.mMaxOutputTokens)
               : 0;
   return { .mKey = aKey,
            .mLevel = level,
@@ -242,13 +245,13 @@
                                  Millis aNow)
 {
   const ClassifiedRequest& classified = aRequest.mRequest.mClassified;
-  const bool safe =
+  const bool mayRerun =
     !aRequest.mHeadSent && (classified.mIdempotent || !aRequest.mMayHaveRun);
   // Only a preemption ends a started attempt so; no upstream has failed.
   const bool preempted = aRefusal.mKind == ErrorKind::Shed;
   const Millis retryAt = aNow + Backoff(aRequest.mRetries);
-  if (!safe || !Contains(kRetryableKinds, aRefusal.mKind) ||
-      aRequest.mRetries >= kMostRetries || retryAt >= aRequest.mDeadline ||
+  if (!mayRerun || !Contains(kRetryableKinds, aRefusal.mKind) ||
+      aRequest.mRetries >= kMaxRetries || retryAt >= aRequest.mDeadline ||
       !(preempted || mRetryBudget.TakeRetry(classified.mLevel.mClass))) {
     ConcludeWithError(aRequest, std::move(aRefusal), aNow);
     return;
@@ -257,11 +260,11 @@
   aRequest.mRetries++;
   aRequest.mRefusal = std::move(aRefusal);
   aRequest.mRetryAt = retryAt;
-  Watch(aRequest);
+  ArmTimer(aRequest);
 }
 
 Refusal
-EntryCore::Impl::LostAfterStart(const OpenRequest& aRequest)
+EntryCore::Impl::LostStartRefusal(const OpenRequest& aRequest)
 {
   const bool mayRepeat = aRequest.mRequest.mClassified.mIdempotent;
   return { mayRepeat ? ErrorKind::UpstreamFailed : ErrorKind::OutcomeUnknown,
@@ -271,17 +274,17 @@
 }
 
 void
-EntryCore::Impl::LoseStarted(OpenRequest& aRequest, Millis aNow)
+EntryCore::Impl::HandleLostStart(OpenRequest& aRequest, Millis aNow)
 {
   const EntryAttempt attempt = *std::exchange(aRequest.mStarted, std::nullopt);
   aRequest.mMayHaveRun = true;
   aRequest.mFailedUpstreams.push_back(attempt.mUpstream);
   CloseAttempt(attempt, aNow);
-  RetryOrConclude(aRequest, LostAfterStart(aRequest), aNow);
+  RetryOrConclude(aRequest, LostStartRefusal(aRequest), aNow);
 }
 
 void
-EntryCore::Impl::OnRequestDue(OpenRequest& aRequest, Millis aNow)
+EntryCore::Impl::OnRequestTimer(OpenRequest& aRequest, Millis aNow)
 {
   if (aNow >= aRequest.mDeadline) {
     if (aRequest.mStarted && !aRequest.mHeadSent) {
@@ -290,18 +293,18 @@
     ConcludeWithError(aRequest,
                       { ErrorKind::DeadlineExceeded,
                         Ran::No,
-                        ComeBack(),
+                        JitteredRetryAfter(),
                         "the deadline passed" },
                       aNow);
     return;
   }
   if (aNow < aRequest.mRetryAt) {
-    Watch(aRequest);
+    ArmTimer(aRequest);
     return;
   }
   aRequest.mRetryAt = Millis::Never();
   if (aRequest.mStarted) {
-    LoseStarted(aRequest, aNow);
+    HandleLostStart(aRequest, aNow);
   } else {
     PlaceOrConclude(aRequest, aNow);
   }
@@ -317,10 +320,10 @@
   if (aRequest.mHeadSent) {
     aRefusal.mKind = KindAfterHead(aRefusal.mKind);
   }
-  const bool worth = AnswerFor(aRefusal.mKind).mRetryable;
-  if (worth && aRefusal.mRetryAfter <= Millis()) {
-    aRefusal.mRetryAfter = ComeBack();
-  } else if (!worth) {
+  const bool worthRetrying = AnswerFor(aRefusal.mKind).mRetryable;
+  if (worthRetrying && aRefusal.mRetryAfter <= Millis()) {
+    aRefusal.mRetryAfter = JitteredRetryAfter();
+  } else if (!worthRetrying) {
     aRefusal.mRetryAfter = Millis();
   }
   Refuse(aRequest.mRequest.mId, std::move(aRefusal));
@@ -328,16 +331,16 @@
 }
 
 void
-EntryCore::Impl::ConcludeWhole(OpenRequest& aRequest, Millis aNow)
+EntryCore::Impl::ConcludeComplete(OpenRequest& aRequest, Millis aNow)
 {
   const EntryAttempt attempt = *std::exchange(aRequest.mStarted, std::nullopt);
   const uint64_t chunks = aRequest.mNextChunk;
-  mCounters.mWholeAnswers++;
+  mCounters.mCompleteResponses++;
   mActions.emplace_back(AnswerEnd{ aRequest.mRequest.mId });
   if (UpstreamLink* link = LinkOf(attempt.mUpstream)) {
     Release(*link, attempt);
-    Remember(*link, attempt.mKey, aNow);
-    link->mWhole[attempt.mKey] = chunks;
+    ScheduleForget(*link, attempt.mKey, aNow);
+    link->mCompleted[attempt.mKey] = chunks;
     Send(*link, Ack{ attempt.mKey, chunks }, aNow);
   }
   Conclude(aRequest, aNow);
@@ -358,39 +361,39 @@
 }
 
 Refusal
-EntryCore::Impl::NothingUsable(const OpenRequest& aRequest,
-                               const Outlook& aOutlook)
+EntryCore::Impl::NoUpstreamRefusal(const OpenRequest& aRequest,
+                                   const Availability& aAvailability)
 {
   if (aRequest.mRefusal) {
     return *aRequest.mRefusal;
   }
-  if (aOutlook.mAnyEligible) {
+  if (aAvailability.mAnyEligible) {
     return { ErrorKind::UpstreamUnreachable,
              Ran::No,
-             ComeBack(),
+             JitteredRetryAfter(),
              "no upstream for this request can be reached" };
   }
-  if (aOutlook.mMoreLater) {
+  if (aAvailability.mMayComeLater) {
     return { ErrorKind::NotReady,
              Ran::No,
-             ComeBack(),
+             JitteredRetryAfter(),
              "this entry does not know its upstreams yet" };
   }
-  if (!LabelIsKnown(aRequest, "model")) {
+  if (!AnyUpstreamHasLabel(aRequest, "model")) {
     return { ErrorKind::UnknownModel, Ran::No, Millis(), "unknown model" };
   }
-  if (!LabelIsKnown(aRequest, "service")) {
+  if (!AnyUpstreamHasLabel(aRequest, "service")) {
     return { ErrorKind::UnknownService, Ran::No, Millis(), "unknown service" };
   }
   return { ErrorKind::NoEligibleUpstream,
            Ran::No,
-           ComeBack(),
+           JitteredRetryAfter(),
            "no selector lets this request go to an upstream that is in use" };
 }
 
 bool
-EntryCore::Impl::LabelIsKnown(const OpenRequest& aRequest,
-                              const char* aKey) const
+EntryCore::Impl::AnyUpstreamHasLabel(const OpenRequest& aRequest,
+                                     const char* aKey) const
 {
   const Labels& traffic = aRequest.mRequest.mClassified.mTraffic;
   const auto wanted = traffic.find(aKey);
@@ -405,23 +408,24 @@
 Millis
 EntryCore::Impl::Backoff(uint32_t aRetries)
 {
-  const Millis most =
+  const Millis maxDelay =
     std::min(mOptions.mInitialBackoff * (int64_t{ 1 } << aRetries),
              mOptions.mMaxBackoff);
-  std::uniform_int_distribution<int64_t> spread(most.Count() / 2, most.Count());
+  std::uniform_int_distribution<int64_t> spread(maxDelay.Count() / 2,
+                                                maxDelay.Count());
   return Millis(spread(mRandom));
 }
 
 Millis
-EntryCore::Impl::ComeBack()
+EntryCore::Impl::JitteredRetryAfter()
 {
-  std::uniform_int_distribution<int64_t> spread(kComeBack.Count(),
-                                                2 * kComeBack.Count());
+  std::uniform_int_distribution<int64_t> spread(kMinRetryAfter.Count(),
+                                                2 * kMinRetryAfter.Count());
   return Millis(spread(mRandom));
 }
 
 void
-EntryCore::Impl::Watch(const OpenRequest& aRequest)
+EntryCore::Impl::ArmTimer(const OpenRequest& aRequest)
 {
   const EntryRequest& request = aRequest.mRequest;
   if (aRequest.mStarted) {
--- a/src/libtrefoilarch/lease.cpp
+++ b/src/libtrefoilarch/lease.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr int64_t kWatchesInSpan = 5;
-constexpr int64_t kJitterParts = 4;
+constexpr int64_t kReadsPerWait = 5;
+constexpr int64_t kJitterDivisor = 4;
 
 } // namespace
 
@@ -51,8 +51,8 @@
 {
   LeaseActions out;
   mWanted = aWanted;
-  mNext = aNow;
-  Drive(out, aNow);
+  mNextActionAt = aNow;
+  Advance(out, aNow);
   return out;
 }
 
@@ -60,7 +60,7 @@
 Lease::OnTick(Millis aNow)
 {
   LeaseActions out;
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
@@ -69,60 +69,60 @@
 {
   LeaseActions out;
   mBusy = false;
-  mNext = aNow + Jittered(mOptions.mRetryInterval);
+  mNextActionAt = aNow + Jittered(mOptions.mRetryInterval);
   if (aFound.mReached) {
-    Judge(out, aFound, aNow);
+    HandleRow(out, aFound, aNow);
   }
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
 LeaseActions
-Lease::OnWritten(LeaseWriteOutcome aEnd, int64_t aRevision, Millis aNow)
+Lease::OnWritten(LeaseWriteOutcome aResult, int64_t aRevision, Millis aNow)
 {
   LeaseActions out;
   mBusy = false;
-  mNext = aNow;
-  if (aEnd == LeaseWriteOutcome::Unknown) {
-    mNext = aNow + Jittered(mOptions.mRetryInterval);
+  mNextActionAt = aNow;
+  if (aResult == LeaseWriteOutcome::Unknown) {
+    mNextActionAt = aNow + Jittered(mOptions.mRetryInterval);
   }
   mRevision = 0; // unless Done, the row must be read before the next write
-  if (aEnd == LeaseWriteOutcome::Done) {
+  if (aResult == LeaseWriteOutcome::Done) {
     mRevision = aRevision;
-    Take(out, aNow);
+    ConfirmWrite(out, aNow);
   }
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
 bool
-Lease::IsHeld(Millis aNow, Millis aSpan) const
+Lease::IsHeld(Millis aNow, Millis aDuration) const
 {
-  return mHolding && mWanted && aNow + aSpan < mGoodUntil;
+  return mHolding && mWanted && aNow + aDuration < mValidUntil;
 }
 
 Millis
 Lease::NextWake() const
 {
   const Millis next =
-    mBusy || (!mWanted && !mHolding) ? Millis::Never() : mNext;
-  return mHolding ? std::min(next, mGoodUntil) : next;
+    mBusy || (!mWanted && !mHolding) ? Millis::Never() : mNextActionAt;
+  return mHolding ? std::min(next, mValidUntil) : next;
 }
 
 void
-Lease::Drive(LeaseActions& aOut, Millis aNow)
+Lease::Advance(LeaseActions& aOut, Millis aNow)
 {
-  if (mHolding && aNow >= mGoodUntil) {
-    End(aOut);
+  if (mHolding && aNow >= mValidUntil) {
+    StopHolding(aOut);
   }
-  if (mBusy || aNow < mNext || (!mWanted && !mHolding)) {
+  if (mBusy || aNow < mNextActionAt || (!mWanted && !mHolding)) {
     return;
   }
   if (mRevision != 0) {
     if (mWanted) {
       Renew(aOut, aNow);
     } else {
-      GiveBack(aOut, aNow);
+      Release(aOut, aNow);
     }
     return;
   }
@@ -134,56 +134,56 @@
 Lease::Write(LeaseActions& aOut, LeaseRow aRow, int64_t aRevision, Millis aNow)
 {
   mBusy = true;
-  mSent = std::move(aRow);
-  mSent.mRenewal = ++mWrites;
-  mSentAt = aNow;
-  aOut.emplace_back(WriteLease{ aRevision, LeaseRowToText(mSent) });
+  mLastWritten = std::move(aRow);
+  mLastWritten.mRenewal = ++mWriteCount;
+  mLastWrittenAt = aNow;
+  aOut.emplace_back(WriteLease{ aRevision, LeaseRowToText(mLastWritten) });
 }
 
 void
 Lease::Renew(LeaseActions& aOut, Millis aNow)
 {
-  Write(aOut, mSent, mRevision, aNow);
+  Write(aOut, mLastWritten, mRevision, aNow);
 }
 
 /** From here on the lease is not held, whatever becomes of the write. */
 void
-Lease::GiveBack(LeaseActions& aOut, Millis aNow)
+Lease::Release(LeaseActions& aOut, Millis aNow)
 {
-  LeaseRow row = mSent;
+  LeaseRow row = mLastWritten;
   row.mHolder.clear();
-  End(aOut);
+  StopHolding(aOut);
   Write(aOut, std::move(row), mRevision, aNow);
 }
 
 void
-Lease::Judge(LeaseActions& aOut, const LeaseFound& aFound, Millis aNow)
+Lease::HandleRow(LeaseActions& aOut, const LeaseFound& aFound, Millis aNow)
 {
   const LeaseRow row = LeaseRowFromText(aFound.mText).value_or(LeaseRow());
   const bool ours = aFound.mRevision != 0 && row.mHolder == mOptions.mHolder &&
-                    row.mFencingNumber == mSent.mFencingNumber;
+                    row.mFencingNumber == mLastWritten.mFencingNumber;
   if (ours) {
     mRevision = aFound.mRevision;
-    mNext = aNow;
-    if (row == mSent) {
-      Take(aOut, aNow); // a lost answer, settled
+    mNextActionAt = aNow;
+    if (row == mLastWritten) {
+      ConfirmWrite(aOut, aNow); // a lost answer, settled
     }
     return;
   }
   if (mHolding) {
-    End(aOut);
+    StopHolding(aOut);
   }
   if (!mWanted) {
     return;
   }
   const bool free = aFound.mRevision == 0 || row.mHolder.empty();
-  if (!free && aFound.mRevision != mWatched) {
-    mWatched = aFound.mRevision;
+  if (!free && aFound.mRevision != mWatchedRevision) {
+    mWatchedRevision = aFound.mRevision;
     mWatchedSince = aNow;
   }
   const Millis wait = row.mDuration + mOptions.mMargin;
   if (!free && aNow - mWatchedSince < wait) {
-    mNext = aNow + Jittered(wait / kWatchesInSpan);
+    mNextActionAt = aNow + Jittered(wait / kReadsPerWait);
     return;
   }
   const LeaseRow next{
@@ -195,37 +195,39 @@
 
 /** The row is as this process has sent it. */
 void
-Lease::Take(LeaseActions& aOut, Millis aNow)
+Lease::ConfirmWrite(LeaseActions& aOut, Millis aNow)
 {
-  if (mSent.mHolder.empty()) {
+  if (mLastWritten.mHolder.empty()) {
     mRevision = 0; // it was given back
     return;
   }
-  mGoodUntil = mSentAt + mOptions.mDuration - mOptions.mMargin;
-  if (aNow >= mGoodUntil) {
+  mValidUntil = mLastWrittenAt + mOptions.mDuration - mOptions.mMargin;
+  if (aNow >= mValidUntil) {
     return; // too late to be of use; it is renewed at once
   }
-  mNext = mWanted ? mSentAt + Jittered(mOptions.mRenewAfter) : aNow;
-  if (!mHolding || mFencingNumber != mSent.mFencingNumber) {
+  mNextActionAt =
+    mWanted ? mLastWrittenAt + Jittered(mOptions.mRenewAfter) : aNow;
+  if (!mHolding || mFencingNumber != mLastWritten.mFencingNumber) {
     mHolding = true;
-    mFencingNumber = mSent.mFencingNumber;
+    mFencingNumber = mLastWritten.mFencingNumber;
     aOut.emplace_back(LeaseGained{ mFencingNumber, mTakingOver });
   }
 }
 
 void
-Lease::End(LeaseActions& aOut)
+Lease::StopHolding(LeaseActions& aOut)
 {
   mHolding = false;
   aOut.emplace_back(LeaseEnded{});
 }
 
 Millis
-Lease::Jittered(Millis aSpan)
+Lease::Jittered(Millis aDuration)
 {
-  const int64_t quarter = std::max<int64_t>(1, aSpan.Count() / kJitterParts);
-  std::uniform_int_distribution<int64_t> draw(-quarter, quarter);
-  return aSpan + Millis(draw(mRandom));
+  const int64_t maxJitter =
+    std::max<int64_t>(1, aDuration.Count() / kJitterDivisor);
+  std::uniform_int_distribution<int64_t> jitter(-maxJitter, maxJitter);
+  return aDuration + Millis(jitter(mRandom));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/lease.h
+++ b/src/libtrefoilarch/lease.h
@@ -106,7 +106,7 @@
   LeaseActions OnTick(Millis aNow);
   LeaseActions OnRead(const LeaseFound& aFound, Millis aNow);
   /** aRevision: the row's, where Done. */
-  LeaseActions OnWritten(LeaseWriteOutcome aEnd,
+  LeaseActions OnWritten(LeaseWriteOutcome aResult,
                          int64_t aRevision,
                          Millis aNow);
 
@@ -114,7 +114,7 @@
    * Whether the lease is held and will be for aSpan. Ask right before acting,
    * with the time read right then: a process that slept finds out here.
    */
-  bool IsHeld(Millis aNow, Millis aSpan = Millis()) const;
+  bool IsHeld(Millis aNow, Millis aDuration = Millis()) const;
   uint64_t FencingNumber() const { return mFencingNumber; }
   bool Wanted() const { return mWanted; }
   /** A read or write is under way. */
@@ -122,29 +122,30 @@
   Millis NextWake() const;
 
 private:
-  void Drive(LeaseActions& aOut, Millis aNow);
+  void Advance(LeaseActions& aOut, Millis aNow);
   void Write(LeaseActions& aOut, LeaseRow aRow, int64_t aRevision, Millis aNow);
   void Renew(LeaseActions& aOut, Millis aNow);
-  void GiveBack(LeaseActions& aOut, Millis aNow);
-  void Judge(LeaseActions& aOut, const LeaseFound& aFound, Millis aNow);
-  void Take(LeaseActions& aOut, Millis aNow);
-  void End(LeaseActions& aOut);
-  Millis Jittered(Millis aSpan);
+  void Release(LeaseActions& aOut, Millis aNow);
+  void HandleRow(LeaseActions& aOut, const LeaseFound& aFound, Millis aNow);
+  void ConfirmWrite(LeaseActions& aOut, Millis aNow);
+  void StopHolding(LeaseActions& aOut);
+  Millis Jittered(Millis aDuration);
 
   LeaseOptions mOptions;
   std::minstd_rand mRandom;
   bool mWanted = false;
   bool mBusy = false; /**< a read or write is under way */
-  Millis mNext;
+  Millis mNextActionAt;
   bool mHolding = false;
-  Millis mGoodUntil;
+  Millis mValidUntil;
   uint64_t mFencingNumber = 0;
   int64_t mRevision = 0; /**< of the row while it is known to be ours */
   bool mTakingOver = false;
-  uint64_t mWrites = 0;
-  LeaseRow mSent; /**< the last write, and when it was sent */
-  Millis mSentAt;
-  int64_t mWatched = -1; /**< revision of another's row, and since when */
+  uint64_t mWriteCount = 0;
+  LeaseRow mLastWritten; /**< the last write, and when it was sent */
+  Millis mLastWrittenAt;
+  int64_t mWatchedRevision =
+    -1; /**< revision of another's row, and since when */
   Millis mWatchedSince;
 };
 
--- a/src/libtrefoilarch/ledger.cpp
+++ b/src/libtrefoilarch/ledger.cpp
@@ -10,14 +10,14 @@
 }
 
 void
-Ledger::Close(const AttemptKey& aKey, const FinalMessage& aWord, Millis aNow)
+Ledger::Close(const AttemptKey& aKey, const FinalMessage& aMessage, Millis aNow)
 {
-  const bool voided = std::holds_alternative<std::monostate>(aWord);
-  if (!mWords.emplace(aKey, aWord).second) {
+  const bool voided = std::holds_alternative<std::monostate>(aMessage);
+  if (!mFinalMessages.emplace(aKey, aMessage).second) {
     return;
   }
   auto& order = voided ? mVoided : mStarted;
-  order.push_back({ .mKey = aKey, .mAt = aNow });
+  order.push_back({ .mKey = aKey, .mClosedAt = aNow });
   Trim();
   Expire(aNow);
 }
@@ -25,44 +25,44 @@
 const FinalMessage*
 Ledger::Find(const AttemptKey& aKey) const
 {
-  const auto found = mWords.find(aKey);
-  return found == mWords.end() ? nullptr : &found->second;
+  const auto found = mFinalMessages.find(aKey);
+  return found == mFinalMessages.end() ? nullptr : &found->second;
 }
 
 void
 Ledger::Expire(Millis aNow)
 {
   const Millis oldest = aNow - mOptions.mRetention;
-  while (!mVoided.empty() && mVoided.front().mAt < oldest) {
-    ForgetVoided();
+  while (!mVoided.empty() && mVoided.front().mClosedAt < oldest) {
+    EraseOldestVoided();
   }
-  while (!mStarted.empty() && mStarted.front().mAt < oldest) {
-    ForgetStarted();
+  while (!mStarted.empty() && mStarted.front().mClosedAt < oldest) {
+    EraseOldestStarted();
   }
 }
 
 void
 Ledger::Trim()
 {
-  while (mWords.size() > mOptions.mLimit && !mVoided.empty()) {
-    ForgetVoided();
+  while (mFinalMessages.size() > mOptions.mLimit && !mVoided.empty()) {
+    EraseOldestVoided();
   }
-  while (mWords.size() > mOptions.mLimit) {
-    ForgetStarted();
+  while (mFinalMessages.size() > mOptions.mLimit) {
+    EraseOldestStarted();
   }
 }
 
 void
-Ledger::ForgetVoided()
+Ledger::EraseOldestVoided()
 {
-  mWords.erase(mVoided.front().mKey);
+  mFinalMessages.erase(mVoided.front().mKey);
   mVoided.pop_front();
 }
 
 void
-Ledger::ForgetStarted()
+Ledger::EraseOldestStarted()
 {
-  mWords.erase(mStarted.front().mKey);
+  mFinalMessages.erase(mStarted.front().mKey);
   mStarted.pop_front();
   ++mForgottenStarts;
 }
--- a/src/libtrefoilarch/ledger.h
+++ b/src/libtrefoilarch/ledger.h
@@ -38,7 +38,7 @@
   explicit Ledger(LedgerOptions aOptions);
 
   /** Keeps the end of an attempt; the first word on a key stands. */
-  void Close(const AttemptKey& aKey, const FinalMessage& aWord, Millis aNow);
+  void Close(const AttemptKey& aKey, const FinalMessage& aMessage, Millis aNow);
 
   /** How the attempt ended, or nothing if that is not known. */
   const FinalMessage* Find(const AttemptKey& aKey) const;
@@ -49,24 +49,24 @@
   /** Forgets what is older than the span. */
   void Expire(Millis aNow);
 
-  size_t Size() const { return mWords.size(); }
+  size_t Size() const { return mFinalMessages.size(); }
   uint64_t ForgottenStarts() const { return mForgottenStarts; }
 
 private:
-  struct Dated
+  struct TimedKey
   {
     AttemptKey mKey;
-    Millis mAt;
+    Millis mClosedAt;
   };
 
-  void ForgetVoided();
-  void ForgetStarted();
+  void EraseOldestVoided();
+  void EraseOldestStarted();
   void Trim();
 
   LedgerOptions mOptions;
-  std::unordered_map<AttemptKey, FinalMessage> mWords;
-  std::deque<Dated> mVoided;
-  std::deque<Dated> mStarted;
+  std::unordered_map<AttemptKey, FinalMessage> mFinalMessages;
+  std::deque<TimedKey> mVoided;
+  std::deque<TimedKey> mStarted;
   uint64_t mForgottenStarts = 0;
 };
 
--- a/src/libtrefoilarch/membershipview.cpp
+++ b/src/libtrefoilarch/membershipview.cpp
@@ -35,16 +35,16 @@
       missing.push_back(member);
     }
   }
-  const size_t gone = missing.size();
-  const bool doubt =
-    gone >= mOptions.mSuspicionMinHosts && 2 * gone > aOld.size();
+  const size_t missingCount = missing.size();
+  const bool suspicious = missingCount >= mOptions.mSuspicionMinHosts &&
+                          2 * missingCount > aOld.size();
   std::vector<T> merged = aNew;
   for (const T& member : missing) {
     const Millis since =
       mMissingSince.try_emplace(member.mAddress, aNow).first->second;
-    const Millis span =
-      doubt ? mOptions.mSuspicionTimeout : mOptions.mMissingTimeout;
-    if (aNow - since < span) {
+    const Millis timeout =
+      suspicious ? mOptions.mSuspicionTimeout : mOptions.mMissingTimeout;
+    if (aNow - since < timeout) {
       merged.push_back(member);
     } else {
       mMissingSince.erase(member.mAddress);
--- a/src/libtrefoilarch/orders.cpp
+++ b/src/libtrefoilarch/orders.cpp
@@ -35,11 +35,11 @@
 LeaseOptions
 Orders::OptionsFor(bool aSlot)
 {
-  const bool covers = aSlot || !mOptions.mEngineChecksFencing;
+  const bool coversOrder = aSlot || !mOptions.mEngineChecksFencing;
   LeaseOptions options;
-  options.mHolder = mOptions.mHolder + "/" + std::to_string(++mLeases);
-  options.mDuration =
-    mOptions.mLeaseMargin + (covers ? mOptions.mMaxOrderDuration : Millis());
+  options.mHolder = mOptions.mHolder + "/" + std::to_string(++mLeaseCount);
+  options.mDuration = mOptions.mLeaseMargin +
+                      (coversOrder ? mOptions.mMaxOrderDuration : Millis());
   options.mMargin = options.mDuration / 20;
   options.mRenewAfter = options.mDuration / 10;
   options.mSeed = mOptions.mSeed + (aSlot ? 1 : 0);
@@ -56,7 +56,7 @@
   }
   mOrders.push_back(
     { std::move(aOrder), aNow + mOptions.mOrderTimeout, false });
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
@@ -67,23 +67,24 @@
 {
   OrderActions out;
   if (Lease* lease = Find(aKey)) {
-    Take(out, aKey, lease->OnRead(aFound, aNow), aNow);
+    ApplyLeaseActions(out, aKey, lease->OnRead(aFound, aNow), aNow);
   }
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
 OrderActions
 Orders::OnLeaseWritten(const std::string& aKey,
-                       LeaseWriteOutcome aEnd,
+                       LeaseWriteOutcome aOutcome,
                        int64_t aRevision,
                        Millis aNow)
 {
   OrderActions out;
   if (Lease* lease = Find(aKey)) {
-    Take(out, aKey, lease->OnWritten(aEnd, aRevision, aNow), aNow);
+    ApplyLeaseActions(
+      out, aKey, lease->OnWritten(aOutcome, aRevision, aNow), aNow);
   }
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
@@ -102,15 +103,15 @@
       break;
     case OrderReply::Unknown:
       entry.mMaybeSent = true;
-      mQuietFrom = aNow + mOptions.mMaxOrderDuration;
-      mNextTry = mQuietFrom;
+      mUncertainUntil = aNow + mOptions.mMaxOrderDuration;
+      mNextAttemptAt = mUncertainUntil;
       break;
     case OrderReply::StaleFencingNumber:
     case OrderReply::NotSent:
-      mNextTry = aNow + mOptions.mRetryInterval;
+      mNextAttemptAt = aNow + mOptions.mRetryInterval;
       break;
   }
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
@@ -118,19 +119,19 @@
 Orders::OnTick(Millis aNow)
 {
   OrderActions out;
-  Take(out, mLeaseKey, mLease.OnTick(aNow), aNow);
+  ApplyLeaseActions(out, mLeaseKey, mLease.OnTick(aNow), aNow);
   for (size_t slot = 0; slot < mSlots.size(); ++slot) {
-    Take(out, SlotKey(slot), mSlots[slot].OnTick(aNow), aNow);
+    ApplyLeaseActions(out, SlotKey(slot), mSlots[slot].OnTick(aNow), aNow);
   }
-  Drive(out, aNow);
+  Advance(out, aNow);
   return out;
 }
 
 bool
 Orders::MaySend(Millis aNow) const
 {
-  return !mOrders.empty() && aNow >= mActFrom &&
-         mLease.IsHeld(aNow, SafeSpan()) &&
+  return !mOrders.empty() && aNow >= mSendAllowedAt &&
+         mLease.IsHeld(aNow, RequiredLeaseTime()) &&
          (!NeedsSlot() || Slot().IsHeld(aNow, mOptions.mMaxOrderDuration));
 }
 
@@ -142,10 +143,10 @@
     wake = std::min(wake, slot.NextWake());
   }
   if (mOrders.empty()) {
-    return mLease.Wanted() ? std::min(wake, mQuietFrom) : wake;
+    return mLease.Wanted() ? std::min(wake, mUncertainUntil) : wake;
   }
   if (!mSending) {
-    wake = std::min(wake, std::max(mNextTry, mActFrom));
+    wake = std::min(wake, std::max(mNextAttemptAt, mSendAllowedAt));
   }
   if (NeedsSlot() && mSlots.size() > 1 && !Slot().IsHeld(mSlotSince)) {
     wake = std::min(wake, mSlotSince + mOptions.mSlotTimeout);
@@ -154,15 +155,15 @@
 }
 
 void
-Orders::Drive(OrderActions& aOut, Millis aNow)
+Orders::Advance(OrderActions& aOut, Millis aNow)
 {
-  DropLate(aOut, aNow);
-  const bool wanted = !mOrders.empty() || aNow < mQuietFrom;
+  ExpireOrders(aOut, aNow);
+  const bool wanted = !mOrders.empty() || aNow < mUncertainUntil;
   if (wanted != mLease.Wanted()) {
-    Take(aOut, mLeaseKey, mLease.SetWanted(wanted, aNow), aNow);
+    ApplyLeaseActions(aOut, mLeaseKey, mLease.SetWanted(wanted, aNow), aNow);
   }
-  DriveSlot(aOut, aNow);
-  if (!mSending && aNow >= mNextTry && MaySend(aNow)) {
+  AdvanceSlot(aOut, aNow);
+  if (!mSending && aNow >= mNextAttemptAt && MaySend(aNow)) {
     mSending = true;
     aOut.emplace_back(
       SendOrder{ mOrders.front().mOrder, mLease.FencingNumber() });
@@ -171,7 +172,7 @@
 
 /** An order under way is waited for, however late it is. */
 void
-Orders::DropLate(OrderActions& aOut, Millis aNow)
+Orders::ExpireOrders(OrderActions& aOut, Millis aNow)
 {
   while (!mOrders.empty() && !mSending && mOrders.front().mDeadline <= aNow) {
     const bool sent = mOrders.front().mMaybeSent;
@@ -181,45 +182,50 @@
 
 /** A slot is wanted once the engine's lease is held, and kept while used. */
 void
-Orders::DriveSlot(OrderActions& aOut, Millis aNow)
+Orders::AdvanceSlot(OrderActions& aOut, Millis aNow)
 {
-  const bool lingers = Slot().Wanted() && aNow < mQuietFrom;
+  const bool mayBeInUse = Slot().Wanted() && aNow < mUncertainUntil;
   const bool wanted =
-    lingers || (NeedsSlot() && (mSending || mLease.IsHeld(aNow, SafeSpan())));
+    mayBeInUse ||
+    (NeedsSlot() && (mSending || mLease.IsHeld(aNow, RequiredLeaseTime())));
   if (wanted != Slot().Wanted()) {
     mSlotSince = aNow;
-    Take(aOut, SlotKey(mSlot), Slot().SetWanted(wanted, aNow), aNow);
+    ApplyLeaseActions(
+      aOut, SlotKey(mSlot), Slot().SetWanted(wanted, aNow), aNow);
     return;
   }
-  const bool impatient = wanted && !lingers && !mSending &&
-                         !Slot().IsHeld(aNow) &&
-                         aNow >= mSlotSince + mOptions.mSlotTimeout;
-  if (impatient && mSlots.size() > 1) {
-    Take(aOut, SlotKey(mSlot), Slot().SetWanted(false, aNow), aNow);
+  const bool slotTimedOut = wanted && !mayBeInUse && !mSending &&
+                            !Slot().IsHeld(aNow) &&
+                            aNow >= mSlotSince + mOptions.mSlotTimeout;
+  if (slotTimedOut && mSlots.size() > 1) {
+    ApplyLeaseActions(
+      aOut, SlotKey(mSlot), Slot().SetWanted(false, aNow), aNow);
     mSlot = (mSlot + 1) % mSlots.size();
     mSlotSince = aNow;
-    Take(aOut, SlotKey(mSlot), Slot().SetWanted(true, aNow), aNow);
+    ApplyLeaseActions(aOut, SlotKey(mSlot), Slot().SetWanted(true, aNow), aNow);
   }
 }
 
 void
-Orders::Finish(OrderActions& aOut, OrderOutcome aEnd)
+Orders::Finish(OrderActions& aOut, OrderOutcome aOutcome)
 {
-  aOut.emplace_back(OrderEnded{ std::move(mOrders.front().mOrder.mId), aEnd });
+  aOut.emplace_back(
+    OrderEnded{ std::move(mOrders.front().mOrder.mId), aOutcome });
   mOrders.pop_front();
 }
 
 void
-Orders::Take(OrderActions& aOut,
-             const std::string& aKey,
-             LeaseActions aActions,
-             Millis aNow)
+Orders::ApplyLeaseActions(OrderActions& aOut,
+                          const std::string& aKey,
+                          LeaseActions aActions,
+                          Millis aNow)
 {
   for (LeaseAction& action : aActions) {
     if (const auto* gained = std::get_if<LeaseGained>(&action)) {
-      const bool waits = aKey == mLeaseKey && gained->mTakenOver &&
-                         !mOptions.mEngineChecksFencing;
-      mActFrom = waits ? aNow + mOptions.mMaxOrderDuration : mActFrom;
+      const bool mustWait = aKey == mLeaseKey && gained->mTakenOver &&
+                            !mOptions.mEngineChecksFencing;
+      mSendAllowedAt =
+        mustWait ? aNow + mOptions.mMaxOrderDuration : mSendAllowedAt;
     } else if (std::holds_alternative<ReadLease>(action)) {
       aOut.emplace_back(LeaseRowAction{ aKey, ReadLease{} });
     } else if (auto* write = std::get_if<WriteLease>(&action)) {
@@ -240,7 +246,7 @@
 
 /** How long the lease must still be good when an order is sent. */
 Millis
-Orders::SafeSpan() const
+Orders::RequiredLeaseTime() const
 {
   return mOptions.mEngineChecksFencing ? Millis() : mOptions.mMaxOrderDuration;
 }
--- a/src/libtrefoilarch/orders.h
+++ b/src/libtrefoilarch/orders.h
@@ -122,7 +122,7 @@
                            const LeaseFound& aFound,
                            Millis aNow);
   OrderActions OnLeaseWritten(const std::string& aKey,
-                              LeaseWriteOutcome aEnd,
+                              LeaseWriteOutcome aOutcome,
                               int64_t aRevision,
                               Millis aNow);
   OrderActions OnReply(OrderReply aReply, Millis aNow);
@@ -142,16 +142,16 @@
     bool mMaybeSent = false;
   };
 
-  void Drive(OrderActions& aOut, Millis aNow);
-  void DropLate(OrderActions& aOut, Millis aNow);
-  void DriveSlot(OrderActions& aOut, Millis aNow);
-  void Finish(OrderActions& aOut, OrderOutcome aEnd);
-  void Take(OrderActions& aOut,
-            const std::string& aKey,
-            LeaseActions aActions,
-            Millis aNow);
+  void Advance(OrderActions& aOut, Millis aNow);
+  void ExpireOrders(OrderActions& aOut, Millis aNow);
+  void AdvanceSlot(OrderActions& aOut, Millis aNow);
+  void Finish(OrderActions& aOut, OrderOutcome aOutcome);
+  void ApplyLeaseActions(OrderActions& aOut,
+                         const std::string& aKey,
+                         LeaseActions aActions,
+                         Millis aNow);
   bool NeedsSlot() const;
-  Millis SafeSpan() const;
+  Millis RequiredLeaseTime() const;
   Lease& Slot() { return mSlots[mSlot]; }
   const Lease& Slot() const { return mSlots[mSlot]; }
   /** The lease of that key, or null. */
@@ -159,7 +159,7 @@
   LeaseOptions OptionsFor(bool aSlot);
 
   OrderOptions mOptions;
-  uint64_t mLeases = 0; /**< made so far; each is a holder of its own */
+  uint64_t mLeaseCount = 0; /**< made so far; each is a holder of its own */
   std::string mLeaseKey;
   Lease mLease;
   /** One for each load slot; at most one is wanted. Each goes on watching its
@@ -169,10 +169,10 @@
   Millis mSlotSince;
   std::deque<Entry> mOrders;
   bool mSending = false;
-  Millis mActFrom;
+  Millis mSendAllowedAt;
   /** Until then an order without an answer may be at work. */
-  Millis mQuietFrom;
-  Millis mNextTry;
+  Millis mUncertainUntil;
+  Millis mNextAttemptAt;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/outputestimator.cpp
+++ b/src/libtrefoilarch/outputestimator.cpp
@@ -8,26 +8,26 @@
 namespace {
 
 constexpr unsigned kBins = 48;
-constexpr double kShortest = 1;
-constexpr double kLongest = 131072;
+constexpr double kMinLength = 1;
+constexpr double kMaxLength = 131072;
 
 /** The guess where nothing is known. */
-constexpr double kFirstGuess = 256;
+constexpr double kDefaultEstimate = 256;
 
 /** Answers that the guess weighs as much as. */
-constexpr double kGuessWeight = 10;
+constexpr double kPriorWeight = 10;
 
 /** At this many answers all counts are halved, so that old ones fade. */
-constexpr float kFull = 512;
+constexpr float kDecayCount = 512;
 
 /** Workspaces that are kept apart; further ones go by their class alone. */
-constexpr size_t kMostWorkspaces = 10000;
+constexpr size_t kMaxWorkspaces = 10000;
 
 } // namespace
 
 OutputEstimator::OutputEstimator()
 {
-  const Axis axis(kBins, kShortest, kLongest);
+  const Axis axis(kBins, kMinLength, kMaxLength);
   for (const auto& bin : axis) {
     mCentres.push_back(bin.center());
   }
@@ -37,7 +37,7 @@
 OutputEstimator::NewHistogram()
 {
   return boost::histogram::make_histogram_with(
-    std::vector<float>(), Axis(kBins, kShortest, kLongest));
+    std::vector<float>(), Axis(kBins, kMinLength, kMaxLength));
 }
 
 void
@@ -51,10 +51,10 @@
   Add(mClasses.try_emplace(aClass, Lengths{ NewHistogram() }).first->second,
       aTokens);
   const std::pair key(aClass, aWorkspace);
-  const auto known = mWorkspaces.find(key);
-  if (known != mWorkspaces.end()) {
-    Add(known->second, aTokens);
-  } else if (mWorkspaces.size() < kMostWorkspaces) {
+  const auto found = mWorkspaces.find(key);
+  if (found != mWorkspaces.end()) {
+    Add(found->second, aTokens);
+  } else if (mWorkspaces.size() < kMaxWorkspaces) {
     Add(mWorkspaces.emplace(key, Lengths{ NewHistogram() }).first->second,
         aTokens);
   }
@@ -63,43 +63,43 @@
 void
 OutputEstimator::Add(Lengths& aLengths, uint32_t aTokens)
 {
-  if (aLengths.mCount >= kFull) {
+  if (aLengths.mCount >= kDecayCount) {
     aLengths.mHistogram *= 0.5F;
     aLengths.mCount /= 2;
   }
-  aLengths.mHistogram(std::min<double>(aTokens, kLongest - 1));
+  aLengths.mHistogram(std::min<double>(aTokens, kMaxLength - 1));
   aLengths.mCount += 1;
 }
 
 uint32_t
 OutputEstimator::Estimate(const std::string& aClass,
                           const std::string& aWorkspace,
-                          uint32_t aMost) const
+                          uint32_t aMaxTokens) const
 {
-  const double most = aMost == 0 ? kLongest : aMost;
-  double estimate = std::min(kFirstGuess, most);
+  const double maxTokens = aMaxTokens == 0 ? kMaxLength : aMaxTokens;
+  double estimate = std::min(kDefaultEstimate, maxTokens);
   const auto ofClass = mClasses.find(aClass);
   if (ofClass != mClasses.end()) {
-    estimate = Mean(ofClass->second, most, estimate);
+    estimate = Mean(ofClass->second, maxTokens, estimate);
   }
   const auto ofWorkspace = mWorkspaces.find(std::pair(aClass, aWorkspace));
   if (ofWorkspace != mWorkspaces.end()) {
-    estimate = Mean(ofWorkspace->second, most, estimate);
+    estimate = Mean(ofWorkspace->second, maxTokens, estimate);
   }
   return static_cast<uint32_t>(std::lround(estimate));
 }
 
 double
 OutputEstimator::Mean(const Lengths& aLengths,
-                      double aMost,
-                      double aGuess) const
+                      double aMaxTokens,
+                      double aPrior) const
 {
-  double sum = kGuessWeight * aGuess;
+  double sum = kPriorWeight * aPrior;
   for (size_t i = 0; i < mCentres.size(); i++) {
     sum += aLengths.mHistogram.at(static_cast<int>(i)) *
-           std::min(mCentres[i], aMost);
+           std::min(mCentres[i], aMaxTokens);
   }
-  return sum / (kGuessWeight + aLengths.mCount);
+  return sum / (kPriorWeight + aLengths.mCount);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/outputestimator.h
+++ b/src/libtrefoilarch/outputestimator.h
@@ -32,7 +32,7 @@
   /** The expected length, given that the caller allows aMost (0: any). */
   uint32_t Estimate(const std::string& aClass,
                     const std::string& aWorkspace,
-                    uint32_t aMost) const;
+                    uint32_t aMaxTokens) const;
 
 private:
   using Axis =
@@ -52,7 +52,7 @@
   static Histogram NewHistogram();
   static void Add(Lengths& aLengths, uint32_t aTokens);
   /** The mean with aGuess weighing as much as a few answers. */
-  double Mean(const Lengths& aLengths, double aMost, double aGuess) const;
+  double Mean(const Lengths& aLengths, double aMaxTokens, double aPrior) const;
 
   std::map<std::string, Lengths, std::less<>> mClasses;
   std::map<std::pair<std::string, std::string>, Lengths> mWorkspaces;
--- a/src/libtrefoilarch/rankedset.cpp
+++ b/src/libtrefoilarch/rankedset.cpp
@@ -12,7 +12,7 @@
 /** Prefixes are ranked in this many slots, each when it is first asked. */
 constexpr size_t kSlots = 1024;
 
-constexpr uint16_t kNobody = std::numeric_limits<uint16_t>::max();
+constexpr uint16_t kNoMember = std::numeric_limits<uint16_t>::max();
 
 uint64_t
 Hash(const std::string& aText)
@@ -53,7 +53,7 @@
     mRanked[slot] = true;
   }
   std::array<UpstreamLink*, kPreferred> preferred{};
-  for (size_t i = 0; i < kPreferred && mSlots[slot][i] != kNobody; i++) {
+  for (size_t i = 0; i < kPreferred && mSlots[slot][i] != kNoMember; i++) {
     preferred[i] = mMembers[mSlots[slot][i]];
   }
   return preferred;
@@ -63,12 +63,12 @@
 RankedSet::Rank(uint64_t aSlot) const
 {
   std::array<std::pair<uint64_t, uint16_t>, kPreferred> best;
-  best.fill({ 0, kNobody });
-  for (size_t i = 0; i < mNameHashes.size() && i < kNobody; i++) {
+  best.fill({ 0, kNoMember });
+  for (size_t i = 0; i < mNameHashes.size() && i < kNoMember; i++) {
     std::pair<uint64_t, uint16_t> next{ Mix(mNameHashes[i], aSlot + 1),
                                         static_cast<uint16_t>(i) };
     for (auto& place : best) {
-      if (place.second == kNobody || next.first > place.first) {
+      if (place.second == kNoMember || next.first > place.first) {
         std::swap(place, next);
       }
     }
--- a/src/libtrefoilarch/recentanswers.cpp
+++ b/src/libtrefoilarch/recentanswers.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 /** Of each part: a busy entry's answers of half a minute. */
-constexpr size_t kMostAnswers = 4096;
-constexpr Millis kSpan{ 30000 };
+constexpr size_t kMaxAnswers = 4096;
+constexpr Millis kRotationInterval{ 30000 };
 
 } // namespace
 
@@ -18,11 +18,11 @@
                       Millis aAt,
                       Millis aNow)
 {
-  if (mNew.size() >= kMostAnswers || aNow - mSince > kSpan) {
-    mOld = std::exchange(mNew, {});
-    mSince = aNow;
+  if (mCurrent.size() >= kMaxAnswers || aNow - mRotatedAt > kRotationInterval) {
+    mPrevious = std::exchange(mCurrent, {});
+    mRotatedAt = aNow;
   }
-  Millis& at = mNew[aRequest];
+  Millis& at = mCurrent[aRequest];
   at = std::max(at, aAt);
 }
 
@@ -30,9 +30,9 @@
 RecentAnswers::At(const RequestFingerprint& aRequest) const
 {
   Millis at;
-  for (const Part* each : { &mNew, &mOld }) {
-    const auto place = each->find(aRequest);
-    at = place == each->end() ? at : std::max(at, place->second);
+  for (const Generation* generation : { &mCurrent, &mPrevious }) {
+    const auto found = generation->find(aRequest);
+    at = found == generation->end() ? at : std::max(at, found->second);
   }
   return at;
 }
--- a/src/libtrefoilarch/recentanswers.h
+++ b/src/libtrefoilarch/recentanswers.h
@@ -21,11 +21,11 @@
   Millis At(const RequestFingerprint& aRequest) const;
 
 private:
-  using Part = std::unordered_map<RequestFingerprint, Millis>;
+  using Generation = std::unordered_map<RequestFingerprint, Millis>;
 
-  Part mNew;
-  Part mOld;
-  Millis mSince;
+  Generation mCurrent;
+  Generation mPrevious;
+  Millis mRotatedAt;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/schedule.cpp
+++ b/src/libtrefoilarch/schedule.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Tier
-Clamped(const ServiceLevel& aLevel)
+ClampedTier(const ServiceLevel& aLevel)
 {
   return std::min<Tier>(aLevel.mTier, kTierCount - 1);
 }
@@ -23,24 +23,25 @@
 void
 Schedule::Add(const WaitingRequest& aRequest, Millis aNow)
 {
-  const auto [found, fresh] = mRequests.emplace(aRequest.mKey, aRequest);
-  if (!fresh) {
+  const auto [found, inserted] = mRequests.emplace(aRequest.mKey, aRequest);
+  if (!inserted) {
     return;
   }
   WaitingRequest& request = found->second;
   request.mArrival = mArrivals++;
   request.mLate = request.mStartBy < aNow;
-  ScheduleClass& owner = ClassOf(request.mLevel);
-  owner.mFloor = Floor(request.mLevel);
-  if (owner.Waiting() == 0) {
-    owner.mSince = aNow;
-    owner.mFloorStart = mRegularStarts + FloorInterval(owner);
+  ScheduleClass& scheduleClass = ClassOf(request.mLevel);
+  scheduleClass.mFloor = Floor(request.mLevel);
+  if (scheduleClass.Waiting() == 0) {
+    scheduleClass.mWaitingSince = aNow;
+    scheduleClass.mFloorDueAt = mRegularStarts + FloorInterval(scheduleClass);
   }
-  owner.Add(request);
+  scheduleClass.Add(request);
   if (!request.mLate) {
     mOnTime.insert(&request);
   }
-  mTokens[Clamped(request.mLevel)][request.mLate ? 1 : 0] += request.mTokens;
+  mTokens[ClampedTier(request.mLevel)][request.mLate ? 1 : 0] +=
+    request.mTokens;
 }
 
 void
@@ -56,9 +57,9 @@
   if (!request.mLate) {
     mOnTime.erase(&request);
   }
-  mTokens[Clamped(level)][request.mLate ? 1 : 0] -= request.mTokens;
+  mTokens[ClampedTier(level)][request.mLate ? 1 : 0] -= request.mTokens;
   mRequests.erase(found);
-  ForgetIfUnused(level);
+  EraseIfUnused(level);
 }
 
 std::vector<AttemptKey>
@@ -69,7 +70,7 @@
     WaitingRequest& request = **mOnTime.begin();
     mOnTime.erase(mOnTime.begin());
     ClassOf(request.mLevel).MarkLate(request);
-    auto& [onTime, tooLate] = mTokens[Clamped(request.mLevel)];
+    auto& [onTime, tooLate] = mTokens[ClampedTier(request.mLevel)];
     onTime -= request.mTokens;
     tooLate += request.mTokens;
     late.push_back(request.mKey);
@@ -85,12 +86,13 @@
 }
 
 std::optional<Dispatch>
-Schedule::NextFloor(uint64_t aRoom, Millis aNow) const
+Schedule::NextFloorDispatch(uint64_t aCapacity, Millis aNow) const
 {
   for (const ClassMap& tier : mTiers) {
-    for (const auto& [name, owner] : tier) {
-      if (IsOwed(owner, aNow) && HasFloorRoom(owner, aRoom)) {
-        return Dispatch{ .mKey = owner.Next()->mKey, .mFloor = true };
+    for (const auto& [name, scheduleClass] : tier) {
+      if (IsFloorDue(scheduleClass, aNow) &&
+          HasFloorCapacity(scheduleClass, aCapacity)) {
+        return Dispatch{ .mKey = scheduleClass.Next()->mKey, .mFloor = true };
       }
     }
   }
@@ -98,13 +100,13 @@
 }
 
 std::optional<Dispatch>
-Schedule::NextRegular() const
+Schedule::NextRegularDispatch() const
 {
   for (const ClassMap& tier : mTiers) {
     for (const bool late : { false, true }) {
       const WaitingRequest* best = nullptr;
-      for (const auto& [name, owner] : tier) {
-        const WaitingRequest* next = owner.Next(late);
+      for (const auto& [name, scheduleClass] : tier) {
+        const WaitingRequest* next = scheduleClass.Next(late);
         if (next && (!best || ByUrgency()(next, best))) {
           best = next;
         }
@@ -118,22 +120,22 @@
 }
 
 void
-Schedule::Take(const Dispatch& aTurn, Millis aNow)
+Schedule::Take(const Dispatch& aDispatch, Millis aNow)
 {
-  const WaitingRequest& request = mRequests.at(aTurn.mKey);
+  const WaitingRequest& request = mRequests.at(aDispatch.mKey);
   const ServiceLevel level = request.mLevel;
   const auto tokens = static_cast<int64_t>(request.mTokens);
-  ScheduleClass& owner = ClassOf(level);
-  owner.Charge(level.mWorkspace, std::max<int64_t>(tokens, 1));
-  if (aTurn.mFloor) {
-    owner.mFloorTokens += request.mTokens;
+  ScheduleClass& scheduleClass = ClassOf(level);
+  scheduleClass.Charge(level.mWorkspace, std::max<int64_t>(tokens, 1));
+  if (aDispatch.mFloor) {
+    scheduleClass.mFloorTokens += request.mTokens;
   } else {
     ++mRegularStarts;
   }
-  owner.mFloorStart = mRegularStarts + FloorInterval(owner);
-  owner.mSince = aNow;
-  ++owner.mRunning;
-  Remove(aTurn.mKey);
+  scheduleClass.mFloorDueAt = mRegularStarts + FloorInterval(scheduleClass);
+  scheduleClass.mWaitingSince = aNow;
+  ++scheduleClass.mRunning;
+  Remove(aDispatch.mKey);
 }
 
 void
@@ -141,13 +143,13 @@
                   uint64_t aFloorTokens,
                   Millis aNow)
 {
-  ScheduleClass& owner = ClassOf(aLevel);
-  owner.mFloorTokens -= aFloorTokens;
-  --owner.mRunning;
-  if (owner.mRunning == 0) {
-    owner.mSince = aNow;
+  ScheduleClass& scheduleClass = ClassOf(aLevel);
+  scheduleClass.mFloorTokens -= aFloorTokens;
+  --scheduleClass.mRunning;
+  if (scheduleClass.mRunning == 0) {
+    scheduleClass.mWaitingSince = aNow;
   }
-  ForgetIfUnused(aLevel);
+  EraseIfUnused(aLevel);
 }
 
 void
@@ -161,16 +163,16 @@
 }
 
 std::optional<AttemptKey>
-Schedule::ToShedFor(const ServiceLevel& aLevel) const
+Schedule::VictimFor(const ServiceLevel& aLevel) const
 {
-  for (Tier tier = kTierCount - 1; tier > Clamped(aLevel); --tier) {
+  for (Tier tier = kTierCount - 1; tier > ClampedTier(aLevel); --tier) {
     const WaitingRequest* last = nullptr;
-    for (const auto& [name, owner] : mTiers[tier]) {
-      if (owner.Waiting() <= mOptions.mKeptPlaces) {
+    for (const auto& [name, scheduleClass] : mTiers[tier]) {
+      if (scheduleClass.Waiting() <= mOptions.mReservedPlaces) {
         continue;
       }
-      if (!last || owner.LastArrival().mArrival > last->mArrival) {
-        last = &owner.LastArrival();
+      if (!last || scheduleClass.LastArrival().mArrival > last->mArrival) {
+        last = &scheduleClass.LastArrival();
       }
     }
     if (last) {
@@ -181,32 +183,34 @@
 }
 
 bool
-Schedule::HasKeptPlace(const ServiceLevel& aLevel) const
+Schedule::HasReservedPlace(const ServiceLevel& aLevel) const
 {
-  return WaitingOf(aLevel) < mOptions.mKeptPlaces;
+  return WaitingOf(aLevel) < mOptions.mReservedPlaces;
 }
 
 uint64_t
 Schedule::TokensAhead(const ServiceLevel& aLevel, bool aLate) const
 {
-  const Tier own = Clamped(aLevel);
+  const Tier own = ClampedTier(aLevel);
   uint64_t ahead = mTokens[own][0] + (aLate ? mTokens[own][1] : 0);
   for (Tier tier = 0; tier < own; ++tier) {
     ahead += mTokens[tier][0] + mTokens[tier][1];
   }
-  const ScheduleClass* owner = FindClass(aLevel);
-  if (!owner) {
+  const ScheduleClass* scheduleClass = FindClass(aLevel);
+  if (!scheduleClass) {
     return ahead;
   }
-  ahead -= owner->Tokens(false) + (aLate ? owner->Tokens(true) : 0);
-  return ahead + owner->TokensAhead(aLevel.mWorkspace, aLevel.mWeight, aLate);
+  ahead -=
+    scheduleClass->Tokens(false) + (aLate ? scheduleClass->Tokens(true) : 0);
+  return ahead +
+         scheduleClass->TokensAhead(aLevel.mWorkspace, aLevel.mWeight, aLate);
 }
 
 size_t
 Schedule::WaitingOf(const ServiceLevel& aLevel) const
 {
-  const ScheduleClass* owner = FindClass(aLevel);
-  return owner ? owner->Waiting() : 0;
+  const ScheduleClass* scheduleClass = FindClass(aLevel);
+  return scheduleClass ? scheduleClass->Waiting() : 0;
 }
 
 uint64_t
@@ -225,9 +229,10 @@
   Millis next = mOnTime.empty() ? Millis::Never()
                                 : (*mOnTime.begin())->mStartBy + Millis(1);
   for (const ClassMap& tier : mTiers) {
-    for (const auto& [name, owner] : tier) {
-      if (owner.Waiting() > 0 && owner.mRunning == 0) {
-        next = std::min(next, owner.mSince + mOptions.mFloorStartDelay);
+    for (const auto& [name, scheduleClass] : tier) {
+      if (scheduleClass.Waiting() > 0 && scheduleClass.mRunning == 0) {
+        next = std::min(
+          next, scheduleClass.mWaitingSince + mOptions.mFloorStartDelay);
       }
     }
   }
@@ -237,19 +242,19 @@
 double
 Schedule::Floor(const ServiceLevel& aLevel) const
 {
-  return std::clamp(aLevel.mFloor, mOptions.mLeastFloor, 1.0);
+  return std::clamp(aLevel.mFloor, mOptions.mMinFloor, 1.0);
 }
 
 Schedule::ClassMap&
 Schedule::TierOf(const ServiceLevel& aLevel)
 {
-  return mTiers[Clamped(aLevel)];
+  return mTiers[ClampedTier(aLevel)];
 }
 
 const ScheduleClass*
 Schedule::FindClass(const ServiceLevel& aLevel) const
 {
-  const ClassMap& tier = mTiers[Clamped(aLevel)];
+  const ClassMap& tier = mTiers[ClampedTier(aLevel)];
   const auto found = tier.find(aLevel.mClass);
   return found == tier.end() ? nullptr : &found->second;
 }
@@ -267,28 +272,28 @@
 }
 
 bool
-Schedule::IsOwed(const ScheduleClass& aClass, Millis aNow) const
+Schedule::IsFloorDue(const ScheduleClass& aClass, Millis aNow) const
 {
   if (aClass.Waiting() == 0) {
     return false;
   }
-  if (mRegularStarts >= aClass.mFloorStart) {
+  if (mRegularStarts >= aClass.mFloorDueAt) {
     return true;
   }
   return aClass.mRunning == 0 &&
-         aNow >= aClass.mSince + mOptions.mFloorStartDelay;
+         aNow >= aClass.mWaitingSince + mOptions.mFloorStartDelay;
 }
 
 bool
-Schedule::HasFloorRoom(const ScheduleClass& aClass, uint64_t aRoom)
+Schedule::HasFloorCapacity(const ScheduleClass& aClass, uint64_t aCapacity)
 {
-  const double part = aClass.mFloor * static_cast<double>(aRoom);
+  const double part = aClass.mFloor * static_cast<double>(aCapacity);
   const uint64_t tokens = aClass.mFloorTokens + aClass.Next()->mTokens;
   return aClass.mFloorTokens == 0 || static_cast<double>(tokens) <= part;
 }
 
 void
-Schedule::ForgetIfUnused(const ServiceLevel& aLevel)
+Schedule::EraseIfUnused(const ServiceLevel& aLevel)
 {
   ClassMap& tier = TierOf(aLevel);
   const auto found = tier.find(aLevel.mClass);
--- a/src/libtrefoilarch/schedule.h
+++ b/src/libtrefoilarch/schedule.h
@@ -24,9 +24,9 @@
   /** A waiting class of which nothing runs gets a floor start after this. */
   Millis mFloorStartDelay{ 2000 };
   /** The least floor of a class, as a share of regular starts. */
-  double mLeastFloor = 0.01;
+  double mMinFloor = 0.01;
   /** Waiting requests of each class that the queue limit does not touch. */
-  size_t mKeptPlaces = 4;
+  size_t mReservedPlaces = 4;
 };
 
 /** Whose turn it is. */
@@ -80,11 +80,12 @@
   const WaitingRequest* Find(const AttemptKey& aKey) const;
 
   /** The floor turn that is due, if any, in a room of that many tokens. */
-  std::optional<Dispatch> NextFloor(uint64_t aRoom, Millis aNow) const;
+  std::optional<Dispatch> NextFloorDispatch(uint64_t aCapacity,
+                                            Millis aNow) const;
   /** The regular turn; nothing if nobody waits. */
-  std::optional<Dispatch> NextRegular() const;
+  std::optional<Dispatch> NextRegularDispatch() const;
   /** Takes the request of that turn out, and counts it as a start. */
-  void Take(const Dispatch& aTurn, Millis aNow);
+  void Take(const Dispatch& aDispatch, Millis aNow);
 
   /** A request that had its turn has ended; aFloorTokens: if it was a floor
    * turn, the tokens that it was counted with then. */
@@ -96,9 +97,9 @@
    * Whom to shed so that an arrival of that class finds a place: a waiting
    * request, or nothing where the arrival itself is the one.
    */
-  std::optional<AttemptKey> ToShedFor(const ServiceLevel& aLevel) const;
+  std::optional<AttemptKey> VictimFor(const ServiceLevel& aLevel) const;
   /** Whether the queue limit does not touch the class's next request. */
-  bool HasKeptPlace(const ServiceLevel& aLevel) const;
+  bool HasReservedPlace(const ServiceLevel& aLevel) const;
 
   /**
    * Tokens that start before a request of that level, which can still be on
@@ -124,9 +125,9 @@
   ScheduleClass& ClassOf(const ServiceLevel& aLevel);
   /** Regular starts between two floor turns of the class. */
   static uint64_t FloorInterval(const ScheduleClass& aClass);
-  bool IsOwed(const ScheduleClass& aClass, Millis aNow) const;
-  static bool HasFloorRoom(const ScheduleClass& aClass, uint64_t aRoom);
-  void ForgetIfUnused(const ServiceLevel& aLevel);
+  bool IsFloorDue(const ScheduleClass& aClass, Millis aNow) const;
+  static bool HasFloorCapacity(const ScheduleClass& aClass, uint64_t aCapacity);
+  void EraseIfUnused(const ServiceLevel& aLevel);
 
   ScheduleOptions mOptions;
   std::unordered_map<AttemptKey, WaitingRequest> mRequests;
--- a/src/libtrefoilarch/scheduleclass.cpp
+++ b/src/libtrefoilarch/scheduleclass.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** A weight of zero or less would give a workspace no share at all. */
-constexpr double kLeastWeight = 0.001;
+constexpr double kMinWeight = 0.001;
 
 } // namespace
 
@@ -16,14 +16,14 @@
 ScheduleClass::Add(const WaitingRequest& aRequest)
 {
   Workspace& workspace = WorkspaceOf(aRequest.mLevel);
-  Unlist(workspace);
+  Dequeue(workspace);
   if (workspace.IsIdle()) {
-    workspace.mWeight = std::max(aRequest.mLevel.mWeight, kLeastWeight);
-    workspace.mServed = std::max(workspace.mServed, mClock);
+    workspace.mWeight = std::max(aRequest.mLevel.mWeight, kMinWeight);
+    workspace.mServed = std::max(workspace.mServed, mVirtualTime);
     mWaitingWeight += workspace.mWeight;
   }
-  Enter(workspace, aRequest);
-  List(workspace);
+  AddTo(workspace, aRequest);
+  Enqueue(workspace);
   mByArrival.emplace(aRequest.mArrival, &aRequest);
 }
 
@@ -31,35 +31,35 @@
 ScheduleClass::Remove(const WaitingRequest& aRequest)
 {
   Workspace& workspace = WorkspaceOf(aRequest.mLevel);
-  Unlist(workspace);
-  Leave(workspace, aRequest);
+  Dequeue(workspace);
+  RemoveFrom(workspace, aRequest);
   if (workspace.IsIdle()) {
     mWaitingWeight -= workspace.mWeight;
   }
-  List(workspace);
+  Enqueue(workspace);
   mByArrival.erase(aRequest.mArrival);
-  ForgetIdle();
+  EraseIdle();
 }
 
 void
 ScheduleClass::MarkLate(WaitingRequest& aRequest)
 {
   Workspace& workspace = WorkspaceOf(aRequest.mLevel);
-  Unlist(workspace);
-  Leave(workspace, aRequest);
+  Dequeue(workspace);
+  RemoveFrom(workspace, aRequest);
   aRequest.mLate = true;
-  Enter(workspace, aRequest);
-  List(workspace);
+  AddTo(workspace, aRequest);
+  Enqueue(workspace);
 }
 
 const WaitingRequest*
 ScheduleClass::Next(bool aLate) const
 {
-  const ShareQueue& shares = mShares[aLate ? 1 : 0];
-  if (shares.empty()) {
+  const ShareQueue& fairQueue = mFairQueues[aLate ? 1 : 0];
+  if (fairQueue.empty()) {
     return nullptr;
   }
-  return *(*shares.begin())->mLanes[aLate ? 1 : 0].begin();
+  return *(*fairQueue.begin())->mQueues[aLate ? 1 : 0].begin();
 }
 
 const WaitingRequest*
@@ -83,13 +83,13 @@
     return;
   }
   Workspace& workspace = found->second;
-  Unlist(workspace);
+  Dequeue(workspace);
   if (aTokens > 0) {
-    mClock = std::max(mClock, workspace.mServed);
+    mVirtualTime = std::max(mVirtualTime, workspace.mServed);
   }
   workspace.mServed += static_cast<double>(aTokens) / workspace.mWeight;
-  List(workspace);
-  ForgetIdle();
+  Enqueue(workspace);
+  EraseIdle();
 }
 
 uint64_t
@@ -104,7 +104,7 @@
   const auto& [ownOnTime, ownLate] = found->second.mTokens;
   const uint64_t own = ownOnTime + (aLate ? ownLate : 0);
   const uint64_t all = mTokens[0] + (aLate ? mTokens[1] : 0);
-  const double weight = std::max(aWeight, kLeastWeight);
+  const double weight = std::max(aWeight, kMinWeight);
   const double rounds = std::max(1.0, mWaitingWeight / weight);
   const double fair = static_cast<double>(own) * rounds;
   return std::min(all, static_cast<uint64_t>(std::llround(fair)));
@@ -113,36 +113,36 @@
 ScheduleClass::Workspace&
 ScheduleClass::WorkspaceOf(const ServiceLevel& aLevel)
 {
-  const auto [found, fresh] = mWorkspaces.try_emplace(aLevel.mWorkspace);
-  if (fresh) {
+  const auto [found, inserted] = mWorkspaces.try_emplace(aLevel.mWorkspace);
+  if (inserted) {
     found->second.mName = &found->first;
-    found->second.mOrder = mWorkspacesSeen++;
+    found->second.mOrder = mNextOrder++;
   }
   return found->second;
 }
 
 void
-ScheduleClass::Enter(Workspace& aWorkspace, const WaitingRequest& aRequest)
+ScheduleClass::AddTo(Workspace& aWorkspace, const WaitingRequest& aRequest)
 {
-  aWorkspace.mLanes[aRequest.mLate ? 1 : 0].insert(&aRequest);
+  aWorkspace.mQueues[aRequest.mLate ? 1 : 0].insert(&aRequest);
   aWorkspace.mTokens[aRequest.mLate ? 1 : 0] += aRequest.mTokens;
   mTokens[aRequest.mLate ? 1 : 0] += aRequest.mTokens;
 }
 
 void
-ScheduleClass::Leave(Workspace& aWorkspace, const WaitingRequest& aRequest)
+ScheduleClass::RemoveFrom(Workspace& aWorkspace, const WaitingRequest& aRequest)
 {
-  aWorkspace.mLanes[aRequest.mLate ? 1 : 0].erase(&aRequest);
+  aWorkspace.mQueues[aRequest.mLate ? 1 : 0].erase(&aRequest);
   aWorkspace.mTokens[aRequest.mLate ? 1 : 0] -= aRequest.mTokens;
   mTokens[aRequest.mLate ? 1 : 0] -= aRequest.mTokens;
 }
 
 void
-ScheduleClass::Unlist(Workspace& aWorkspace)
+ScheduleClass::Dequeue(Workspace& aWorkspace)
 {
-  for (size_t lane = 0; lane < mShares.size(); ++lane) {
-    if (!aWorkspace.mLanes[lane].empty()) {
-      mShares[lane].erase(&aWorkspace);
+  for (size_t queue = 0; queue < mFairQueues.size(); ++queue) {
+    if (!aWorkspace.mQueues[queue].empty()) {
+      mFairQueues[queue].erase(&aWorkspace);
     }
   }
   if (aWorkspace.IsIdle()) {
@@ -151,11 +151,11 @@
 }
 
 void
-ScheduleClass::List(Workspace& aWorkspace)
+ScheduleClass::Enqueue(Workspace& aWorkspace)
 {
-  for (size_t lane = 0; lane < mShares.size(); ++lane) {
-    if (!aWorkspace.mLanes[lane].empty()) {
-      mShares[lane].insert(&aWorkspace);
+  for (size_t queue = 0; queue < mFairQueues.size(); ++queue) {
+    if (!aWorkspace.mQueues[queue].empty()) {
+      mFairQueues[queue].insert(&aWorkspace);
     }
   }
   if (aWorkspace.IsIdle()) {
@@ -164,9 +164,9 @@
 }
 
 void
-ScheduleClass::ForgetIdle()
+ScheduleClass::EraseIdle()
 {
-  while (!mIdle.empty() && (*mIdle.begin())->mServed <= mClock) {
+  while (!mIdle.empty() && (*mIdle.begin())->mServed <= mVirtualTime) {
     const std::string name = *(*mIdle.begin())->mName;
     mIdle.erase(mIdle.begin());
     mWorkspaces.erase(name);
--- a/src/libtrefoilarch/scheduleclass.h
+++ b/src/libtrefoilarch/scheduleclass.h
@@ -50,9 +50,9 @@
   /** Tokens of its floor starts in flight. */
   uint64_t mFloorTokens = 0;
   /** The count of regular starts at which a floor turn falls due. */
-  uint64_t mFloorStart = 0;
+  uint64_t mFloorDueAt = 0;
   /** Since when it has waited without a start. */
-  Millis mSince;
+  Millis mWaitingSince;
 
 private:
   struct Workspace
@@ -63,9 +63,9 @@
     /** Tokens had for the weight, on the class's virtual clock. */
     double mServed = 0;
     std::array<uint64_t, 2> mTokens{};
-    std::array<UrgencyQueue, 2> mLanes{}; /**< on time, late */
+    std::array<UrgencyQueue, 2> mQueues{}; /**< on time, late */
 
-    bool IsIdle() const { return mLanes[0].empty() && mLanes[1].empty(); }
+    bool IsIdle() const { return mQueues[0].empty() && mQueues[1].empty(); }
   };
 
   struct ByShare
@@ -79,23 +79,23 @@
   using ShareQueue = std::set<Workspace*, ByShare>;
 
   Workspace& WorkspaceOf(const ServiceLevel& aLevel);
-  void Enter(Workspace& aWorkspace, const WaitingRequest& aRequest);
-  void Leave(Workspace& aWorkspace, const WaitingRequest& aRequest);
+  void AddTo(Workspace& aWorkspace, const WaitingRequest& aRequest);
+  void RemoveFrom(Workspace& aWorkspace, const WaitingRequest& aRequest);
   /** Takes the workspace out of, or puts it into, each queue it belongs to. */
-  void Unlist(Workspace& aWorkspace);
-  void List(Workspace& aWorkspace);
-  void ForgetIdle();
+  void Dequeue(Workspace& aWorkspace);
+  void Enqueue(Workspace& aWorkspace);
+  void EraseIdle();
 
   std::unordered_map<std::string, Workspace> mWorkspaces;
   /** Workspaces with requests in the lane, the one owed most first. */
-  std::array<ShareQueue, 2> mShares;
+  std::array<ShareQueue, 2> mFairQueues;
   /** Workspaces without requests that have had more than their share. */
   ShareQueue mIdle;
   std::map<uint64_t, const WaitingRequest*> mByArrival;
-  double mClock = 0;
+  double mVirtualTime = 0;
   double mWaitingWeight = 0;
   std::array<uint64_t, 2> mTokens{};
-  uint64_t mWorkspacesSeen = 0;
+  uint64_t mNextOrder = 0;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/servicerate.cpp
+++ b/src/libtrefoilarch/servicerate.cpp
@@ -8,104 +8,111 @@
 namespace {
 
 /** Weight of a new sample among the ones before. */
-constexpr double kGain = 0.1;
+constexpr double kSampleWeight = 0.1;
 
 /** Time constant over which the tiers' use is measured. */
-constexpr double kFlowSpan = 3000;
+constexpr double kRateTimeConstant = 3000;
 
 /** Prompts of this many tokens and more cost time by their length. */
 constexpr uint32_t kLongPrompt = 512;
 
 /** Requests have waited without a break if they were seen to this often, and
  * for this long before the rate of starts is taken for the capacity. */
-constexpr Millis kBlockedGap{ 300 };
-constexpr Millis kBlockedSpan{ 1500 };
+constexpr Millis kMaxBlockedGap{ 300 };
+constexpr Millis kMinBlockedDuration{ 1500 };
 
 /** A time between tokens that is older says nothing of now. */
-constexpr Millis kBetweenSpan{ 2000 };
+constexpr Millis kBetweenTokensMaxAge{ 2000 };
 
 /** The best time grows by this with each sample, until it is met again. */
-constexpr double kForget = 1.01;
+constexpr double kBestSlopeGrowth = 1.01;
 
 double
 Blend(double aOld, double aSample)
 {
-  return aOld + (aSample - aOld) * kGain;
+  return aOld + (aSample - aOld) * kSampleWeight;
 }
 
 } // namespace
 
 void
-ServiceRate::Flow::Add(double aTokens, Millis aNow)
+ServiceRate::DecayingRate::Add(double aTokens, Millis aNow)
 {
-  mTokens = Rate(aNow) * kFlowSpan + aTokens;
-  mAt = aNow;
+  mTokens = Rate(aNow) * kRateTimeConstant + aTokens;
+  mUpdatedAt = aNow;
 }
 
 double
-ServiceRate::Flow::Rate(Millis aNow) const
+ServiceRate::DecayingRate::Rate(Millis aNow) const
 {
-  const auto age = static_cast<double>((aNow - mAt).Count());
-  return mTokens * std::exp(-age / kFlowSpan) / kFlowSpan;
+  const auto age = static_cast<double>((aNow - mUpdatedAt).Count());
+  return mTokens * std::exp(-age / kRateTimeConstant) / kRateTimeConstant;
 }
 
 void
-ServiceRate::OnFirstToken(uint32_t aPromptTokens, uint64_t aAhead, Millis aSpan)
+ServiceRate::OnFirstToken(uint32_t aPromptTokens,
+                          uint64_t aPrefillTokens,
+                          Millis aDuration)
 {
-  const auto span = static_cast<double>(aSpan.Count());
-  if (aAhead >= kLongPrompt) {
-    const double whole = span / static_cast<double>(aAhead);
-    mBestSlope = mBestSlope > 0 ? std::min(whole, mBestSlope * kForget) : whole;
+  const auto duration = static_cast<double>(aDuration.Count());
+  if (aPrefillTokens >= kLongPrompt) {
+    const double slopeOfAll = duration / static_cast<double>(aPrefillTokens);
+    mBestSlope = mBestSlope > 0
+                   ? std::min(slopeOfAll, mBestSlope * kBestSlopeGrowth)
+                   : slopeOfAll;
   }
   if (aPromptTokens >= kLongPrompt) {
-    const double slope = std::max(0.0, span - mFirstTokenBase) / aPromptTokens;
+    const double slope =
+      std::max(0.0, duration - mFirstTokenBase) / aPromptTokens;
     mFirstTokenSlope = Blend(mFirstTokenSlope, slope);
     return;
   }
-  mFirstTokenBase = mFirstTokenSeen ? Blend(mFirstTokenBase, span) : span;
+  mFirstTokenBase =
+    mFirstTokenSeen ? Blend(mFirstTokenBase, duration) : duration;
   mFirstTokenSeen = true;
 }
 
 void
-ServiceRate::OnTokens(uint32_t aTokens, Millis aSpan, Millis aNow)
+ServiceRate::OnTokens(uint32_t aTokens, Millis aDuration, Millis aNow)
 {
   if (aTokens == 0) {
     return;
   }
-  const double sample = static_cast<double>(aSpan.Count()) / aTokens;
-  mBetween = mBetween > 0 ? Blend(mBetween, sample) : sample;
-  mBetweenAt = aNow;
+  const double sample = static_cast<double>(aDuration.Count()) / aTokens;
+  mBetweenTokens = mBetweenTokens > 0 ? Blend(mBetweenTokens, sample) : sample;
+  mBetweenTokensAt = aNow;
 }
 
 double
 ServiceRate::BetweenTokens(Millis aNow) const
 {
-  return aNow <= mBetweenAt + kBetweenSpan ? mBetween : 0;
+  return aNow <= mBetweenTokensAt + kBetweenTokensMaxAge ? mBetweenTokens : 0;
 }
 
 void
-ServiceRate::OnEnded(uint64_t aTokens, uint64_t aOutput, Millis aSpan)
+ServiceRate::OnEnded(uint64_t aTokens, uint64_t aOutput, Millis aDuration)
 {
   const auto tokens = static_cast<double>(std::max<uint64_t>(aTokens, 1));
-  const auto span = static_cast<double>(std::max(aSpan, Millis(1)).Count());
-  const double keep = 1 - kGain;
-  mTokenTime = mTokenTime * keep + tokens * span;
+  const auto duration =
+    static_cast<double>(std::max(aDuration, Millis(1)).Count());
+  const double keep = 1 - kSampleWeight;
+  mTokenTime = mTokenTime * keep + tokens * duration;
   mTokens = mTokens * keep + tokens;
   mRequests = mRequests * keep + 1;
-  mOutput = Blend(mOutput, static_cast<double>(aOutput));
+  mMeanOutput = Blend(mMeanOutput, static_cast<double>(aOutput));
 }
 
 void
-ServiceRate::OnTurn(Tier aTier, bool aLate, uint64_t aTokens, Millis aNow)
+ServiceRate::OnDispatched(Tier aTier, bool aLate, uint64_t aTokens, Millis aNow)
 {
   const Tier tier = std::min<Tier>(aTier, kTierCount - 1);
-  mFlows[tier][aLate ? 1 : 0].Add(static_cast<double>(aTokens), aNow);
+  mTierRates[tier][aLate ? 1 : 0].Add(static_cast<double>(aTokens), aNow);
 }
 
 void
 ServiceRate::OnBlocked(Millis aNow)
 {
-  if (aNow > mBlockedAt + kBlockedGap) {
+  if (aNow > mBlockedAt + kMaxBlockedGap) {
     mBlockedSince = aNow;
   }
   mBlockedAt = aNow;
@@ -114,8 +121,8 @@
 double
 ServiceRate::Capacity(uint64_t aLimit, Millis aNow) const
 {
-  const bool blocked = aNow <= mBlockedAt + kBlockedGap &&
-                       mBlockedAt >= mBlockedSince + kBlockedSpan;
+  const bool blocked = aNow <= mBlockedAt + kMaxBlockedGap &&
+                       mBlockedAt >= mBlockedSince + kMinBlockedDuration;
   if (mTokenTime <= 0) {
     return 0;
   }
@@ -123,24 +130,27 @@
     return static_cast<double>(aLimit) * mTokens / mTokenTime;
   }
   double rate = 0;
-  for (const auto& [onTime, late] : mFlows) {
+  for (const auto& [onTime, late] : mTierRates) {
     rate += onTime.Rate(aNow) + late.Rate(aNow);
   }
   return rate;
 }
 
 double
-ServiceRate::Drain(Tier aTier, bool aLate, uint64_t aLimit, Millis aNow) const
+ServiceRate::DrainRate(Tier aTier,
+                       bool aLate,
+                       uint64_t aLimit,
+                       Millis aNow) const
 {
   const Tier own = std::min<Tier>(aTier, kTierCount - 1);
-  double left = Capacity(aLimit, aNow);
+  double rate = Capacity(aLimit, aNow);
   for (Tier tier = 0; tier < own; ++tier) {
-    left -= mFlows[tier][0].Rate(aNow) + mFlows[tier][1].Rate(aNow);
+    rate -= mTierRates[tier][0].Rate(aNow) + mTierRates[tier][1].Rate(aNow);
   }
   if (aLate) {
-    left -= mFlows[own][0].Rate(aNow);
+    rate -= mTierRates[own][0].Rate(aNow);
   }
-  return std::max(left, 0.0);
+  return std::max(rate, 0.0);
 }
 
 double
@@ -163,9 +173,9 @@
 }
 
 Millis
-ServiceRate::LeastTime(uint32_t aPromptTokens, uint32_t aOutputTokens) const
+ServiceRate::MinDuration(uint32_t aPromptTokens, uint32_t aOutputTokens) const
 {
-  const double output = mBetween * aOutputTokens / 2;
+  const double output = mBetweenTokens * aOutputTokens / 2;
   return FirstTokenTime(aPromptTokens) + Millis(static_cast<int64_t>(output));
 }
 
--- a/src/libtrefoilarch/shedorder.cpp
+++ b/src/libtrefoilarch/shedorder.cpp
@@ -8,8 +8,8 @@
 ShedOrder::Add(const RequestId& aId, Tier aTier)
 {
   const Tier tier = std::min<Tier>(aTier, kTierCount - 1);
-  const auto [place, added] =
-    mPlaces.try_emplace(aId, Place{ tier, mNextNumber });
+  const auto [position, added] =
+    mPositions.try_emplace(aId, Position{ tier, mNextNumber });
   if (added) {
     mTiers.at(tier).emplace(mNextNumber++, aId);
   }
@@ -18,12 +18,12 @@
 void
 ShedOrder::Remove(const RequestId& aId)
 {
-  const auto place = mPlaces.find(aId);
-  if (place == mPlaces.end()) {
+  const auto position = mPositions.find(aId);
+  if (position == mPositions.end()) {
     return;
   }
-  mTiers.at(place->second.mTier).erase(place->second.mNumber);
-  mPlaces.erase(place);
+  mTiers.at(position->second.mTier).erase(position->second.mNumber);
+  mPositions.erase(position);
 }
 
 std::optional<RequestId>
--- a/src/libtrefoilarch/shedorder.h
+++ b/src/libtrefoilarch/shedorder.h
@@ -24,14 +24,14 @@
   std::optional<RequestId> FirstBelow(Tier aTier) const;
 
 private:
-  struct Place
+  struct Position
   {
     Tier mTier = 0;
     uint64_t mNumber = 0;
   };
 
   std::array<std::map<uint64_t, RequestId>, kTierCount> mTiers;
-  std::unordered_map<RequestId, Place> mPlaces;
+  std::unordered_map<RequestId, Position> mPositions;
   uint64_t mNextNumber = 0;
 };
 
--- a/src/libtrefoilarch/sidecarattempt.h
+++ b/src/libtrefoilarch/sidecarattempt.h
@@ -23,7 +23,7 @@
   Millis mStartedAt{};
   Millis mLastTokenAt{};
   /** Output tokens so far. */
-  uint64_t mOutput = 0;
+  uint64_t mGeneratedTokens = 0;
   /** Room taken; it grows when the answer outruns its estimate. */
   CapacityShare mShare{};
   /** Of a floor start: what the Schedule counted it with. */
@@ -32,9 +32,9 @@
   uint64_t mPrefillAhead = 0;
   /** Whether chunks go out as they come; after a new channel, not until
    * Resume says where to go on. */
-  bool mFlowing = true;
+  bool mForwarding = true;
   /** The upstream's head has come and waits for the first data. */
-  bool mHeadWaits = false;
+  bool mHeadPending = false;
   int32_t mStatus = 0;
   Headers mHeaders{};
   AnswerBuffer mAnswer{};
@@ -45,7 +45,7 @@
   {
     return mState == AttemptState::Finished || mState == AttemptState::Failed;
   }
-  bool HoldsRoom() const
+  bool HoldsCapacity() const
   {
     return mState == AttemptState::Granted || mState == AttemptState::Running;
   }
--- a/src/libtrefoilarch/sidecarcalls.cpp
+++ b/src/libtrefoilarch/sidecarcalls.cpp
@@ -10,25 +10,25 @@
 
 /** Allowed times are these parts of the targets, since a target holds for
  * nearly all tokens and the limit follows the mean. */
-constexpr int64_t kFirstPart = 3;
-constexpr int64_t kBetweenPart = 9;
-constexpr int64_t kWholeParts = 10;
+constexpr int64_t kFirstTokenTenths = 3;
+constexpr int64_t kBetweenTokensTenths = 9;
+constexpr int64_t kTenths = 10;
 /** A long prompt may take this many times what it took at best. */
-constexpr int64_t kOwnFactor = 2;
+constexpr int64_t kPrefillTolerance = 2;
 /** Only classes within this multiple of the strictest target have a say in
  * how long a first token may take. */
-constexpr int64_t kNearlyStrict = 2;
+constexpr int64_t kStrictTargetFactor = 2;
 
 /** An answer that outruns its estimate is taken to go on for this part of
  * what it has. */
-constexpr uint64_t kOutrunPart = 2;
-constexpr uint64_t kLeastGrowth = 16;
+constexpr uint64_t kGrowthDivisor = 2;
+constexpr uint64_t kMinGrowth = 16;
 
 /** Such an attempt is remembered as voided: it did not run and will not. */
 bool
-NeverRan(const FinalMessage& aWord)
+NeverRan(const FinalMessage& aMessage)
 {
-  const auto* failed = std::get_if<Failed>(&aWord);
+  const auto* failed = std::get_if<Failed>(&aMessage);
   return failed && failed->mRan == Ran::No;
 }
 
@@ -37,7 +37,7 @@
 void
 SidecarCore::Impl::OnCall(CallEvent aEvent)
 {
-  std::visit([&](auto& aAny) { Handle(aAny); }, aEvent);
+  std::visit([&](auto& aTyped) { Handle(aTyped); }, aEvent);
 }
 
 void
@@ -47,7 +47,7 @@
   if (!attempt) {
     return;
   }
-  attempt->mHeadWaits = true;
+  attempt->mHeadPending = true;
   attempt->mStatus = aHead.mStatus;
   attempt->mHeaders = std::move(aHead.mHeaders);
 }
@@ -65,12 +65,12 @@
   }
   mCapacity.OnReached();
   mPreemption.Remove(aData.mKey);
-  Measure(*attempt, aData.mTokens);
+  MeasureTokens(*attempt, aData.mTokens);
   AppendChunk(*attempt, std::move(aData.mData), aData.mTokens);
 }
 
 void
-SidecarCore::Impl::Measure(SidecarAttempt& aAttempt, uint32_t aTokens)
+SidecarCore::Impl::MeasureTokens(SidecarAttempt& aAttempt, uint32_t aTokens)
 {
   if (mOptions.mTokenStream && aTokens == 0) {
     return;
@@ -81,56 +81,60 @@
     prefilled.mPrefill = 0;
     ChangeShare(aAttempt, prefilled);
   } else if (mOptions.mTokenStream) {
-    MeasureBetween(aAttempt, aTokens);
+    MeasureBetweenTokens(aAttempt, aTokens);
   }
   aAttempt.mLastTokenAt = mNow;
-  aAttempt.mOutput += aTokens;
-  GrowIfOutrun(aAttempt);
+  aAttempt.mGeneratedTokens += aTokens;
+  GrowIfUnderestimated(aAttempt);
   mCapacity.Adapt(mNow);
 }
 
 void
 SidecarCore::Impl::MeasureFirstToken(const SidecarAttempt& aAttempt,
-                                     Millis aSpan)
+                                     Millis aDuration)
 {
   const Offer& offer = aAttempt.mOffer;
-  mRate.OnFirstToken(offer.mPromptTokens, aAttempt.mPrefillAhead, aSpan);
-  const Millis strictest = mStrictFirst.Value();
-  if (offer.mLevel.mFirstTokenTarget > strictest * kNearlyStrict) {
+  mRate.OnFirstToken(offer.mPromptTokens, aAttempt.mPrefillAhead, aDuration);
+  const Millis strictest = mStrictestFirstToken.Value();
+  if (offer.mLevel.mFirstTokenTarget > strictest * kStrictTargetFactor) {
     return;
   }
-  const Millis own = mRate.BestPrefillTime(offer.mPromptTokens) * kOwnFactor;
-  const Millis part =
-    mOptions.mTokenStream ? strictest * kFirstPart / kWholeParts : strictest;
-  const auto allowed =
-    static_cast<double>(std::max({ part, own, Millis(1) }).Count());
+  const Millis ownPrefill =
+    mRate.BestPrefillTime(offer.mPromptTokens) * kPrefillTolerance;
+  const Millis targetPart =
+    mOptions.mTokenStream ? strictest * kFirstTokenTenths / kTenths : strictest;
+  const auto allowed = static_cast<double>(
+    std::max({ targetPart, ownPrefill, Millis(1) }).Count());
   const Millis prefill = mRate.BestPrefillTime(aAttempt.mPrefillAhead);
   const Millis step(std::llround(mRate.BetweenTokens(mNow)));
-  mCapacity.OnFirstToken(static_cast<double>(aSpan.Count()) / allowed,
-                         aSpan <= prefill * kOwnFactor + step);
+  mCapacity.OnFirstToken(static_cast<double>(aDuration.Count()) / allowed,
+                         aDuration <= prefill * kPrefillTolerance + step);
 }
 
 void
-SidecarCore::Impl::MeasureBetween(const SidecarAttempt& aAttempt,
-                                  uint32_t aTokens)
+SidecarCore::Impl::MeasureBetweenTokens(const SidecarAttempt& aAttempt,
+                                        uint32_t aTokens)
 {
-  const Millis span = mNow - aAttempt.mLastTokenAt;
-  const Millis target = mStrictBetween.Value() * kBetweenPart / kWholeParts;
+  const Millis duration = mNow - aAttempt.mLastTokenAt;
+  const Millis target =
+    mStrictestBetweenTokens.Value() * kBetweenTokensTenths / kTenths;
   const Millis allowed = std::max(target, Millis(1)) * aTokens;
-  mRate.OnTokens(aTokens, span, mNow);
-  mCapacity.OnBetweenTokens(static_cast<double>(span.Count()) /
+  mRate.OnTokens(aTokens, duration, mNow);
+  mCapacity.OnBetweenTokens(static_cast<double>(duration.Count()) /
                               static_cast<double>(allowed.Count()),
                             aTokens);
 }
 
 void
-SidecarCore::Impl::GrowIfOutrun(SidecarAttempt& aAttempt)
+SidecarCore::Impl::GrowIfUnderestimated(SidecarAttempt& aAttempt)
 {
-  const uint64_t used = aAttempt.mOffer.mPromptTokens + aAttempt.mOutput;
+  const uint64_t used =
+    aAttempt.mOffer.mPromptTokens + aAttempt.mGeneratedTokens;
   if (!mOptions.mTokenStream || used <= aAttempt.mShare.mTokens) {
     return;
   }
-  const uint64_t more = std::max(aAttempt.mOutput / kOutrunPart, kLeastGrowth);
+  const uint64_t more =
+    std::max(aAttempt.mGeneratedTokens / kGrowthDivisor, kMinGrowth);
   CapacityShare grown = aAttempt.mShare;
   grown.mTokens = used + more;
   mSchedule.Adjust(
@@ -160,11 +164,11 @@
   if (aAttempt.mAnswer.Count() == 0) {
     chunk.mStatus = aAttempt.mStatus;
     chunk.mHeaders = std::move(aAttempt.mHeaders);
-    aAttempt.mHeadWaits = false;
+    aAttempt.mHeadPending = false;
   }
-  const Chunk& kept = aAttempt.mAnswer.Append(std::move(chunk));
-  if (aAttempt.mFlowing) {
-    Send(aAttempt.mEntry, kept);
+  const Chunk& appended = aAttempt.mAnswer.Append(std::move(chunk));
+  if (aAttempt.mForwarding) {
+    Send(aAttempt.mEntry, appended);
   }
 }
 
@@ -175,7 +179,7 @@
   if (!attempt) {
     return;
   }
-  if (attempt->mHeadWaits) {
+  if (attempt->mHeadPending) {
     AppendChunk(*attempt, {}, 0);
   }
   ++mCounters.mFinished;
@@ -223,20 +227,20 @@
 
 void
 SidecarCore::Impl::EndRunning(SidecarAttempt& aAttempt,
-                              const FinalMessage& aWord)
+                              const FinalMessage& aMessage)
 {
-  const uint64_t used = mOptions.mTokenStream
-                          ? aAttempt.mOffer.mPromptTokens + aAttempt.mOutput
-                          : 1;
+  const uint64_t used = mOptions.mTokenStream ? aAttempt.mOffer.mPromptTokens +
+                                                  aAttempt.mGeneratedTokens
+                                              : 1;
   if (aAttempt.mState == AttemptState::Finished) {
-    mRate.OnEnded(used, aAttempt.mOutput, mNow - aAttempt.mStartedAt);
+    mRate.OnEnded(used, aAttempt.mGeneratedTokens, mNow - aAttempt.mStartedAt);
   }
-  ReleaseRoom(aAttempt, used);
-  aAttempt.mFinalMessage = aWord;
+  ReleaseCapacity(aAttempt, used);
+  aAttempt.mFinalMessage = aMessage;
   const AttemptKey key = aAttempt.mOffer.mKey;
-  mLedger.Close(key, NeverRan(aWord) ? FinalMessage() : aWord, mNow);
-  if (aAttempt.mFlowing) {
-    SendFinalWord(aAttempt.mEntry, aAttempt.mFinalMessage);
+  mLedger.Close(key, NeverRan(aMessage) ? FinalMessage() : aMessage, mNow);
+  if (aAttempt.mForwarding) {
+    SendFinalMessage(aAttempt.mEntry, aAttempt.mFinalMessage);
   }
   if (aAttempt.mState == AttemptState::Failed) {
     return Erase(key);
@@ -245,13 +249,13 @@
 }
 
 void
-SidecarCore::Impl::SendFinalWord(const EntryId& aEntry,
-                                 const FinalMessage& aWord)
+SidecarCore::Impl::SendFinalMessage(const EntryId& aEntry,
+                                    const FinalMessage& aMessage)
 {
-  if (const auto* finished = std::get_if<Finished>(&aWord)) {
+  if (const auto* finished = std::get_if<Finished>(&aMessage)) {
     Send(aEntry, *finished);
   }
-  if (const auto* failed = std::get_if<Failed>(&aWord)) {
+  if (const auto* failed = std::get_if<Failed>(&aMessage)) {
     Send(aEntry, *failed);
   }
 }
--- a/src/libtrefoilarch/sidecardump.cpp
+++ b/src/libtrefoilarch/sidecardump.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /** A dump lists so many attempts at most; the counts cover all. */
-constexpr size_t kMostListed = 200;
+constexpr size_t kMaxDumpedAttempts = 200;
 
 const char*
 Name(AttemptState aState)
@@ -47,7 +47,7 @@
            { "age_ms", (aNow - aAttempt.mArrivedAt).Count() },
            { "deadline_in_ms", (aAttempt.mDeadlineAt - aNow).Count() },
            { "tokens", aAttempt.mShare.mTokens },
-           { "floor_start", aAttempt.mShare.mBeside },
+           { "floor_start", aAttempt.mShare.mOutsideLimit },
            { "chunks", aAttempt.mAnswer.Count() },
            { "unacknowledged_bytes", aAttempt.mAnswer.Bytes() } };
 }
@@ -69,7 +69,7 @@
            { "late_starts", aCounters.mLateStarts },
            { "stray_events", aCounters.mStrayEvents },
            { "silent_entries", aCounters.mSilences },
-           { "foreign_messages", aCounters.mForeign } };
+           { "foreign_messages", aCounters.mForeignMessages } };
 }
 
 } // namespace
@@ -90,7 +90,7 @@
 {
   nlohmann::json attempts = nlohmann::json::array();
   for (const auto& [key, attempt] : mAttempts) {
-    if (attempts.size() == kMostListed) {
+    if (attempts.size() == kMaxDumpedAttempts) {
       break;
     }
     attempts.push_back(Dump(attempt, aNow));
--- a/src/libtrefoilarch/sidecarimpl.cpp
+++ b/src/libtrefoilarch/sidecarimpl.cpp
@@ -9,18 +9,18 @@
 
 /** Parts of the first limit that the room never falls below. The calls of a
  * service differ by their nature, so slow ones say less of its load. */
-constexpr uint64_t kLeastTokenPart = 32;
-constexpr size_t kLeastCallPart = 4;
+constexpr uint64_t kMinTokenDivisor = 32;
+constexpr size_t kMinCallDivisor = 4;
 
 UpstreamCapacityOptions
-RoomOptionsFrom(const SidecarOptions& aOptions)
+CapacityOptionsFrom(const SidecarOptions& aOptions)
 {
   const size_t calls = aOptions.mMaxRunning;
   const bool tokens = aOptions.mTokenStream;
   return { .mInitialLimit = tokens ? aOptions.mInitialTokenCapacity : calls,
            .mMinLimit = tokens
-                          ? aOptions.mInitialTokenCapacity / kLeastTokenPart
-                          : calls / kLeastCallPart,
+                          ? aOptions.mInitialTokenCapacity / kMinTokenDivisor
+                          : calls / kMinCallDivisor,
            .mMaxLimit = tokens ? aOptions.mMaxTokenCapacity : calls,
            .mMaxRunning = calls };
 }
@@ -32,7 +32,7 @@
   , mLedger({ .mRetention = mOptions.mLedgerRetention,
               .mLimit = mOptions.mLedgerLimit })
   , mSchedule({ .mFloorStartDelay = mOptions.mFloorStartDelay })
-  , mCapacity(RoomOptionsFrom(mOptions))
+  , mCapacity(CapacityOptionsFrom(mOptions))
   , mAdmission(mSchedule, mCapacity, mRate, mOptions.mSeed)
 {
 }
@@ -46,7 +46,7 @@
 SidecarActions
 SidecarCore::Impl::Finish()
 {
-  GiveUpLate();
+  GiveUpLateRequests();
   GrantWhatFits();
   return std::exchange(mActions, {});
 }
@@ -54,35 +54,36 @@
 void
 SidecarCore::Impl::OnMessage(const EntryId& aEntry, EntryMessage aMessage)
 {
-  if (!Hears(aEntry, aMessage)) {
+  if (!AcceptMessage(aEntry, aMessage)) {
     return;
   }
   std::visit(
-    [&](auto& aAny) {
-      if constexpr (requires { aAny.mKey; }) {
-        if (!MayTouch(aEntry, aAny)) {
+    [&](auto& aTyped) {
+      if constexpr (requires { aTyped.mKey; }) {
+        if (!MayAccess(aEntry, aTyped)) {
           return;
         }
       }
-      Handle(aEntry, aAny);
+      Handle(aEntry, aTyped);
     },
     aMessage);
 }
 
 bool
-SidecarCore::Impl::Hears(const EntryId& aEntry, const EntryMessage& aMessage)
+SidecarCore::Impl::AcceptMessage(const EntryId& aEntry,
+                                 const EntryMessage& aMessage)
 {
   const auto found = mEntries.find(aEntry);
   if (found == mEntries.end()) {
     return true;
   }
-  found->second.mHeard = mNow;
+  found->second.mLastReceivedAt = mNow;
   return !found->second.mSilenced || std::holds_alternative<Hello>(aMessage);
 }
 
 template<typename Message>
 bool
-SidecarCore::Impl::MayTouch(const EntryId& aEntry, const Message& aMessage)
+SidecarCore::Impl::MayAccess(const EntryId& aEntry, const Message& aMessage)
 {
   if constexpr (std::is_same_v<Message, VoidOrReport>) {
     return true;
@@ -91,7 +92,7 @@
   if (!attempt || attempt->mEntry == aEntry) {
     return true;
   }
-  ++mCounters.mForeign;
+  ++mCounters.mForeignMessages;
   return false;
 }
 
@@ -101,7 +102,7 @@
   OnEntryDown(aEntry);
   mEntries[aEntry].mConnected = true;
   mEntries[aEntry].mSilenced = false;
-  mEntries[aEntry].mHeard = mNow;
+  mEntries[aEntry].mLastReceivedAt = mNow;
   Send(aEntry,
        Welcome{ .mUpstream = mOptions.mUpstream,
                 .mIncarnation = mOptions.mIncarnation,
@@ -124,7 +125,7 @@
   const auto keys = found->second.mAttempts;
   for (const AttemptKey& key : keys) {
     SidecarAttempt& attempt = mAttempts.at(key);
-    attempt.mFlowing = false;
+    attempt.mForwarding = false;
     if (attempt.mState == AttemptState::Running) {
       ArmRunning(attempt);
     } else if (attempt.HasEnded()) {
@@ -133,11 +134,11 @@
       Void(attempt);
     }
   }
-  ForgetIfGone(aEntry);
+  EraseIfUnused(aEntry);
 }
 
 void
-SidecarCore::Impl::ForgetIfGone(const EntryId& aEntry)
+SidecarCore::Impl::EraseIfUnused(const EntryId& aEntry)
 {
   const auto found = mEntries.find(aEntry);
   if (found == mEntries.end()) {
@@ -165,22 +166,22 @@
 }
 
 void
-SidecarCore::Impl::Handle(const EntryId& aEntry, const VoidOrReport& aAsk)
+SidecarCore::Impl::Handle(const EntryId& aEntry, const VoidOrReport& aQuery)
 {
-  SidecarAttempt* attempt = Find(aAsk.mKey);
+  SidecarAttempt* attempt = Find(aQuery.mKey);
   if (!attempt) {
-    return AnswerFromLedger(aEntry, aAsk.mKey);
+    return AnswerFromLedger(aEntry, aQuery.mKey);
   }
   if (attempt->mState == AttemptState::Running || attempt->HasEnded()) {
     return Send(aEntry,
-                LedgerEntry{ .mKey = aAsk.mKey,
+                LedgerEntry{ .mKey = aQuery.mKey,
                              .mState = attempt->mState,
                              .mIncarnation = mOptions.mIncarnation });
   }
   const EntryId owner = attempt->mEntry;
   Void(*attempt);
   if (owner != aEntry) {
-    AnswerFromLedger(aEntry, aAsk.mKey);
+    AnswerFromLedger(aEntry, aQuery.mKey);
   }
 }
 
@@ -215,7 +216,7 @@
     Erase(aResume.mKey);
     return ResumeFromLedger(aEntry, aResume);
   }
-  attempt->mFlowing = true;
+  attempt->mForwarding = true;
   AnswerBuffer& answer = attempt->mAnswer;
   answer.Acknowledge(aResume.mNextChunk);
   for (uint64_t number = aResume.mNextChunk; number < answer.Count();
@@ -225,7 +226,7 @@
   if (attempt->mState == AttemptState::Running) {
     return ArmRunning(*attempt);
   }
-  SendFinalWord(aEntry, attempt->mFinalMessage);
+  SendFinalMessage(aEntry, attempt->mFinalMessage);
   ArmEnded(*attempt);
 }
 
@@ -233,9 +234,9 @@
 SidecarCore::Impl::ResumeFromLedger(const EntryId& aEntry,
                                     const Resume& aResume)
 {
-  const FinalMessage* word = mLedger.Find(aResume.mKey);
-  const auto* finished = word ? std::get_if<Finished>(word) : nullptr;
-  const auto* failed = word ? std::get_if<Failed>(word) : nullptr;
+  const FinalMessage* message = mLedger.Find(aResume.mKey);
+  const auto* finished = message ? std::get_if<Finished>(message) : nullptr;
+  const auto* failed = message ? std::get_if<Failed>(message) : nullptr;
   if (failed) {
     return Send(aEntry, *failed);
   }
@@ -261,18 +262,19 @@
 SidecarCore::Impl::AnswerFromLedger(const EntryId& aEntry,
                                     const AttemptKey& aKey)
 {
-  const FinalMessage* word = mLedger.Find(aKey);
-  const bool unknown = !word && mLedger.HasForgottenStarts();
-  if (!word && !unknown) {
+  const FinalMessage* message = mLedger.Find(aKey);
+  const bool unknown = !message && mLedger.HasForgottenStarts();
+  if (!message && !unknown) {
     mLedger.Close(aKey, {}, mNow);
   }
-  const bool started = word && !std::holds_alternative<std::monostate>(*word);
+  const bool started =
+    message && !std::holds_alternative<std::monostate>(*message);
   if (!unknown && !started) {
     ++mCounters.mVoided;
     return Send(aEntry,
                 Voided{ .mKey = aKey, .mIncarnation = mOptions.mIncarnation });
   }
-  const bool failed = word && std::holds_alternative<Failed>(*word);
+  const bool failed = message && std::holds_alternative<Failed>(*message);
   const AttemptState state = unknown  ? AttemptState::Unknown
                              : failed ? AttemptState::Failed
                                       : AttemptState::Finished;
@@ -288,8 +290,8 @@
   const AttemptKey key = aAttempt.mOffer.mKey;
   const EntryId entry = aAttempt.mEntry;
   mSchedule.Remove(key);
-  if (aAttempt.HoldsRoom()) {
-    ReleaseRoom(aAttempt, 0);
+  if (aAttempt.HoldsCapacity()) {
+    ReleaseCapacity(aAttempt, 0);
   }
   mLedger.Close(key, {}, mNow);
   Erase(key);
@@ -297,7 +299,7 @@
 }
 
 void
-SidecarCore::Impl::ReleaseRoom(SidecarAttempt& aAttempt, uint64_t aUsed)
+SidecarCore::Impl::ReleaseCapacity(SidecarAttempt& aAttempt, uint64_t aUsed)
 {
   const ServiceLevel& level = aAttempt.mOffer.mLevel;
   const auto used = static_cast<int64_t>(aUsed);
@@ -318,7 +320,7 @@
   mTimers.Disarm(aKey);
   mAttempts.erase(found);
   mEntries[entry].mAttempts.erase(aKey);
-  ForgetIfGone(entry);
+  EraseIfUnused(entry);
 }
 
 SidecarAttempt*
--- a/src/libtrefoilarch/sidecarimpl.h
+++ b/src/libtrefoilarch/sidecarimpl.h
@@ -31,10 +31,10 @@
   uint64_t mGivenUp = 0;     /**< declined, for their deadline can't be met */
   uint64_t mFloorStarts = 0; /**< granted beside the room */
   uint64_t mPreempted = 0;
-  uint64_t mLateStarts = 0;  /**< Starts that came after the grant's end */
-  uint64_t mStrayEvents = 0; /**< call events of attempts that are over */
-  uint64_t mSilences = 0;    /**< entries that fell silent */
-  uint64_t mForeign = 0;     /**< messages on another entry's attempt */
+  uint64_t mLateStarts = 0;      /**< Starts that came after the grant's end */
+  uint64_t mStrayEvents = 0;     /**< call events of attempts that are over */
+  uint64_t mSilences = 0;        /**< entries that fell silent */
+  uint64_t mForeignMessages = 0; /**< messages on another entry's attempt */
 };
 
 /**
@@ -70,7 +70,7 @@
     bool mConnected = false;
     /** It fell silent; nothing of it counts before its next Hello. */
     bool mSilenced = false;
-    Millis mHeard{};
+    Millis mLastReceivedAt{};
     std::unordered_set<AttemptKey> mAttempts;
   };
 
@@ -80,7 +80,7 @@
   void Handle(const EntryId& aEntry, Start& aStart);
   void Handle(const EntryId& aEntry, const Ack& aAck);
   void Handle(const EntryId& aEntry, const Resume& aResume);
-  void Handle(const EntryId& aEntry, const VoidOrReport& aAsk);
+  void Handle(const EntryId& aEntry, const VoidOrReport& aQuery);
   void Handle(const EntryId& aEntry, const EntryHeartbeat& aHeartbeat);
 
   void Handle(CallHead& aHead);
@@ -91,7 +91,7 @@
   SidecarAttempt* Find(const AttemptKey& aKey);
   /** Whether the message's attempt is the entry's own, or nobody's. */
   template<typename Message>
-  bool MayTouch(const EntryId& aEntry, const Message& aMessage);
+  bool MayAccess(const EntryId& aEntry, const Message& aMessage);
   SidecarAttempt* FindRunning(const AttemptKey& aKey);
 
   void RepeatOffer(SidecarAttempt& aAttempt);
@@ -103,42 +103,42 @@
   void DeclineWaiting(const AttemptKey& aKey,
                       ErrorKind aKind,
                       Millis aRetryAfter);
-  Prospect ProspectOf(const Offer& aOffer) const;
+  AdmissionRequest AdmissionRequestFor(const Offer& aOffer) const;
   CapacityShare ShareOf(const Offer& aOffer) const;
   void Enqueue(const EntryId& aEntry, const Offer& aOffer);
   /** Finds the offer a place in the queue; false if it has been declined. */
-  bool MakePlace(const EntryId& aEntry, const Offer& aOffer);
+  bool MakeQueueSpace(const EntryId& aEntry, const Offer& aOffer);
   /** Declines what has become late and can't meet its deadline either. */
-  void GiveUpLate();
+  void GiveUpLateRequests();
   /** Declines the waiting attempt if its deadline can't be met any more. */
-  void GiveUpIfHopeless(const AttemptKey& aKey);
+  void GiveUpIfUnmeetable(const AttemptKey& aKey);
   void GrantWhatFits();
-  void GrantRegularTurns();
-  void GrantFloorTurns();
-  void GrantNow(const Dispatch& aTurn);
+  void GrantRegularDispatches();
+  void GrantFloorDispatches();
+  void GrantNow(const Dispatch& aDispatch);
   /** Holds back a turn whose targets this upstream is too slow for, so that
    * another sidecar that it is offered to grants it; not for long, since the
    * others may be as slow. */
-  bool HoldsBack(const Dispatch& aTurn);
+  bool ShouldHoldBack(const Dispatch& aDispatch);
   /** Stops lower tiers' work if that saves the turn's first-token target. */
-  bool PreemptFor(const Dispatch& aTurn);
+  bool PreemptFor(const Dispatch& aDispatch);
   void SendGrant(const SidecarAttempt& aAttempt);
 
   /** Rules out that the attempt starts; it must not have started. */
   void Void(SidecarAttempt& aAttempt);
   void Cancel(SidecarAttempt& aAttempt, ErrorKind aKind);
-  void EndRunning(SidecarAttempt& aAttempt, const FinalMessage& aWord);
+  void EndRunning(SidecarAttempt& aAttempt, const FinalMessage& aMessage);
   void FailRunning(SidecarAttempt& aAttempt, ErrorKind aKind, Ran aRan);
   /** aUsed: the tokens that it really took. */
-  void ReleaseRoom(SidecarAttempt& aAttempt, uint64_t aUsed);
-  void Measure(SidecarAttempt& aAttempt, uint32_t aTokens);
-  void MeasureFirstToken(const SidecarAttempt& aAttempt, Millis aSpan);
-  void MeasureBetween(const SidecarAttempt& aAttempt, uint32_t aTokens);
-  void GrowIfOutrun(SidecarAttempt& aAttempt);
+  void ReleaseCapacity(SidecarAttempt& aAttempt, uint64_t aUsed);
+  void MeasureTokens(SidecarAttempt& aAttempt, uint32_t aTokens);
+  void MeasureFirstToken(const SidecarAttempt& aAttempt, Millis aDuration);
+  void MeasureBetweenTokens(const SidecarAttempt& aAttempt, uint32_t aTokens);
+  void GrowIfUnderestimated(SidecarAttempt& aAttempt);
   /** Takes another share of the room in place of the present one. */
   void ChangeShare(SidecarAttempt& aAttempt, const CapacityShare& aShare);
   void Erase(const AttemptKey& aKey);
-  void ForgetIfGone(const EntryId& aEntry);
+  void EraseIfUnused(const EntryId& aEntry);
 
   /** Answers on a key that has no live attempt. */
   void AnswerFromLedger(const EntryId& aEntry, const AttemptKey& aKey);
@@ -146,7 +146,7 @@
   void AppendChunk(SidecarAttempt& aAttempt,
                    std::string aData,
                    uint32_t aTokens);
-  void SendFinalWord(const EntryId& aEntry, const FinalMessage& aWord);
+  void SendFinalMessage(const EntryId& aEntry, const FinalMessage& aMessage);
   void Send(const EntryId& aEntry, SidecarMessage aMessage);
 
   void OnTimer(SidecarAttempt& aAttempt);
@@ -155,9 +155,9 @@
   void SendHeartbeats();
   void SendHeartbeat(const EntryId& aEntry);
   /** Notes that the entry has spoken; false if it must say Hello first. */
-  bool Hears(const EntryId& aEntry, const EntryMessage& aMessage);
+  bool AcceptMessage(const EntryId& aEntry, const EntryMessage& aMessage);
   /** Tells every entry at once, where waiting for a heartbeat is too late. */
-  void TellLoad();
+  void BroadcastLoad();
   bool IsConnected(const EntryId& aEntry) const;
 
   SidecarOptions mOptions;
@@ -171,10 +171,10 @@
   ServiceRate mRate;
   Admission mAdmission;
   PreemptionOrder mPreemption;
-  StrictestTarget mStrictFirst;
-  StrictestTarget mStrictBetween;
+  StrictestTarget mStrictestFirstToken;
+  StrictestTarget mStrictestBetweenTokens;
   /** When the turn that was held back is to be looked at again. */
-  Millis mTurnDue = Millis::Never();
+  Millis mNextGrantAt = Millis::Never();
   Timers<AttemptKey> mTimers;
   Timers<EntryId> mHeartbeats;
   SidecarCounters mCounters;
--- a/src/libtrefoilarch/sidecarqueue.cpp
+++ b/src/libtrefoilarch/sidecarqueue.cpp
@@ -9,22 +9,22 @@
 namespace {
 
 /** A late request is looked at again after this. */
-constexpr Millis kLatePause{ 500 };
+constexpr Millis kLateRecheckDelay{ 500 };
 
 /** A turn that this upstream is too slow for waits so long for another's
  * grant: some round trips. */
-constexpr Millis kHoldSpan{ 50 };
+constexpr Millis kHoldBackTime{ 50 };
 
 /** A preemption comes when this part of the first-token target is left. */
-constexpr int64_t kPreemptPart = 4;
+constexpr int64_t kPreemptDivisor = 4;
 
 } // namespace
 
 void
 SidecarCore::Impl::Handle(const EntryId& aEntry, const Offer& aOffer)
 {
-  if (SidecarAttempt* known = Find(aOffer.mKey)) {
-    return RepeatOffer(*known);
+  if (SidecarAttempt* existing = Find(aOffer.mKey)) {
+    return RepeatOffer(*existing);
   }
   if (mLedger.Find(aOffer.mKey)) {
     return AnswerFromLedger(aEntry, aOffer.mKey);
@@ -33,27 +33,28 @@
   if (mDraining) {
     return DeclineOffer(aEntry, aOffer.mKey, ErrorKind::ShuttingDown, Millis());
   }
-  mCapacity.OnSeen(aOffer.mLevel.mTier, mNow);
-  mStrictFirst.See(aOffer.mLevel.mFirstTokenTarget, mNow);
-  mStrictBetween.See(aOffer.mLevel.mBetweenTokenTarget, mNow);
-  if (const auto retryAfter = mAdmission.Refuse(ProspectOf(aOffer), mNow)) {
+  mCapacity.OnTierSeen(aOffer.mLevel.mTier, mNow);
+  mStrictestFirstToken.Observe(aOffer.mLevel.mFirstTokenTarget, mNow);
+  mStrictestBetweenTokens.Observe(aOffer.mLevel.mBetweenTokenTarget, mNow);
+  if (const auto retryAfter =
+        mAdmission.Refuse(AdmissionRequestFor(aOffer), mNow)) {
     ++mCounters.mGivenUp;
     return DeclineOffer(
       aEntry, aOffer.mKey, ErrorKind::DeadlineUnmeetable, *retryAfter);
   }
-  if (MakePlace(aEntry, aOffer)) {
+  if (MakeQueueSpace(aEntry, aOffer)) {
     Enqueue(aEntry, aOffer);
   }
 }
 
-Prospect
-SidecarCore::Impl::ProspectOf(const Offer& aOffer) const
+AdmissionRequest
+SidecarCore::Impl::AdmissionRequestFor(const Offer& aOffer) const
 {
   return { .mLevel = aOffer.mLevel,
            .mTokens = ShareOf(aOffer).mTokens,
-           .mLeastTime =
-             mRate.LeastTime(aOffer.mPromptTokens, aOffer.mOutputTokens),
-           .mStartDue =
+           .mMinDuration =
+             mRate.MinDuration(aOffer.mPromptTokens, aOffer.mOutputTokens),
+           .mLatestStart =
              aOffer.mFirstTokenDue - mRate.FirstTokenTime(aOffer.mPromptTokens),
            .mDeadline = aOffer.mDeadline };
 }
@@ -72,15 +73,15 @@
 }
 
 bool
-SidecarCore::Impl::MakePlace(const EntryId& aEntry, const Offer& aOffer)
+SidecarCore::Impl::MakeQueueSpace(const EntryId& aEntry, const Offer& aOffer)
 {
   const ServiceLevel& level = aOffer.mLevel;
   if (mSchedule.Size() < mOptions.mQueueLimit ||
-      mSchedule.HasKeptPlace(level)) {
+      mSchedule.HasReservedPlace(level)) {
     return true;
   }
   ++mCounters.mShed;
-  const auto victim = mSchedule.ToShedFor(level);
+  const auto victim = mSchedule.VictimFor(level);
   if (!victim) {
     const Millis retryAfter = mAdmission.RetryAfter(level, mNow);
     DeclineOffer(aEntry, aOffer.mKey, ErrorKind::Shed, retryAfter);
@@ -94,11 +95,11 @@
 void
 SidecarCore::Impl::Enqueue(const EntryId& aEntry, const Offer& aOffer)
 {
-  const Prospect prospect = ProspectOf(aOffer);
-  const Millis startBy = mNow + prospect.mStartDue;
+  const AdmissionRequest request = AdmissionRequestFor(aOffer);
+  const Millis startBy = mNow + request.mLatestStart;
   mSchedule.Add({ .mKey = aOffer.mKey,
                   .mLevel = aOffer.mLevel,
-                  .mTokens = prospect.mTokens,
+                  .mTokens = request.mTokens,
                   .mStartBy = startBy },
                 mNow);
   SidecarAttempt attempt{ .mEntry = aEntry,
@@ -106,13 +107,15 @@
                           .mArrivedAt = mNow,
                           .mDeadlineAt = mNow + aOffer.mDeadline,
                           .mShare = ShareOf(aOffer) };
-  const Millis last = attempt.mDeadlineAt - prospect.mLeastTime;
+  const Millis latestStart = attempt.mDeadlineAt - request.mMinDuration;
   const bool late = startBy < mNow;
-  mTimers.Arm(aOffer.mKey, late ? std::min(last, mNow + kLatePause) : last);
+  mTimers.Arm(aOffer.mKey,
+              late ? std::min(latestStart, mNow + kLateRecheckDelay)
+                   : latestStart);
   Entry& entry = mEntries[aEntry];
   entry.mConnected = true;
   if (entry.mAttempts.empty()) {
-    entry.mHeard = mNow;
+    entry.mLastReceivedAt = mNow;
     mHeartbeats.Arm(aEntry, mNow + mOptions.mHeartbeat);
   }
   entry.mAttempts.insert(aOffer.mKey);
@@ -120,24 +123,24 @@
 }
 
 void
-SidecarCore::Impl::GiveUpLate()
+SidecarCore::Impl::GiveUpLateRequests()
 {
   for (const AttemptKey& key : mSchedule.TakeLate(mNow)) {
-    GiveUpIfHopeless(key);
+    GiveUpIfUnmeetable(key);
   }
 }
 
 void
-SidecarCore::Impl::GiveUpIfHopeless(const AttemptKey& aKey)
+SidecarCore::Impl::GiveUpIfUnmeetable(const AttemptKey& aKey)
 {
   const SidecarAttempt& attempt = mAttempts.at(aKey);
-  Prospect prospect = ProspectOf(attempt.mOffer);
-  prospect.mTokens = 0;
-  prospect.mDeadline = attempt.mDeadlineAt - mNow;
-  const Millis last = attempt.mDeadlineAt - prospect.mLeastTime;
-  auto retryAfter = mAdmission.GiveUp(prospect, mNow);
-  if (!retryAfter && mNow < last) {
-    return mTimers.Arm(aKey, std::min(last, mNow + kLatePause));
+  AdmissionRequest request = AdmissionRequestFor(attempt.mOffer);
+  request.mTokens = 0;
+  request.mDeadline = attempt.mDeadlineAt - mNow;
+  const Millis latestStart = attempt.mDeadlineAt - request.mMinDuration;
+  auto retryAfter = mAdmission.GiveUp(request, mNow);
+  if (!retryAfter && mNow < latestStart) {
+    return mTimers.Arm(aKey, std::min(latestStart, mNow + kLateRecheckDelay));
   }
   if (!retryAfter) {
     retryAfter = mAdmission.RetryAfter(attempt.mOffer.mLevel, mNow);
@@ -190,92 +193,94 @@
 void
 SidecarCore::Impl::GrantWhatFits()
 {
-  mTurnDue = Millis::Never();
+  mNextGrantAt = Millis::Never();
   if (mDraining || mCapacity.IsPaused(mNow)) {
     return;
   }
-  GrantRegularTurns();
-  GrantFloorTurns();
+  GrantRegularDispatches();
+  GrantFloorDispatches();
 }
 
 void
-SidecarCore::Impl::GrantRegularTurns()
+SidecarCore::Impl::GrantRegularDispatches()
 {
-  while (const auto turn = mSchedule.NextRegular()) {
-    if (HoldsBack(*turn)) {
+  while (const auto dispatch = mSchedule.NextRegularDispatch()) {
+    if (ShouldHoldBack(*dispatch)) {
       return;
     }
-    const SidecarAttempt& attempt = mAttempts.at(turn->mKey);
+    const SidecarAttempt& attempt = mAttempts.at(dispatch->mKey);
     if (!mCapacity.Fits(attempt.mShare)) {
-      mCapacity.OnWanted(attempt.mShare);
+      mCapacity.OnLimited(attempt.mShare);
       mRate.OnBlocked(mNow);
-      if (!PreemptFor(*turn)) {
+      if (!PreemptFor(*dispatch)) {
         return;
       }
     }
-    GrantNow(*turn);
+    GrantNow(*dispatch);
   }
 }
 
 void
-SidecarCore::Impl::GrantFloorTurns()
+SidecarCore::Impl::GrantFloorDispatches()
 {
-  while (const auto turn = mSchedule.NextFloor(mCapacity.Limit(), mNow)) {
-    GrantNow(*turn);
+  while (const auto dispatch =
+           mSchedule.NextFloorDispatch(mCapacity.Limit(), mNow)) {
+    GrantNow(*dispatch);
   }
 }
 
 void
-SidecarCore::Impl::GrantNow(const Dispatch& aTurn)
+SidecarCore::Impl::GrantNow(const Dispatch& aDispatch)
 {
-  SidecarAttempt& attempt = mAttempts.at(aTurn.mKey);
-  const WaitingRequest& request = *mSchedule.Find(aTurn.mKey);
-  mRate.OnTurn(request.mLevel.mTier, request.mLate, request.mTokens, mNow);
+  SidecarAttempt& attempt = mAttempts.at(aDispatch.mKey);
+  const WaitingRequest& request = *mSchedule.Find(aDispatch.mKey);
+  mRate.OnDispatched(
+    request.mLevel.mTier, request.mLate, request.mTokens, mNow);
   ++mCounters.mGranted;
-  mCounters.mFloorStarts += aTurn.mFloor ? 1 : 0;
+  mCounters.mFloorStarts += aDispatch.mFloor ? 1 : 0;
   attempt.mState = AttemptState::Granted;
   attempt.mGrantedAt = mNow;
-  attempt.mShare.mBeside = aTurn.mFloor;
-  attempt.mFloorTokens = aTurn.mFloor ? request.mTokens : 0;
-  mSchedule.Take(aTurn, mNow);
+  attempt.mShare.mOutsideLimit = aDispatch.mFloor;
+  attempt.mFloorTokens = aDispatch.mFloor ? request.mTokens : 0;
+  mSchedule.Take(aDispatch, mNow);
   mCapacity.Take(attempt.mShare);
   attempt.mPrefillAhead = mCapacity.InPrefill();
-  mTimers.Arm(aTurn.mKey, mNow + mOptions.mGrantTimeout);
+  mTimers.Arm(aDispatch.mKey, mNow + mOptions.mGrantTimeout);
   SendGrant(attempt);
 }
 
 bool
-SidecarCore::Impl::HoldsBack(const Dispatch& aTurn)
+SidecarCore::Impl::ShouldHoldBack(const Dispatch& aDispatch)
 {
-  const WaitingRequest& request = *mSchedule.Find(aTurn.mKey);
+  const WaitingRequest& request = *mSchedule.Find(aDispatch.mKey);
   const auto target =
     static_cast<double>(request.mLevel.mBetweenTokenTarget.Count());
-  const Millis until = mAttempts.at(aTurn.mKey).mArrivedAt + kHoldSpan;
+  const Millis until = mAttempts.at(aDispatch.mKey).mArrivedAt + kHoldBackTime;
   if (mNow >= until || mRate.BetweenTokens(mNow) <= target) {
     return false;
   }
-  mTurnDue = until;
+  mNextGrantAt = until;
   return true;
 }
 
 bool
-SidecarCore::Impl::PreemptFor(const Dispatch& aTurn)
+SidecarCore::Impl::PreemptFor(const Dispatch& aDispatch)
 {
-  const WaitingRequest& request = *mSchedule.Find(aTurn.mKey);
+  const WaitingRequest& request = *mSchedule.Find(aDispatch.mKey);
   const Millis due =
-    request.mStartBy - request.mLevel.mFirstTokenTarget / kPreemptPart;
+    request.mStartBy - request.mLevel.mFirstTokenTarget / kPreemptDivisor;
   if (request.mLate || mPreemption.Empty()) {
     return false;
   }
   if (mNow < due) {
-    mTurnDue = due;
+    mNextGrantAt = due;
     return false;
   }
-  UpstreamCapacity trial = mCapacity;
+  UpstreamCapacity remaining = mCapacity;
   const auto victims =
     mPreemption.Choose(request.mLevel.mTier, [&](const AttemptKey& aKey) {
-      trial.Release(mAttempts.at(aKey).mShare);
-      return trial.Fits(mAttempts.at(aTurn.mKey).mShare);
+      remaining.Release(mAttempts.at(aKey).mShare);
+      return remaining.Fits(mAttempts.at(aDispatch.mKey).mShare);
     });
   for (const AttemptKey& key : victims) {
     ++mCounters.mPreempted;
@@ -313,7 +318,7 @@
   attempt->mState = AttemptState::Running;
   attempt->mStartedAt = mNow;
   ArmRunning(*attempt);
-  if (attempt->mOffer.mIdempotent && !attempt->mShare.mBeside) {
+  if (attempt->mOffer.mIdempotent && !attempt->mShare.mOutsideLimit) {
     mPreemption.Add({ .mKey = aStart.mKey,
                       .mTier = attempt->mOffer.mLevel.mTier,
                       .mStartedAt = mNow });
--- a/src/libtrefoilarch/sidecartimers.cpp
+++ b/src/libtrefoilarch/sidecartimers.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** How long a whole answer waits for its last Ack from a connected entry. */
-constexpr Millis kAckSpan{ 30000 };
+constexpr Millis kFinalAckTimeout{ 30000 };
 
 /** Heartbeats are this many times rarer where nothing is open. */
 constexpr int64_t kIdleFactor = 10;
@@ -19,15 +19,16 @@
 SidecarCore::Impl::ArmRunning(const SidecarAttempt& aAttempt)
 {
   const Millis orphaned =
-    aAttempt.mFlowing ? Millis::Never() : mNow + mOptions.mOrphanTimeout;
+    aAttempt.mForwarding ? Millis::Never() : mNow + mOptions.mOrphanTimeout;
   mTimers.Arm(aAttempt.mOffer.mKey, std::min(aAttempt.mDeadlineAt, orphaned));
 }
 
 void
 SidecarCore::Impl::ArmEnded(const SidecarAttempt& aAttempt)
 {
-  const Millis span = aAttempt.mFlowing ? kAckSpan : mOptions.mOrphanTimeout;
-  mTimers.Arm(aAttempt.mOffer.mKey, mNow + span);
+  const Millis timeout =
+    aAttempt.mForwarding ? kFinalAckTimeout : mOptions.mOrphanTimeout;
+  mTimers.Arm(aAttempt.mOffer.mKey, mNow + timeout);
 }
 
 void
@@ -47,7 +48,7 @@
   const AttemptKey key = aAttempt.mOffer.mKey;
   switch (aAttempt.mState) {
     case AttemptState::Waiting:
-      return GiveUpIfHopeless(key);
+      return GiveUpIfUnmeetable(key);
     case AttemptState::Granted:
       return Void(aAttempt);
     case AttemptState::Running:
@@ -65,7 +66,8 @@
   while (const auto entry = mHeartbeats.TakeDue(mNow)) {
     Entry& channel = mEntries[*entry];
     const bool open = !channel.mAttempts.empty();
-    if (open && mNow >= channel.mHeard + mOptions.mEntrySilenceTimeout) {
+    if (open &&
+        mNow >= channel.mLastReceivedAt + mOptions.mEntrySilenceTimeout) {
       ++mCounters.mSilences;
       channel.mSilenced = true;
       OnEntryDown(*entry);
@@ -98,18 +100,18 @@
   for (const AttemptKey& key : waiting) {
     DeclineWaiting(key, ErrorKind::ShuttingDown, Millis());
   }
-  TellLoad();
+  BroadcastLoad();
 }
 
 void
 SidecarCore::Impl::Undrain()
 {
   mDraining = false;
-  TellLoad();
+  BroadcastLoad();
 }
 
 void
-SidecarCore::Impl::TellLoad()
+SidecarCore::Impl::BroadcastLoad()
 {
   for (const auto& [entry, channel] : mEntries) {
     SendHeartbeat(entry);
@@ -129,7 +131,7 @@
   if (mDraining) {
     return next;
   }
-  next = std::min({ next, mSchedule.NextWake(), mTurnDue });
+  next = std::min({ next, mSchedule.NextWake(), mNextGrantAt });
   if (mCapacity.IsPaused(mNow)) {
     next = std::min(next, mCapacity.PauseEnd());
   }
--- a/src/libtrefoilarch/strictesttarget.h
+++ b/src/libtrefoilarch/strictesttarget.h
@@ -11,23 +11,23 @@
 class StrictestTarget
 {
 public:
-  void See(Millis aTarget, Millis aNow)
+  void Observe(Millis aTarget, Millis aNow)
   {
-    if (aTarget > mTarget && aNow <= mSeen + kSpan) {
+    if (aTarget > mTarget && aNow <= mObservedAt + kRetention) {
       return;
     }
     mTarget = aTarget;
-    mSeen = aNow;
+    mObservedAt = aNow;
   }
 
   /** Never() while none has been seen. */
   Millis Value() const { return mTarget; }
 
 private:
-  static constexpr Millis kSpan{ 10000 };
+  static constexpr Millis kRetention{ 10000 };
 
   Millis mTarget = Millis::Never();
-  Millis mSeen;
+  Millis mObservedAt;
 };
 
 } // namespace trefoilarch
