--- a/src/libtrefoilarch/upstreamcapacity.cpp
+++ b/src/libtrefoilarch/upstreamcapacity.cpp
@@ -9,24 +9,24 @@
 namespace {
 
 /** Room left for a burst, as a multiple of the root of the calls that run. */
-constexpr double kBurst = 1;
+constexpr double kBurstFactor = 1;
 /** A tier is present for so long after its last request came. */
-constexpr Millis kPresence{ 10000 };
+constexpr Millis kTierPresenceTimeout{ 10000 };
 
 /** How far each tier may go, in hundredths of the limit on tokens. */
 constexpr std::array<uint64_t, kTierCount> kTokenPercent = { 150,
                                                              120,
                                                              100,
                                                              100 };
-constexpr uint64_t kWhole = 100;
+constexpr uint64_t kHundredPercent = 100;
 
 /** Prompt tokens in prefill: to begin with, at least and at most. */
-constexpr uint64_t kFirstPrefill = 4096;
-constexpr uint64_t kLeastPrefill = 1024;
-constexpr uint64_t kMostPrefill = 65536;
+constexpr uint64_t kInitialPrefill = 4096;
+constexpr uint64_t kMinPrefill = 1024;
+constexpr uint64_t kMaxPrefill = 65536;
 
-constexpr Millis kFirstPause{ 100 };
-constexpr uint32_t kMostDoublings = 4;
+constexpr Millis kInitialPause{ 100 };
+constexpr uint32_t kMaxDoublings = 4;
 
 } // namespace
 
@@ -35,14 +35,13 @@
   , mTokenLimit({ .mInitial = aOptions.mInitialLimit,
                   .mMin = std::max<uint64_t>(aOptions.mMinLimit, 1),
                   .mMax = aOptions.mMaxLimit })
-  , mPrefillLimit({ .mInitial = kFirstPrefill,
-                    .mMin = kLeastPrefill,
-                    .mMax = kMostPrefill })
+  , mPrefillLimit(
+      { .mInitial = kInitialPrefill, .mMin = kMinPrefill, .mMax = kMaxPrefill })
 {
 }
 
-UpstreamCapacity::Use&
-UpstreamCapacity::Use::operator+=(const Use& aOther)
+UpstreamCapacity::Usage&
+UpstreamCapacity::Usage::operator+=(const Usage& aOther)
 {
   mTokens += aOther.mTokens;
   mPrefill += aOther.mPrefill;
@@ -50,43 +49,44 @@
   return *this;
 }
 
-UpstreamCapacity::Use
-UpstreamCapacity::UseFor(Tier aTier) const
+UpstreamCapacity::Usage
+UpstreamCapacity::UsageFor(Tier aTier) const
 {
-  Use use;
+  Usage usage;
   const size_t own = std::min<size_t>(aTier, kTierCount - 1);
   for (size_t tier = 0; tier < kTierCount; ++tier) {
-    use += mWithin[tier];
+    usage += mWithinLimit[tier];
     if (tier <= own) {
-      use += mBeside[tier];
+      usage += mOutsideLimit[tier];
     }
   }
-  return use;
+  return usage;
 }
 
-UpstreamCapacity::Use&
-UpstreamCapacity::UseOf(const CapacityShare& aShare)
+UpstreamCapacity::Usage&
+UpstreamCapacity::UsageOf(const CapacityShare& aShare)
 {
   const size_t tier = std::min<size_t>(aShare.mTier, kTierCount - 1);
-  return aShare.mBeside ? mBeside[tier] : mWithin[tier];
+  return aShare.mOutsideLimit ? mOutsideLimit[tier] : mWithinLimit[tier];
 }
 
-UpstreamCapacity::Use
-UpstreamCapacity::LeftBy(Tier aTier) const
+UpstreamCapacity::Usage
+UpstreamCapacity::BurstReserve(Tier aTier) const
 {
-  Use higher;
+  Usage higher;
   bool present = false;
   const size_t own = std::min<size_t>(aTier, kTierCount - 1);
   for (size_t tier = 0; tier < own; ++tier) {
-    higher += mWithin[tier];
-    present |= mSeen[tier] > Millis() && mNow <= mSeen[tier] + kPresence;
+    higher += mWithinLimit[tier];
+    present |= mTierSeenAt[tier] > Millis() &&
+               mNow <= mTierSeenAt[tier] + kTierPresenceTimeout;
   }
   if (!present) {
     return {};
   }
   const double running =
     static_cast<double>(std::max<size_t>(higher.mCalls, 1));
-  const double calls = kBurst * std::sqrt(running);
+  const double calls = kBurstFactor * std::sqrt(running);
   const double tokens = calls * static_cast<double>(higher.mTokens) / running;
   return { .mTokens = static_cast<uint64_t>(tokens),
            .mPrefill = 0,
@@ -94,58 +94,59 @@
 }
 
 void
-UpstreamCapacity::OnSeen(Tier aTier, Millis aNow)
+UpstreamCapacity::OnTierSeen(Tier aTier, Millis aNow)
 {
   mNow = std::max(mNow, aNow);
-  mSeen[std::min<size_t>(aTier, kTierCount - 1)] = aNow;
+  mTierSeenAt[std::min<size_t>(aTier, kTierCount - 1)] = aNow;
 }
 
 bool
 UpstreamCapacity::Fits(const CapacityShare& aShare) const
 {
-  const Use use = UseFor(aShare.mTier);
-  if (use.mCalls == 0) {
+  const Usage usage = UsageFor(aShare.mTier);
+  if (usage.mCalls == 0) {
     return true;
   }
-  if (mUnreached > 0 || LacksTokens(aShare) || LacksPrefill(aShare)) {
+  if (mFailedConnects > 0 || ExceedsTokens(aShare) || ExceedsPrefill(aShare)) {
     return false;
   }
-  return use.mCalls + LeftBy(aShare.mTier).mCalls < mOptions.mMaxRunning;
+  return usage.mCalls + BurstReserve(aShare.mTier).mCalls <
+         mOptions.mMaxRunning;
 }
 
 bool
-UpstreamCapacity::LacksTokens(const CapacityShare& aShare) const
+UpstreamCapacity::ExceedsTokens(const CapacityShare& aShare) const
 {
   const size_t tier = std::min<size_t>(aShare.mTier, kTierCount - 1);
-  const uint64_t limit =
-    std::min(Limit() * kTokenPercent[tier] / kWhole, mOptions.mMaxLimit);
-  const uint64_t left = LeftBy(aShare.mTier).mTokens;
-  return UseFor(aShare.mTier).mTokens + left + aShare.mTokens > limit;
+  const uint64_t limit = std::min(
+    Limit() * kTokenPercent[tier] / kHundredPercent, mOptions.mMaxLimit);
+  const uint64_t reserve = BurstReserve(aShare.mTier).mTokens;
+  return UsageFor(aShare.mTier).mTokens + reserve + aShare.mTokens > limit;
 }
 
 bool
-UpstreamCapacity::LacksPrefill(const CapacityShare& aShare) const
+UpstreamCapacity::ExceedsPrefill(const CapacityShare& aShare) const
 {
-  const uint64_t used = UseFor(aShare.mTier).mPrefill;
+  const uint64_t used = UsageFor(aShare.mTier).mPrefill;
   return used > 0 && used + aShare.mPrefill > PrefillLimit();
 }
 
 void
 UpstreamCapacity::Take(const CapacityShare& aShare)
 {
-  Use& use = UseOf(aShare);
-  use.mTokens += aShare.mTokens;
-  use.mPrefill += aShare.mPrefill;
-  ++use.mCalls;
+  Usage& usage = UsageOf(aShare);
+  usage.mTokens += aShare.mTokens;
+  usage.mPrefill += aShare.mPrefill;
+  ++usage.mCalls;
 }
 
 void
 UpstreamCapacity::Release(const CapacityShare& aShare)
 {
-  Use& use = UseOf(aShare);
-  use.mTokens -= aShare.mTokens;
-  use.mPrefill -= aShare.mPrefill;
-  --use.mCalls;
+  Usage& usage = UsageOf(aShare);
+  usage.mTokens -= aShare.mTokens;
+  usage.mPrefill -= aShare.mPrefill;
+  --usage.mCalls;
 }
 
 void
@@ -166,12 +167,12 @@
 }
 
 void
-UpstreamCapacity::OnWanted(const CapacityShare& aShare)
+UpstreamCapacity::OnLimited(const CapacityShare& aShare)
 {
-  if (LacksPrefill(aShare)) {
-    mPrefillLimit.OnWanted();
+  if (ExceedsPrefill(aShare)) {
+    mPrefillLimit.OnLimited();
   } else {
-    mTokenLimit.OnWanted();
+    mTokenLimit.OnLimited();
   }
 }
 
@@ -179,17 +180,17 @@
 UpstreamCapacity::Adapt(Millis aNow)
 {
   mNow = std::max(mNow, aNow);
-  const Use use = UseFor(kTierCount - 1);
-  mTokenLimit.Adapt(use.mTokens, aNow);
-  mPrefillLimit.Adapt(use.mPrefill, aNow);
+  const Usage usage = UsageFor(kTierCount - 1);
+  mTokenLimit.Adapt(usage.mTokens, aNow);
+  mPrefillLimit.Adapt(usage.mPrefill, aNow);
 }
 
 void
 UpstreamCapacity::OnUnreachable(Millis aNow)
 {
-  const uint32_t doublings = std::min(mUnreached, kMostDoublings);
-  mPauseEnd = aNow + kFirstPause * (int64_t{ 1 } << doublings);
-  ++mUnreached;
+  const uint32_t doublings = std::min(mFailedConnects, kMaxDoublings);
+  mPauseEnd = aNow + kInitialPause * (int64_t{ 1 } << doublings);
+  ++mFailedConnects;
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamcapacity.h
+++ b/src/libtrefoilarch/upstreamcapacity.h
@@ -29,7 +29,7 @@
   uint64_t mPrefill = 0;
   /** Beside the room: a floor start, which takes no place from tiers above
    * its own. */
-  bool mBeside = false;
+  bool mOutsideLimit = false;
   Tier mTier = 0;
 };
 
@@ -58,7 +58,7 @@
   bool Fits(const CapacityShare& aShare) const;
 
   /** A request of the tier is here, running or waiting. */
-  void OnSeen(Tier aTier, Millis aNow);
+  void OnTierSeen(Tier aTier, Millis aNow);
 
   void Take(const CapacityShare& aShare);
   void Release(const CapacityShare& aShare);
@@ -69,12 +69,12 @@
    * upstream must have kept the request in a queue of its own. */
   void OnFirstToken(double aRatio, bool aByPrefill);
   /** Somebody with that share was kept out. */
-  void OnWanted(const CapacityShare& aShare);
+  void OnLimited(const CapacityShare& aShare);
   void Adapt(Millis aNow);
 
   /** The upstream could not be reached: pauses, longer each time. */
   void OnUnreachable(Millis aNow);
-  void OnReached() { mUnreached = 0; }
+  void OnReached() { mFailedConnects = 0; }
   /** Nothing may start before PauseEnd(). */
   bool IsPaused(Millis aNow) const { return aNow < mPauseEnd; }
   Millis PauseEnd() const { return mPauseEnd; }
@@ -83,36 +83,36 @@
   uint64_t PrefillLimit() const { return mPrefillLimit.Value(); }
   size_t MaxRunning() const { return mOptions.mMaxRunning; }
   /** Tokens in flight, those beside the room with them. */
-  uint64_t InFlight() const { return UseFor(kTierCount - 1).mTokens; }
-  uint64_t InPrefill() const { return UseFor(kTierCount - 1).mPrefill; }
-  size_t Running() const { return UseFor(kTierCount - 1).mCalls; }
+  uint64_t InFlight() const { return UsageFor(kTierCount - 1).mTokens; }
+  uint64_t InPrefill() const { return UsageFor(kTierCount - 1).mPrefill; }
+  size_t Running() const { return UsageFor(kTierCount - 1).mCalls; }
 
 private:
-  struct Use
+  struct Usage
   {
     uint64_t mTokens = 0;
     uint64_t mPrefill = 0;
     size_t mCalls = 0;
 
-    Use& operator+=(const Use& aOther);
+    Usage& operator+=(const Usage& aOther);
   };
 
   /** What counts for a request of that tier. */
-  Use UseFor(Tier aTier) const;
-  Use& UseOf(const CapacityShare& aShare);
+  Usage UsageFor(Tier aTier) const;
+  Usage& UsageOf(const CapacityShare& aShare);
   /** What the tier leaves for bursts of higher tiers. */
-  Use LeftBy(Tier aTier) const;
-  bool LacksTokens(const CapacityShare& aShare) const;
-  bool LacksPrefill(const CapacityShare& aShare) const;
+  Usage BurstReserve(Tier aTier) const;
+  bool ExceedsTokens(const CapacityShare& aShare) const;
+  bool ExceedsPrefill(const CapacityShare& aShare) const;
 
   UpstreamCapacityOptions mOptions;
   AdaptiveLimit mTokenLimit;
   AdaptiveLimit mPrefillLimit;
-  std::array<Use, kTierCount> mWithin{};
-  std::array<Use, kTierCount> mBeside{};
-  std::array<Millis, kTierCount> mSeen{};
+  std::array<Usage, kTierCount> mWithinLimit{};
+  std::array<Usage, kTierCount> mOutsideLimit{};
+  std::array<Millis, kTierCount> mTierSeenAt{};
   Millis mNow;
-  uint32_t mUnreached = 0;
+  uint32_t mFailedConnects = 0;
   Millis mPauseEnd;
 };
 
--- a/src/libtrefoilarch/upstreamlink.h
+++ b/src/libtrefoilarch/upstreamlink.h
@@ -23,8 +23,8 @@
 /** What an entry knows of one upstream, and what it has there. */
 struct UpstreamLink
 {
-  explicit UpstreamLink(ChannelTimeouts aSpans)
-    : mHealth(aSpans)
+  explicit UpstreamLink(ChannelTimeouts aTimeouts)
+    : mHealth(aTimeouts)
   {
   }
 
@@ -47,9 +47,9 @@
   /** Withdrawn, and not confirmed by the sidecar. */
   std::set<AttemptKey> mWithdrawn;
   /** Answered as a whole, with the chunk count of the last Ack. */
-  std::map<AttemptKey, uint64_t> mWhole;
+  std::map<AttemptKey, uint64_t> mCompleted;
   /** When to forget members of mWithdrawn and mWhole, in order of time. */
-  std::deque<std::pair<Millis, AttemptKey>> mForget;
+  std::deque<std::pair<Millis, AttemptKey>> mForgetQueue;
 
   /** When this link is next looked at. */
   Millis mWakeAt = Millis::Never();
@@ -70,7 +70,7 @@
     mTokensSinceReport += int64_t{ aCalls } * aTokens;
   }
   /** Whether the sidecar owes this entry a word. */
-  bool AtStake() const { return !mOpen.empty() || !mWithdrawn.empty(); }
+  bool AwaitsReply() const { return !mOpen.empty() || !mWithdrawn.empty(); }
 };
 
 } // namespace trefoilarch
--- a/tests/unit/claimstest.cpp
+++ b/tests/unit/claimstest.cpp
@@ -19,7 +19,7 @@
 constexpr int64_t kEpochSeconds = 1000;
 
 /** What became of one request, over all of its life. */
-struct Life
+struct RequestRecord
 {
   std::string mKey;
   size_t mEntry = 0;
@@ -61,13 +61,13 @@
       case 0:
       case 1:
       case 2:
-        return Ask(Draw(kEntries));
+        return SendRandom(Draw(kEntries));
       case 3:
       case 4:
       case 5:
-        return EndOne();
+        return FinishOne();
       case 6:
-        return PauseOrWake(mEntries[Draw(kEntries)]);
+        return PauseOrResume(mEntries[Draw(kEntries)]);
       case 7:
         if (Fault(10)) {
           Boot(Draw(kEntries));
@@ -103,12 +103,12 @@
   void CheckAll()
   {
     std::map<std::string, int> runs;
-    for (const auto& [id, life] : mLives) {
-      if (mEntries[life.mEntry].mBoot == life.mBoot) {
-        RC_ASSERT(life.mOutcome.has_value());
+    for (const auto& [id, record] : mRequests) {
+      if (mEntries[record.mEntry].mBoot == record.mBoot) {
+        RC_ASSERT(record.mOutcome.has_value());
       }
-      runs[life.mKey] += life.mStarted ? 1 : 0;
-      RC_ASSERT(!life.mStarted || life.mOutcome == ClaimOutcome::Run);
+      runs[record.mKey] += record.mStarted ? 1 : 0;
+      RC_ASSERT(!record.mStarted || record.mOutcome == ClaimOutcome::Run);
     }
     for (const auto& [key, count] : runs) {
       RC_ASSERT(count <= 1);
@@ -119,13 +119,13 @@
   /** A key whose requests have all not run lets the next one run. */
   void CheckKeysAreFree()
   {
-    for (const std::string& key : mTried) {
+    for (const std::string& key : mUsedKeys) {
       bool free = true;
-      for (const auto& [id, life] : mLives) {
-        const bool alive = mEntries[life.mEntry].mBoot == life.mBoot;
-        free &= life.mKey != key ||
-                (alive && life.mOutcome != ClaimOutcome::Run) ||
-                (alive && mGaveUp.contains(id));
+      for (const auto& [id, record] : mRequests) {
+        const bool alive = mEntries[record.mEntry].mBoot == record.mBoot;
+        free &= record.mKey != key ||
+                (alive && record.mOutcome != ClaimOutcome::Run) ||
+                (alive && mNotRun.contains(id));
       }
       if (!free) {
         continue;
@@ -133,17 +133,17 @@
       const RequestId id = Send(Draw(kEntries), key);
       for (int round = 0; round < 20; ++round) {
         Heal();
-        if (mLives.at(id).mOutcome) {
+        if (mRequests.at(id).mOutcome) {
           break;
         }
       }
-      RC_ASSERT(mLives.at(id).mOutcome == ClaimOutcome::Run);
-      ++mFreed;
+      RC_ASSERT(mRequests.at(id).mOutcome == ClaimOutcome::Run);
+      ++mReusedKeys;
     }
   }
 
   int Runs() const { return mRuns; }
-  int Freed() const { return mFreed; }
+  int ReusedKeys() const { return mReusedKeys; }
   int Repeats() const { return mRepeats; }
 
 private:
@@ -171,12 +171,12 @@
                     .mSeed = mRandom() });
   }
 
-  void PauseOrWake(Entry& aEntry)
+  void PauseOrResume(Entry& aEntry)
   {
     aEntry.mPaused = aEntry.mPaused ? Chance(80) : Fault(40);
   }
 
-  void Ask(size_t aEntry)
+  void SendRandom(size_t aEntry)
   {
     if (!mEntries[aEntry].mPaused) {
       Send(aEntry, "key-" + std::to_string(Draw(6)));
@@ -185,17 +185,17 @@
 
   RequestId Send(size_t aEntry, const std::string& aKey)
   {
-    mTried.insert(aKey);
+    mUsedKeys.insert(aKey);
     const RequestId id{ 7, ++mLastId };
-    mLives[id] = { aKey, aEntry, mEntries[aEntry].mBoot, {}, false, {} };
-    Carry(aEntry,
-          mEntries[aEntry].mClaims->Claim(
-            { id, aKey, "same" }, SecondsAt(aEntry), mNow));
+    mRequests[id] = { aKey, aEntry, mEntries[aEntry].mBoot, {}, false, {} };
+    Perform(aEntry,
+            mEntries[aEntry].mClaims->Claim(
+              { id, aKey, "same" }, SecondsAt(aEntry), mNow));
     return id;
   }
 
   /** One of the requests that were let run starts, ends or is given up. */
-  void EndOne()
+  void FinishOne()
   {
     if (mRunning.empty()) {
       return;
@@ -203,27 +203,27 @@
     auto place = mRunning.begin();
     std::advance(place, Draw(static_cast<uint32_t>(mRunning.size())));
     const RequestId id = *place;
-    Life& life = mLives.at(id);
-    Entry& entry = mEntries[life.mEntry];
+    RequestRecord& record = mRequests.at(id);
+    Entry& entry = mEntries[record.mEntry];
     if (entry.mPaused) {
       return;
     }
     mRunning.erase(place);
-    if (entry.mBoot != life.mBoot) {
+    if (entry.mBoot != record.mBoot) {
       return;
     }
     if (Chance(30)) {
-      mGaveUp.insert(id);
+      mNotRun.insert(id);
       entry.mClaims->NotRun(id);
       return;
     }
-    life.mStarted = true;
+    record.mStarted = true;
     if (Chance(25)) {
       entry.mClaims->MaybeRan(id);
       return;
     }
-    life.mAnswer = CachedAnswer{ 200, "text/plain", id.Text() };
-    entry.mClaims->Answered(id, *life.mAnswer);
+    record.mAnswer = CachedAnswer{ 200, "text/plain", id.Text() };
+    entry.mClaims->Answered(id, *record.mAnswer);
   }
 
   void Advance(Millis aSpan)
@@ -232,16 +232,16 @@
     for (size_t each = 0; each < kEntries; ++each) {
       Entry& entry = mEntries[each];
       if (!entry.mPaused && entry.mClaims->NextWake() <= mNow) {
-        Carry(each, entry.mClaims->OnTick(SecondsAt(each), mNow));
+        Perform(each, entry.mClaims->OnTick(SecondsAt(each), mNow));
       }
     }
   }
 
-  void Carry(size_t aEntry, ClaimActions aActions)
+  void Perform(size_t aEntry, ClaimActions aActions)
   {
     for (ClaimAction& action : aActions) {
       if (const auto* answer = std::get_if<ClaimDecided>(&action)) {
-        NoteAnswer(*answer);
+        RecordDecision(*answer);
         continue;
       }
       Pending& pending = mPending.emplace_back();
@@ -252,26 +252,26 @@
     }
   }
 
-  void NoteAnswer(const ClaimDecided& aAnswer)
+  void RecordDecision(const ClaimDecided& aAnswer)
   {
-    Life& life = mLives.at(aAnswer.mId);
-    RC_ASSERT(!life.mOutcome.has_value());
-    life.mOutcome = aAnswer.mOutcome;
+    RequestRecord& record = mRequests.at(aAnswer.mId);
+    RC_ASSERT(!record.mOutcome.has_value());
+    record.mOutcome = aAnswer.mOutcome;
     if (aAnswer.mOutcome == ClaimOutcome::Run) {
       mRunning.insert(aAnswer.mId);
     }
     if (aAnswer.mOutcome == ClaimOutcome::Finished) {
       ++mRepeats;
-      const RequestId first = FirstOf(life.mKey);
-      RC_ASSERT(aAnswer.mAnswer && mLives.contains(first));
-      RC_ASSERT(*aAnswer.mAnswer == *mLives.at(first).mAnswer);
+      const RequestId first = FirstOf(record.mKey);
+      RC_ASSERT(aAnswer.mAnswer && mRequests.contains(first));
+      RC_ASSERT(*aAnswer.mAnswer == *mRequests.at(first).mAnswer);
     }
   }
 
   RequestId FirstOf(const std::string& aKey) const
   {
-    for (const auto& [id, life] : mLives) {
-      if (life.mKey == aKey && life.mAnswer) {
+    for (const auto& [id, record] : mRequests) {
+      if (record.mKey == aKey && record.mAnswer) {
         return id;
       }
     }
@@ -285,8 +285,8 @@
     }
     const size_t place = Draw(static_cast<uint32_t>(mPending.size()));
     Pending& one = mPending[place];
-    const bool lets = mHealed || !one.mSlow || Chance(2);
-    if (!one.mExecuted && lets && (mHealed || !Fault(30))) {
+    const bool mayExecute = mHealed || !one.mSlow || Chance(2);
+    if (!one.mExecuted && mayExecute && (mHealed || !Fault(30))) {
       Execute(one);
     } else if (one.mForgotten) {
       if (one.mExecuted || Chance(one.mSlow ? 1 : 10)) {
@@ -302,14 +302,14 @@
     aOne.mExecuted = true;
     if (const auto* commit = std::get_if<CommitClaims>(&aOne.mAction)) {
       aOne.mCommit = TableCommit(*commit);
-    } else if (const auto* ask = std::get_if<QueryClaimant>(&aOne.mAction)) {
-      const size_t entry = ask->mAddress.back() - '0';
+    } else if (const auto* query = std::get_if<QueryClaimant>(&aOne.mAction)) {
+      const size_t entry = query->mAddress.back() - '0';
       if (!mEntries[entry].mPaused) {
-        aOne.mReport = mEntries[entry].mClaims->Report(ask->mRequest);
+        aOne.mReport = mEntries[entry].mClaims->Report(query->mRequest);
       }
-    } else if (const auto* gone = std::get_if<ExpireClaims>(&aOne.mAction)) {
+    } else if (const auto* expired = std::get_if<ExpireClaims>(&aOne.mAction)) {
       std::erase_if(mTable, [&](const auto& aRow) {
-        return aRow.second.mEpoch < gone->mBelowEpoch;
+        return aRow.second.mEpoch < expired->mBelowEpoch;
       });
     }
   }
@@ -368,14 +368,14 @@
     }
     const int64_t seconds = SecondsAt(one.mEntry);
     if (std::holds_alternative<CommitClaims>(one.mAction)) {
-      Carry(one.mEntry,
-            entry.mClaims->OnCommitted(
-              aLost ? ClaimCommit() : one.mCommit, seconds, mNow));
-    } else if (const auto* ask = std::get_if<QueryClaimant>(&one.mAction)) {
-      Carry(
+      Perform(one.mEntry,
+              entry.mClaims->OnCommitted(
+                aLost ? ClaimCommit() : one.mCommit, seconds, mNow));
+    } else if (const auto* query = std::get_if<QueryClaimant>(&one.mAction)) {
+      Perform(
         one.mEntry,
         entry.mClaims->OnClaimantReport(
-          ask->mTicket, aLost ? ClaimReport() : one.mReport, seconds, mNow));
+          query->mTicket, aLost ? ClaimReport() : one.mReport, seconds, mNow));
     }
   }
 
@@ -386,13 +386,13 @@
   int64_t mRevision = 0;
   bool mTableDown = false;
   bool mHealed = false;
-  std::map<RequestId, Life> mLives;
+  std::map<RequestId, RequestRecord> mRequests;
   std::set<RequestId> mRunning;
-  std::set<RequestId> mGaveUp;
-  std::set<std::string> mTried;
+  std::set<RequestId> mNotRun;
+  std::set<std::string> mUsedKeys;
   uint64_t mLastId = 0;
   int mRuns = 0;
-  int mFreed = 0;
+  int mReusedKeys = 0;
   int mRepeats = 0;
 };
 
@@ -407,7 +407,7 @@
 Test(claims, no_key_runs_twice_over_random_faults)
 {
   int runs = 0;
-  int freed = 0;
+  int reusedKeys = 0;
   int repeats = 0;
   const bool holds = rc::check([&](uint32_t aSeed) {
     Fleet fleet(aSeed);
@@ -418,12 +418,12 @@
     fleet.CheckAll();
     fleet.CheckKeysAreFree();
     runs += fleet.Runs();
-    freed += fleet.Freed();
+    reusedKeys += fleet.ReusedKeys();
     repeats += fleet.Repeats();
   });
   cr_assert(holds);
   cr_assert(runs > 150 && repeats > 100, "%d, %d", runs, repeats);
-  cr_assert(freed > 10, "%d", freed);
+  cr_assert(reusedKeys > 10, "%d", reusedKeys);
 }
 
 Test(claims, what_waits_is_committed_together)
@@ -431,7 +431,7 @@
   Claims claims({ .mAddress = "here" });
   size_t commits = 0;
   size_t writes = 0;
-  const auto note = [&](const ClaimActions& aActions) {
+  const auto count = [&](const ClaimActions& aActions) {
     for (const ClaimAction& action : aActions) {
       if (const auto* commit = std::get_if<CommitClaims>(&action)) {
         ++commits;
@@ -440,10 +440,10 @@
     }
   };
   for (uint64_t each = 0; each < 30; ++each) {
-    note(claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0)));
+    count(claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0)));
   }
   cr_assert(commits == 1 && writes == 1);
-  note(claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(5)));
+  count(claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(5)));
   cr_assert(commits == 2 && writes == 30);
 }
 
--- a/tests/unit/embeddingtest.cpp
+++ b/tests/unit/embeddingtest.cpp
@@ -38,7 +38,7 @@
   }
 
   /** Classifies a caller's request and hands it in. */
-  void Ask(RequestId aId, const std::string& aBody)
+  void SendRequest(RequestId aId, const std::string& aBody)
   {
     const auto classified =
       MakeClassifier()->Classify({ .mWorkspace = "rail",
@@ -175,7 +175,7 @@
 Test(embedding, both_cores_serve_a_request_in_virtual_time)
 {
   Example example;
-  example.Ask({ 1, 2 }, R"({"model":"base"})");
+  example.SendRequest({ 1, 2 }, R"({"model":"base"})");
   example.RunUntil(Millis(1030));
   cr_assert(example.mAnswer == "Hello, ");
   cr_assert_not(example.mWhole);
--- a/tests/unit/entryfaultstest.cpp
+++ b/tests/unit/entryfaultstest.cpp
@@ -10,23 +10,23 @@
 namespace {
 
 constexpr Millis kFaultsEnd{ 16000 };
-constexpr Millis kLongestDeadline{ 20000 };
+constexpr Millis kMaxDeadline{ 20000 };
 /** Too short for some answers, and more than the sidecars ever foresee. */
-constexpr Millis kScant{ 500 };
-constexpr Millis kEnough{ 10000 };
+constexpr Millis kShortDeadline{ 500 };
+constexpr Millis kAmpleDeadline{ 10000 };
 /** By now every channel has been found silent and replaced. */
-constexpr Millis kCalm{ 40000 };
+constexpr Millis kRecoveredAt{ 40000 };
 /** Longer than every deadline and span together. */
-constexpr Millis kQuiet{ 60000 };
+constexpr Millis kRunEnd{ 60000 };
 
 /** Requests and faults drawn from one seed, and the checks on what came. */
-class Storm
+class FaultScenario
 {
 public:
-  Storm(uint64_t aSeed, size_t aFaults, VirtualEngines aEngines)
+  FaultScenario(uint64_t aSeed, size_t aFaults, VirtualEngines aEngines)
     : mRandom(aSeed)
     , mFleet(aSeed, kSidecars, aEngines, AnyUpstream())
-    , mShortestDeadline(aFaults == 0 ? kEnough : kScant)
+    , mMinDeadline(aFaults == 0 ? kAmpleDeadline : kShortDeadline)
   {
     for (size_t i = 0; i < kRequests; i++) {
       mFleet.At(Draw(kFaultsEnd), [this] { SendRequest(); });
@@ -34,43 +34,47 @@
     for (size_t i = 0; i < aFaults; i++) {
       mFleet.At(Draw(kFaultsEnd), [this] { Fault(); });
     }
-    mFleet.At(kCalm, [this] { AskInCalm(); });
+    mFleet.At(kRecoveredAt, [this] { SendAfterFaults(); });
   }
 
   VirtualFleet& Run()
   {
-    mFleet.Run(kQuiet);
+    mFleet.Run(kRunEnd);
     return mFleet;
   }
 
   /** Asked when all faults were over. */
-  const std::vector<RequestId>& InCalm() const { return mInCalm; }
+  const std::vector<RequestId>& RequestsAfterFaults() const
+  {
+    return mRequestsAfterFaults;
+  }
 
 private:
   static constexpr size_t kSidecars = 3;
   static constexpr size_t kRequests = 40;
 
-  Millis Draw(Millis aMost)
+  Millis Draw(Millis aMax)
   {
     return Millis(
-      std::uniform_int_distribution<int64_t>(0, aMost.Count())(mRandom));
+      std::uniform_int_distribution<int64_t>(0, aMax.Count())(mRandom));
   }
 
   void SendRequest()
   {
-    const RequestId id = mFleet.SendRequest(
-      mRandom() % 2 == 0, mShortestDeadline + Draw(kLongestDeadline));
+    const RequestId id =
+      mFleet.SendRequest(mRandom() % 2 == 0, mMinDeadline + Draw(kMaxDeadline));
     if (mRandom() % 8 == 0) {
       mFleet.At(mFleet.Now() + Draw(Millis(800)),
                 [this, id] { mFleet.Leave(id); });
     }
   }
 
-  void AskInCalm()
+  void SendAfterFaults()
   {
     mFleet.SetEngines({});
     for (size_t i = 0; i < kRequests; i++) {
-      mInCalm.push_back(mFleet.SendRequest(i % 2 == 0, kEnough * 2));
+      mRequestsAfterFaults.push_back(
+        mFleet.SendRequest(i % 2 == 0, kAmpleDeadline * 2));
     }
   }
 
@@ -98,8 +102,8 @@
 
   std::mt19937_64 mRandom;
   VirtualFleet mFleet;
-  Millis mShortestDeadline;
-  std::vector<RequestId> mInCalm;
+  Millis mMinDeadline;
+  std::vector<RequestId> mRequestsAfterFaults;
 };
 
 void
@@ -132,7 +136,7 @@
 
 /** What is told of a request whose sidecar was restarted. */
 ErrorKind
-KindOfLoss(const VirtualCaller& aCaller)
+ExpectedKindAfterRestart(const VirtualCaller& aCaller)
 {
   if (aCaller.mHead) {
     return ErrorKind::AnswerCut;
@@ -149,11 +153,12 @@
   const bool holds = rc::check(
     "answers are whole, once and honest under faults", [&](uint64_t aSeed) {
       const size_t faults = aSeed % 25;
-      Storm storm(aSeed, faults, { .mCrash = 0.02, .mRefuse = 0.05 });
-      VirtualFleet& fleet = storm.Run();
+      FaultScenario scenario(
+        aSeed, faults, { .mCrash = 0.02, .mRefuse = 0.05 });
+      VirtualFleet& fleet = scenario.Run();
       RC_ASSERT(fleet.Entry().OpenRequests() == 0U);
       RC_ASSERT(fleet.DrainedAtOnce());
-      for (const RequestId& id : storm.InCalm()) {
+      for (const RequestId& id : scenario.RequestsAfterFaults()) {
         RC_ASSERT(fleet.Callers().at(id).mComplete);
       }
       for (const auto& [id, caller] : fleet.Callers()) {
@@ -176,8 +181,8 @@
   const bool holds =
     rc::check("without faults every answer is whole at the first try",
               [](uint64_t aSeed) {
-                Storm storm(aSeed, 0, {});
-                VirtualFleet& fleet = storm.Run();
+                FaultScenario scenario(aSeed, 0, {});
+                VirtualFleet& fleet = scenario.Run();
                 RC_ASSERT(fleet.Reopened().empty());
                 for (const auto& [id, caller] : fleet.Callers()) {
                   RC_ASSERT(caller.mComplete || caller.mDisconnected);
@@ -204,7 +209,7 @@
                         random() % 3 != 0);
         });
       }
-      fleet.Run(kQuiet);
+      fleet.Run(kRunEnd);
       for (const auto& [id, caller] : fleet.Callers()) {
         CheckCaller(id, caller);
         RC_ASSERT(caller.mComplete);
@@ -228,13 +233,13 @@
     if (caller.mRefusal) {
       refused++;
       cr_assert(caller.mRefusal->mRan == Ran::Maybe);
-      cr_assert(caller.mRefusal->mKind == KindOfLoss(caller));
+      cr_assert(caller.mRefusal->mKind == ExpectedKindAfterRestart(caller));
     } else if (!caller.mIdempotent) {
       cr_assert(caller.mComplete);
     }
   }
   cr_assert_gt(refused, 20);
-  fleet.Run(kQuiet);
+  fleet.Run(kRunEnd);
   for (const auto& [id, caller] : fleet.Callers()) {
     cr_assert(caller.mComplete || (caller.mRefusal && caller.mRuns == 1));
   }
--- a/tests/unit/leasetest.cpp
+++ b/tests/unit/leasetest.cpp
@@ -19,13 +19,13 @@
 struct Pending
 {
   size_t mProcess = 0;
-  int mLife = 0;
+  int mIncarnation = 0;
   LeaseAction mAction;
   bool mSlow = false;
   bool mExecuted = false;
   bool mForgotten = false;
   LeaseFound mFound;
-  LeaseWriteOutcome mEnd = LeaseWriteOutcome::Unknown;
+  LeaseWriteOutcome mResult = LeaseWriteOutcome::Unknown;
   int64_t mRevision = 0;
 };
 
@@ -47,7 +47,7 @@
   {
     switch (Draw(12)) {
       case 0:
-        PauseOrWake(mProcesses[Draw(kProcesses)]);
+        PauseOrResume(mProcesses[Draw(kProcesses)]);
         break;
       case 1:
         if (Fault(8)) {
@@ -106,7 +106,7 @@
   struct Process
   {
     std::unique_ptr<Lease> mLease;
-    int mLife = 0;
+    int mIncarnation = 0;
     bool mPaused = false;
     int64_t mOffset = 0;
     int64_t mRate = 1000; /**< thousandths of true time */
@@ -120,10 +120,11 @@
   void Boot(size_t aProcess)
   {
     Process& process = mProcesses[aProcess];
-    ++process.mLife;
-    process.mLease = std::make_unique<Lease>(LeaseOptions{
-      .mHolder = std::to_string(aProcess) + "-" + std::to_string(process.mLife),
-      .mSeed = mRandom() });
+    ++process.mIncarnation;
+    process.mLease = std::make_unique<Lease>(
+      LeaseOptions{ .mHolder = std::to_string(aProcess) + "-" +
+                               std::to_string(process.mIncarnation),
+                    .mSeed = mRandom() });
     SetWanted(aProcess, true);
   }
 
@@ -131,11 +132,11 @@
   {
     Process& process = mProcesses[aProcess];
     if (!process.mPaused) {
-      Carry(aProcess, process.mLease->SetWanted(aWanted, Now(process)));
+      Perform(aProcess, process.mLease->SetWanted(aWanted, Now(process)));
     }
   }
 
-  void PauseOrWake(Process& aProcess)
+  void PauseOrResume(Process& aProcess)
   {
     aProcess.mPaused = aProcess.mPaused ? Chance(80) : Fault(30);
   }
@@ -150,31 +151,31 @@
 
   void CheckOneHolder() const { RC_ASSERT(Holders() <= 1U); }
 
-  void Advance(int64_t aSpan)
+  void Advance(int64_t aMillis)
   {
-    mTime += aSpan;
+    mTime += aMillis;
     for (size_t each = 0; each < kProcesses; ++each) {
       Process& process = mProcesses[each];
       if (!process.mPaused && process.mLease->NextWake() <= Now(process)) {
-        Carry(each, process.mLease->OnTick(Now(process)));
+        Perform(each, process.mLease->OnTick(Now(process)));
       }
     }
   }
 
-  void Carry(size_t aProcess, LeaseActions aActions)
+  void Perform(size_t aProcess, LeaseActions aActions)
   {
     for (LeaseAction& action : aActions) {
       if (const auto* gained = std::get_if<LeaseGained>(&action)) {
         ++mGains;
-        RC_ASSERT(gained->mFencingNumber >= mHighestFence);
-        const bool again = gained->mFencingNumber == mHighestFence;
-        RC_ASSERT(!again || mFenceOwner == Owner(aProcess));
-        mHighestFence = gained->mFencingNumber;
-        mFenceOwner = Owner(aProcess);
+        RC_ASSERT(gained->mFencingNumber >= mHighestNumber);
+        const bool again = gained->mFencingNumber == mHighestNumber;
+        RC_ASSERT(!again || mNumberOwner == Owner(aProcess));
+        mHighestNumber = gained->mFencingNumber;
+        mNumberOwner = Owner(aProcess);
       } else if (!std::holds_alternative<LeaseEnded>(action)) {
         Pending& pending = mPending.emplace_back();
         pending.mProcess = aProcess;
-        pending.mLife = mProcesses[aProcess].mLife;
+        pending.mIncarnation = mProcesses[aProcess].mIncarnation;
         pending.mAction = std::move(action);
         pending.mSlow = Fault(10);
       }
@@ -183,7 +184,7 @@
 
   std::pair<size_t, int> Owner(size_t aProcess) const
   {
-    return { aProcess, mProcesses[aProcess].mLife };
+    return { aProcess, mProcesses[aProcess].mIncarnation };
   }
 
   void MovePending()
@@ -193,8 +194,9 @@
     }
     const size_t place = Draw(static_cast<uint32_t>(mPending.size()));
     Pending& one = mPending[place];
-    const bool lets = mHealed || ((!one.mSlow || Chance(2)) && !Fault(30));
-    if (!one.mExecuted && lets) {
+    const bool mayExecute =
+      mHealed || ((!one.mSlow || Chance(2)) && !Fault(30));
+    if (!one.mExecuted && mayExecute) {
       Execute(one);
     } else if (one.mForgotten) {
       if (one.mExecuted || Chance(one.mSlow ? 1 : 10)) {
@@ -216,11 +218,11 @@
       return;
     }
     const auto& write = std::get<WriteLease>(aOne.mAction);
-    aOne.mEnd = LeaseWriteOutcome::Refused;
+    aOne.mResult = LeaseWriteOutcome::Refused;
     if (write.mRevision == mRevision) {
       mText = write.mText;
       mRevision = ++mLastRevision;
-      aOne.mEnd = LeaseWriteOutcome::Done;
+      aOne.mResult = LeaseWriteOutcome::Done;
       aOne.mRevision = mRevision;
     }
   }
@@ -234,17 +236,18 @@
       EraseAt(mPending, aPlace);
     }
     Process& process = mProcesses[one.mProcess];
-    if (process.mLife != one.mLife || one.mForgotten) {
+    if (process.mIncarnation != one.mIncarnation || one.mForgotten) {
       return;
     }
     const Millis now = Now(process);
     Lease& lease = *process.mLease;
-    Carry(one.mProcess,
-          std::holds_alternative<ReadLease>(one.mAction)
-            ? lease.OnRead(aLost ? LeaseFound() : one.mFound, now)
-            : lease.OnWritten(aLost ? LeaseWriteOutcome::Unknown : one.mEnd,
-                              one.mRevision,
-                              now));
+    Perform(
+      one.mProcess,
+      std::holds_alternative<ReadLease>(one.mAction)
+        ? lease.OnRead(aLost ? LeaseFound() : one.mFound, now)
+        : lease.OnWritten(aLost ? LeaseWriteOutcome::Unknown : one.mResult,
+                          one.mRevision,
+                          now));
   }
 
   int64_t mTime = 0;
@@ -256,8 +259,8 @@
   bool mTableDown = false;
   bool mHealed = false;
   size_t mGains = 0;
-  uint64_t mHighestFence = 0;
-  std::pair<size_t, int> mFenceOwner;
+  uint64_t mHighestNumber = 0;
+  std::pair<size_t, int> mNumberOwner;
 };
 
 } // namespace
--- a/tests/unit/ledgertest.cpp
+++ b/tests/unit/ledgertest.cpp
@@ -27,8 +27,8 @@
 {
   const bool holds = rc::check([] {
     constexpr size_t kLimit = 20;
-    constexpr Millis kSpan{ 1000 };
-    Ledger ledger({ .mRetention = kSpan, .mLimit = kLimit });
+    constexpr Millis kRetention{ 1000 };
+    Ledger ledger({ .mRetention = kRetention, .mLimit = kLimit });
     std::map<uint64_t, bool> ended;
     Millis now(1);
     const int steps = *rc::gen::inRange(1, 200);
@@ -37,10 +37,10 @@
       const auto number = *rc::gen::inRange<uint64_t>(0, 60);
       const bool started = *rc::gen::arbitrary<bool>();
       const bool known = ledger.Find(KeyOf(number)) != nullptr;
-      const FinalMessage word =
+      const FinalMessage message =
         started ? FinalMessage(Finished{ .mKey = KeyOf(number) })
                 : FinalMessage();
-      ledger.Close(KeyOf(number), word, now);
+      ledger.Close(KeyOf(number), message, now);
       if (!known) {
         ended[number] = started;
       }
--- a/tests/unit/membershiptest.cpp
+++ b/tests/unit/membershiptest.cpp
@@ -102,16 +102,18 @@
   }
   const double mean =
     double(kEntries) * kModels * kSize / static_cast<double>(kSidecars);
-  size_t most = 0;
-  size_t least = kEntries;
+  size_t maxChannels = 0;
+  size_t minChannels = kEntries;
   for (const SidecarMember& one : all) {
-    most = std::max(most, channels[one.mUpstream]);
-    least = std::min(least, channels[one.mUpstream]);
+    maxChannels = std::max(maxChannels, channels[one.mUpstream]);
+    minChannels = std::min(minChannels, channels[one.mUpstream]);
   }
-  cr_log_info(
-    "channels of a sidecar: %zu to %zu, mean %.1f", least, most, mean);
-  cr_assert(most < 1.4 * mean, "%zu of %f", most, mean);
-  cr_assert(least > 0.6 * mean, "%zu of %f", least, mean);
+  cr_log_info("channels of a sidecar: %zu to %zu, mean %.1f",
+              minChannels,
+              maxChannels,
+              mean);
+  cr_assert(maxChannels < 1.4 * mean, "%zu of %f", maxChannels, mean);
+  cr_assert(minChannels > 0.6 * mean, "%zu of %f", minChannels, mean);
 }
 
 Test(membershipview, leaving_holds_at_once)
--- a/tests/unit/orderstest.cpp
+++ b/tests/unit/orderstest.cpp
@@ -18,12 +18,12 @@
 constexpr size_t kProcesses = 4; /**< two for each of two upstreams */
 constexpr size_t kSlots = 1;
 constexpr int kSteps = 2000;
-const Millis kLongest{ 2000 };
+const Millis kMaxOrderDuration{ 2000 };
 
 struct Pending
 {
   size_t mProcess = 0;
-  int mLife = 0;
+  int mIncarnation = 0;
   OrderAction mAction;
   bool mExecuted = false;
   bool mForgotten = false;
@@ -40,7 +40,7 @@
   Millis mBegin;
   Millis mEnd;
   bool mLoad = false;
-  bool mSlept = false;
+  bool mDelayed = false;
 };
 
 /** Sidecars that replace each other give orders to the same engines. */
@@ -75,7 +75,7 @@
         break;
       case 3:
         mTableDown = Fault(20);
-        mProcesses[Draw(kProcesses)].mCut = Fault(60);
+        mProcesses[Draw(kProcesses)].mTableUnreachable = Fault(60);
         break;
       case 4:
       case 5:
@@ -92,7 +92,7 @@
     mHealed = true;
     for (Process& process : mProcesses) {
       process.mPaused = false;
-      process.mCut = false;
+      process.mTableUnreachable = false;
     }
     for (int round = 0; round < 6000; ++round) {
       for (int moves = 0; moves < 10; ++moves) {
@@ -116,7 +116,7 @@
         const Execution& other = mExecutions[two];
         const bool during =
           other.mBegin <= first.mBegin && first.mBegin < other.mEnd;
-        const bool counts = !other.mSlept && !first.mSlept;
+        const bool counts = !other.mDelayed && !first.mDelayed;
         loads += during && counts && other.mLoad && first.mLoad ? 1 : 0;
         if (two > one && other.mUpstream == first.mUpstream) {
           RC_ASSERT(other.mFencingNumber >= first.mFencingNumber);
@@ -149,24 +149,24 @@
   struct Process
   {
     std::unique_ptr<Orders> mOrders;
-    int mLife = 0;
+    int mIncarnation = 0;
     bool mPaused = false;
-    bool mCut = false; /**< it alone does not reach the table */
+    bool mTableUnreachable = false; /**< it alone does not reach the table */
     int mOpen = 0;
     /** It sleeps between its check and its sending. */
-    std::optional<SendOrder> mAsleep;
-    Millis mAsleepUntil;
+    std::optional<SendOrder> mDelayedOrder;
+    Millis mDelayedUntil;
 
-    bool Awake() const { return !mPaused && !mAsleep; }
+    bool IsActive() const { return !mPaused && !mDelayedOrder; }
   };
 
-  void WakeSleepers()
+  void SendDelayedOrders()
   {
     for (size_t each = 0; each < kProcesses; ++each) {
       Process& process = mProcesses[each];
-      if (process.mAsleep && mNow >= process.mAsleepUntil) {
-        const SendOrder send = *process.mAsleep;
-        process.mAsleep.reset();
+      if (process.mDelayedOrder && mNow >= process.mDelayedUntil) {
+        const SendOrder send = *process.mDelayedOrder;
+        process.mDelayedOrder.reset();
         Arrive(each, send, true);
       }
     }
@@ -175,50 +175,51 @@
   void Boot(size_t aProcess)
   {
     Process& process = mProcesses[aProcess];
-    ++process.mLife;
+    ++process.mIncarnation;
     process.mOpen = 0;
-    process.mAsleep.reset();
-    process.mOrders = std::make_unique<Orders>(OrderOptions{
-      .mUpstream = "engine-" + std::to_string(aProcess % 2),
-      .mHolder = std::to_string(aProcess) + "-" + std::to_string(process.mLife),
-      .mEngineChecksFencing = mEnginesCheck,
-      .mMaxOrderDuration = kLongest,
-      .mLeaseMargin = Millis(1500),
-      .mOrderTimeout = Millis(30000),
-      .mLoadSlots = kSlots,
-      .mSeed = mRandom() });
+    process.mDelayedOrder.reset();
+    process.mOrders = std::make_unique<Orders>(
+      OrderOptions{ .mUpstream = "engine-" + std::to_string(aProcess % 2),
+                    .mHolder = std::to_string(aProcess) + "-" +
+                               std::to_string(process.mIncarnation),
+                    .mEngineChecksFencing = mEnginesCheck,
+                    .mMaxOrderDuration = kMaxOrderDuration,
+                    .mLeaseMargin = Millis(1500),
+                    .mOrderTimeout = Millis(30000),
+                    .mLoadSlots = kSlots,
+                    .mSeed = mRandom() });
   }
 
   void Submit(size_t aProcess)
   {
     Process& process = mProcesses[aProcess];
-    if (!process.Awake()) {
+    if (!process.IsActive()) {
       return;
     }
     const bool load = Chance(60);
     ++process.mOpen;
-    Carry(aProcess,
-          process.mOrders->Submit(
-            { std::to_string(++mLastId),
-              load ? OrderKind::LoadAdapter : OrderKind::UnloadAdapter,
-              "adapter",
-              "weights" },
-            mNow));
+    Perform(aProcess,
+            process.mOrders->Submit(
+              { std::to_string(++mLastId),
+                load ? OrderKind::LoadAdapter : OrderKind::UnloadAdapter,
+                "adapter",
+                "weights" },
+              mNow));
   }
 
-  void Advance(int64_t aSpan)
+  void Advance(int64_t aMillis)
   {
-    mNow += Millis(aSpan);
-    WakeSleepers();
+    mNow += Millis(aMillis);
+    SendDelayedOrders();
     for (size_t each = 0; each < kProcesses; ++each) {
       Process& process = mProcesses[each];
-      if (process.Awake() && process.mOrders->NextWake() <= mNow) {
-        Carry(each, process.mOrders->OnTick(mNow));
+      if (process.IsActive() && process.mOrders->NextWake() <= mNow) {
+        Perform(each, process.mOrders->OnTick(mNow));
       }
     }
   }
 
-  void Carry(size_t aProcess, OrderActions aActions)
+  void Perform(size_t aProcess, OrderActions aActions)
   {
     for (OrderAction& action : aActions) {
       if (std::holds_alternative<OrderEnded>(action)) {
@@ -227,7 +228,7 @@
       }
       Pending& pending = mPending.emplace_back();
       pending.mProcess = aProcess;
-      pending.mLife = mProcesses[aProcess].mLife;
+      pending.mIncarnation = mProcesses[aProcess].mIncarnation;
       pending.mAction = std::move(action);
     }
   }
@@ -241,11 +242,11 @@
     Pending& one = mPending[place];
     const Process& process = mProcesses[one.mProcess];
     if (const auto* send = std::get_if<SendOrder>(&one.mAction)) {
-      if (process.Awake()) {
+      if (process.IsActive()) {
         const SendOrder copy = *send;
         const Pending taken = one;
         EraseAt(mPending, place);
-        Give(taken, copy);
+        Attempt(taken, copy);
       }
       return;
     }
@@ -255,66 +256,67 @@
       if (one.mExecuted || Chance(5)) {
         EraseAt(mPending, place);
       }
-    } else if (process.Awake()) {
+    } else if (process.IsActive()) {
       Deliver(place, !one.mExecuted || (!mHealed && Fault(40)));
     }
   }
 
   /** The process checks, sends, and the engine acts within kLongest. */
-  void Give(const Pending& aPending, const SendOrder& aSend)
+  void Attempt(const Pending& aPending, const SendOrder& aSend)
   {
     Process& process = mProcesses[aPending.mProcess];
-    if (process.mLife != aPending.mLife) {
+    if (process.mIncarnation != aPending.mIncarnation) {
       return;
     }
     if (!process.mOrders->MaySend(mNow)) {
-      Carry(aPending.mProcess,
-            process.mOrders->OnReply(OrderReply::NotSent, mNow));
+      Perform(aPending.mProcess,
+              process.mOrders->OnReply(OrderReply::NotSent, mNow));
       return;
     }
     if (!mHealed && Fault(60)) {
-      process.mAsleep = aSend;
-      process.mAsleepUntil =
-        mNow + Millis(Draw(static_cast<uint32_t>(kLongest.Count())));
+      process.mDelayedOrder = aSend;
+      process.mDelayedUntil =
+        mNow + Millis(Draw(static_cast<uint32_t>(kMaxOrderDuration.Count())));
       return;
     }
     Arrive(aPending.mProcess, aSend, false);
   }
 
   /** The order reaches the engine. */
-  void Arrive(size_t aProcess, const SendOrder& aSend, bool aSlept)
+  void Arrive(size_t aProcess, const SendOrder& aSend, bool aDelayed)
   {
     Orders& orders = *mProcesses[aProcess].mOrders;
     const size_t upstream = aProcess % 2;
     uint64_t& highest = mHighest[upstream];
     if (mEnginesCheck && aSend.mFencingNumber < highest) {
-      Carry(aProcess, orders.OnReply(OrderReply::StaleFencingNumber, mNow));
+      Perform(aProcess, orders.OnReply(OrderReply::StaleFencingNumber, mNow));
       return;
     }
     highest = aSend.mFencingNumber;
     const bool load = aSend.mOrder.mKind == OrderKind::LoadAdapter;
-    const bool lost = !mHealed && (aSlept || Fault(30));
+    const bool lost = !mHealed && (aDelayed || Fault(30));
     const Millis span =
-      lost ? kLongest : Millis(static_cast<int64_t>(Draw(300)));
-    const Millis begin = aSlept ? mProcesses[aProcess].mAsleepUntil : mNow;
+      lost ? kMaxOrderDuration : Millis(static_cast<int64_t>(Draw(300)));
+    const Millis begin = aDelayed ? mProcesses[aProcess].mDelayedUntil : mNow;
     mExecutions.push_back({ upstream,
                             aProcess,
                             aSend.mFencingNumber,
                             begin,
                             begin + span,
                             load,
-                            aSlept });
+                            aDelayed });
     if (!lost) {
       mNow += span; // nothing else moves meanwhile; the reply comes at once
     }
-    Carry(aProcess,
-          orders.OnReply(lost ? OrderReply::Unknown : OrderReply::Done, mNow));
+    Perform(
+      aProcess,
+      orders.OnReply(lost ? OrderReply::Unknown : OrderReply::Done, mNow));
   }
 
   void Execute(Pending& aOne)
   {
     aOne.mExecuted = true;
-    if (mTableDown || mProcesses[aOne.mProcess].mCut) {
+    if (mTableDown || mProcesses[aOne.mProcess].mTableUnreachable) {
       return;
     }
     const auto& action = std::get<LeaseRowAction>(aOne.mAction);
@@ -341,17 +343,17 @@
       EraseAt(mPending, aPlace);
     }
     Process& process = mProcesses[one.mProcess];
-    if (process.mLife != one.mLife || one.mForgotten) {
+    if (process.mIncarnation != one.mIncarnation || one.mForgotten) {
       return;
     }
     const auto& action = std::get<LeaseRowAction>(one.mAction);
     const bool reads = std::holds_alternative<ReadLease>(action.mAction);
     const LeaseFound found = aLost ? LeaseFound() : one.mFound;
     const LeaseWriteOutcome end = aLost ? LeaseWriteOutcome::Unknown : one.mEnd;
-    Carry(one.mProcess,
-          reads ? process.mOrders->OnLeaseRead(action.mKey, found, mNow)
-                : process.mOrders->OnLeaseWritten(
-                    action.mKey, end, one.mRevision, mNow));
+    Perform(one.mProcess,
+            reads ? process.mOrders->OnLeaseRead(action.mKey, found, mNow)
+                  : process.mOrders->OnLeaseWritten(
+                      action.mKey, end, one.mRevision, mNow));
   }
 
   bool mEnginesCheck;
@@ -402,7 +404,7 @@
 namespace {
 
 OrderOptions
-Ignoring()
+OptionsWithoutFencing()
 {
   return { .mUpstream = "e",
            .mHolder = "b",
@@ -417,9 +419,9 @@
 
 /** Has the lease at time 0, whose row was like this before. */
 Orders
-Holder(const LeaseFound& aBefore)
+OrdersHoldingLease(const LeaseFound& aBefore)
 {
-  Orders orders(Ignoring());
+  Orders orders(OptionsWithoutFencing());
   orders.Submit(kUnload, Millis(0));
   orders.OnLeaseRead(kKey, aBefore, Millis(0));
   orders.OnLeaseWritten(kKey, LeaseWriteOutcome::Done, 9, Millis(0));
@@ -443,7 +445,7 @@
 
 Test(orders, no_order_is_sent_that_the_lease_may_not_outlast)
 {
-  const Orders orders = Holder({ true, 0, "" });
+  const Orders orders = OrdersHoldingLease({ true, 0, "" });
   cr_assert(orders.MaySend(Millis(0)));
   cr_assert(orders.MaySend(Millis(7400)));
   cr_assert(!orders.MaySend(Millis(7600)));
@@ -451,7 +453,7 @@
 
 Test(orders, a_successor_waits_for_what_the_holder_before_may_have_sent)
 {
-  Orders orders(Ignoring());
+  Orders orders(OptionsWithoutFencing());
   orders.Submit(kUnload, Millis(0));
   const LeaseFound other{ true,
                           5,
@@ -463,15 +465,15 @@
   cr_assert(!orders.MaySend(Millis(6900)));
   cr_assert(orders.MaySend(Millis(7000)));
   const Orders given =
-    Holder({ true, 5, LeaseRowToText({ "", 3, 1, Millis(4000) }) });
+    OrdersHoldingLease({ true, 5, LeaseRowToText({ "", 3, 1, Millis(4000) }) });
   cr_assert(given.MaySend(Millis(0)));
 }
 
 Test(orders, the_lease_is_kept_while_an_order_may_be_at_work)
 {
-  Orders done = Holder({ true, 0, "" });
+  Orders done = OrdersHoldingLease({ true, 0, "" });
   cr_assert(GivesBack(done.OnReply(OrderReply::Done, Millis(100))));
-  Orders lost = Holder({ true, 0, "" });
+  Orders lost = OrdersHoldingLease({ true, 0, "" });
   lost.OnReply(OrderReply::Unknown, Millis(7000));
   cr_assert(!GivesBack(lost.OnTick(Millis(8000))));
   const auto renewed = [&](int64_t aNow) {
--- a/tests/unit/scheduletest.cpp
+++ b/tests/unit/scheduletest.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Millis kFloorSpan{ 2000 };
-constexpr size_t kKept = 4;
-constexpr uint64_t kRoom = 20000;
+constexpr Millis kFloorStartDelay{ 2000 };
+constexpr size_t kReservedPlaces = 4;
+constexpr uint64_t kCapacity = 20000;
 
 AttemptKey
 KeyOf(uint64_t aNumber)
@@ -65,12 +65,12 @@
   void TakeRegular()
   {
     mSchedule.TakeLate(mNow);
-    const auto turn = mSchedule.NextRegular();
-    RC_ASSERT(turn.has_value() == !mWaiting.empty());
-    if (!turn) {
+    const auto dispatch = mSchedule.NextRegularDispatch();
+    RC_ASSERT(dispatch.has_value() == !mWaiting.empty());
+    if (!dispatch) {
       return;
     }
-    const WaitingRequest request = Find(turn->mKey);
+    const WaitingRequest request = Find(dispatch->mKey);
     for (const WaitingRequest& other : mWaiting) {
       RC_ASSERT(other.mLevel.mTier >= request.mLevel.mTier);
       if (other.mLevel.mTier == request.mLevel.mTier && !IsLate(other)) {
@@ -82,15 +82,15 @@
         ++record.mOthersStarts;
       }
     }
-    Start(*turn);
+    Start(*dispatch);
     TakeFloors();
   }
 
   /** As the sidecar does after regular turns and at each wake. */
   void TakeFloors()
   {
-    while (const auto turn = mSchedule.NextFloor(kRoom, mNow)) {
-      Start(*turn);
+    while (const auto dispatch = mSchedule.NextFloorDispatch(kCapacity, mNow)) {
+      Start(*dispatch);
     }
     for (const auto& [name, record] : mClasses) {
       if (CountOf(name) == 0) {
@@ -101,7 +101,7 @@
         RC_ASSERT(record.mOthersStarts < std::ceil(1 / floor));
       }
       if (record.mRunning.empty()) {
-        RC_ASSERT(mNow - record.mSince < kFloorSpan);
+        RC_ASSERT(mNow - record.mWaitingSince < kFloorStartDelay);
       }
     }
   }
@@ -117,11 +117,11 @@
     record.mFloorTokens -= ended.mFloorTokens;
     record.mRunning.pop_back();
     if (record.mRunning.empty()) {
-      record.mSince = mNow;
+      record.mWaitingSince = mNow;
     }
   }
 
-  void Pass(Millis aSpan)
+  void AdvanceTime(Millis aSpan)
   {
     const Millis until = mNow + aSpan;
     while (mSchedule.NextWake() <= until) {
@@ -132,7 +132,7 @@
     mNow = until;
     for (const auto& [name, record] : mClasses) {
       if (CountOf(name) > 0 && record.mRunning.empty()) {
-        RC_ASSERT(mNow - record.mSince <= kFloorSpan);
+        RC_ASSERT(mNow - record.mWaitingSince <= kFloorStartDelay);
       }
     }
     TakeFloors();
@@ -141,10 +141,10 @@
   void CheckShed(int aClass) const
   {
     const ServiceLevel level = LevelOf(aClass, 0);
-    const auto victim = mSchedule.ToShedFor(level);
+    const auto victim = mSchedule.VictimFor(level);
     Tier lowest = 0;
     for (const WaitingRequest& request : mWaiting) {
-      if (CountOf(request.mLevel.mClass) > kKept) {
+      if (CountOf(request.mLevel.mClass) > kReservedPlaces) {
         lowest = std::max(lowest, request.mLevel.mTier);
       }
     }
@@ -197,23 +197,23 @@
     std::vector<Started> mRunning{};
     uint64_t mFloorTokens = 0;
     uint64_t mOthersStarts = 0;
-    Millis mSince{};
+    Millis mWaitingSince{};
   };
 
   void Restart(ClassRecord& aRecord) const
   {
     aRecord.mOthersStarts = 0;
-    aRecord.mSince = mNow;
+    aRecord.mWaitingSince = mNow;
   }
 
-  void Start(const Dispatch& aTurn)
+  void Start(const Dispatch& aDispatch)
   {
-    const WaitingRequest request = Find(aTurn.mKey);
-    const uint64_t floorTokens = aTurn.mFloor ? request.mTokens : 0;
-    mSchedule.Take(aTurn, mNow);
-    Forget(aTurn.mKey);
+    const WaitingRequest request = Find(aDispatch.mKey);
+    const uint64_t floorTokens = aDispatch.mFloor ? request.mTokens : 0;
+    mSchedule.Take(aDispatch, mNow);
+    Forget(aDispatch.mKey);
     ClassRecord& record = mClasses[request.mLevel.mClass];
-    if (aTurn.mFloor) {
+    if (aDispatch.mFloor) {
       CheckFloorRoom(request, record);
     }
     record.mFloorTokens += floorTokens;
@@ -227,7 +227,8 @@
   {
     const uint64_t tokens = aRecord.mFloorTokens + aRequest.mTokens;
     RC_ASSERT(aRecord.mFloorTokens == 0 ||
-              static_cast<double>(tokens) <= aRequest.mLevel.mFloor * kRoom);
+              static_cast<double>(tokens) <=
+                aRequest.mLevel.mFloor * kCapacity);
   }
 
   bool IsLate(const WaitingRequest& aRequest) const
@@ -243,7 +244,7 @@
       }));
   }
 
-  std::vector<WaitingRequest>::const_iterator Place(
+  std::vector<WaitingRequest>::const_iterator FindPosition(
     const AttemptKey& aKey) const
   {
     const auto found = std::find_if(
@@ -256,13 +257,13 @@
 
   const WaitingRequest& Find(const AttemptKey& aKey) const
   {
-    return *Place(aKey);
+    return *FindPosition(aKey);
   }
 
-  void Forget(const AttemptKey& aKey) { mWaiting.erase(Place(aKey)); }
+  void Forget(const AttemptKey& aKey) { mWaiting.erase(FindPosition(aKey)); }
 
-  Schedule mSchedule{ { .mFloorStartDelay = kFloorSpan,
-                        .mKeptPlaces = kKept } };
+  Schedule mSchedule{ { .mFloorStartDelay = kFloorStartDelay,
+                        .mReservedPlaces = kReservedPlaces } };
   Millis mNow{ 1 };
   uint64_t mNextKey = 1;
   std::vector<WaitingRequest> mWaiting;
@@ -296,7 +297,7 @@
       } else if (kind == 7) {
         model.RemoveOne(*rc::gen::inRange<size_t>(0, 1000));
       } else if (kind == 8) {
-        model.Pass(Millis(*rc::gen::inRange(0, 3000)));
+        model.AdvanceTime(Millis(*rc::gen::inRange(0, 3000)));
       }
       model.CheckShed(ofClass);
       model.CheckAhead(ofClass);
@@ -313,7 +314,7 @@
  */
 Test(schedule, shares_are_fair_by_tokens)
 {
-  constexpr double kMostTokens = 1000;
+  constexpr double kMaxTokens = 1000;
   const bool holds = rc::check([] {
     Schedule schedule;
     uint64_t number = 1;
@@ -329,15 +330,15 @@
       add(workspace);
     }
     for (int i = 0; i < 300; ++i) {
-      const Dispatch turn = *schedule.NextRegular();
-      const WaitingRequest request = *schedule.Find(turn.mKey);
+      const Dispatch dispatch = *schedule.NextRegularDispatch();
+      const WaitingRequest request = *schedule.Find(dispatch.mKey);
       const int workspace = request.mLevel.mWorkspace == "A" ? 0 : 1;
-      schedule.Take(turn, Millis());
+      schedule.Take(dispatch, Millis());
       served[workspace] += static_cast<double>(request.mTokens);
       add(workspace);
       const double first = served[0] / LevelOf(0, 0).mWeight;
       const double second = served[1] / LevelOf(0, 1).mWeight;
-      RC_ASSERT(std::abs(first - second) <= 2 * kMostTokens);
+      RC_ASSERT(std::abs(first - second) <= 2 * kMaxTokens);
     }
   });
   cr_assert(holds);
@@ -359,16 +360,16 @@
     add(0);
   }
   for (int i = 0; i < 100; ++i) {
-    schedule.Take(*schedule.NextRegular(), Millis());
+    schedule.Take(*schedule.NextRegularDispatch(), Millis());
   }
   for (int i = 0; i < 50; ++i) {
     add(1);
   }
   int ofFirst = 0;
   for (int i = 0; i < 30; ++i) {
-    const Dispatch turn = *schedule.NextRegular();
-    ofFirst += schedule.Find(turn.mKey)->mLevel.mWorkspace == "A" ? 1 : 0;
-    schedule.Take(turn, Millis());
+    const Dispatch dispatch = *schedule.NextRegularDispatch();
+    ofFirst += schedule.Find(dispatch.mKey)->mLevel.mWorkspace == "A" ? 1 : 0;
+    schedule.Take(dispatch, Millis());
   }
   cr_assert_geq(ofFirst, 9);
   cr_assert_leq(ofFirst, 11);
--- a/tests/unit/virtualfleet.h
+++ b/tests/unit/virtualfleet.h
@@ -56,29 +56,29 @@
   static std::string TrueAnswer(RequestId aId)
   {
     std::string answer;
-    for (uint64_t i = 0; i < Parts(aId); i++) {
-      answer += Part(aId, i);
+    for (uint64_t i = 0; i < ChunkCount(aId); i++) {
+      answer += ChunkText(aId, i);
     }
     return answer;
   }
 
-  void At(Millis aWhen, std::function<void()> aWhat)
+  void At(Millis aTime, std::function<void()> aWhat)
   {
-    mEvents.emplace(std::pair(std::max(aWhen, mNow), mNextEvent++),
+    mEvents.emplace(std::pair(std::max(aTime, mNow), mNextEvent++),
                     std::move(aWhat));
   }
 
   void Run(Millis aUntil)
   {
-    size_t still = 0;
+    size_t repeated = 0;
     while (true) {
       const Millis next = std::max(NextDue(), mNow);
       if (next > aUntil) {
         mNow = aUntil;
         return;
       }
-      still = next == mNow ? still + 1 : 0;
-      Demand(still < kMostAtOnce, "time stands still");
+      repeated = next == mNow ? repeated + 1 : 0;
+      Require(repeated < kMaxStepsAtOnce, "time stands still");
       mNow = next;
       Step();
     }
@@ -100,7 +100,7 @@
     request.mCall.mTokenStream = true;
     request.mPromptTokens = 100;
     request.mPrefixHash = id.mLow;
-    request.mMaxOutputTokens = kMostParts;
+    request.mMaxOutputTokens = kMaxChunks;
     CarryOut(mEntry->OnRequest(std::move(request), mNow));
     return id;
   }
@@ -122,10 +122,10 @@
       return;
     }
     host.mChannel = 0;
-    At(mNow + Chance(50), [this, &host] { TellEntryOfCut(host); });
-    At(mNow + Chance(50), [this, &host] {
-      if (host.mHeard == 0 || host.mHeard != host.mChannel) {
-        host.mHeard = 0;
+    At(mNow + RandomDelay(50), [this, &host] { NotifyEntryOfCut(host); });
+    At(mNow + RandomDelay(50), [this, &host] {
+      if (host.mSidecarChannel == 0 || host.mSidecarChannel != host.mChannel) {
+        host.mSidecarChannel = 0;
         CarryOut(host, host.mCore->OnEntryDown(kEntry, mNow));
       }
     });
@@ -160,14 +160,14 @@
   {
     Host& host = mHosts.at(aName);
     host.mFrozenUntil = std::max(host.mFrozenUntil, aUntil);
-    At(host.mFrozenUntil, [this, &host] { Thaw(host); });
+    At(host.mFrozenUntil, [this, &host] { Unfreeze(host); });
   }
 
   void SetEngines(VirtualEngines aEngines) { mEngines = aEngines; }
   /** One upstream that is not like the others. */
   void SetEngine(const UpstreamId& aName, VirtualEngines aEngine)
   {
-    mOdd[aName] = aEngine;
+    mEngineOverrides[aName] = aEngine;
   }
 
   /** Drains all sidecars, and tells whether they have nothing left to do. */
@@ -198,7 +198,7 @@
     uint64_t mBoots = 0;
     /** The newest connection's number, 0 for none; and the sidecar's. */
     uint64_t mChannel = 0;
-    uint64_t mHeard = 0;
+    uint64_t mSidecarChannel = 0;
     bool mSilentUp = false;
     bool mSilentDown = false;
     Millis mLastUp;
@@ -209,34 +209,37 @@
   };
 
   static constexpr const char* kEntry = "entry-1";
-  static constexpr uint32_t kMostParts = 8;
-  static constexpr size_t kMostAtOnce = 5000;
+  static constexpr uint32_t kMaxChunks = 8;
+  static constexpr size_t kMaxStepsAtOnce = 5000;
 
-  static uint64_t Parts(RequestId aId) { return 1 + aId.mLow % kMostParts; }
-  static std::string Part(RequestId aId, uint64_t aNumber)
+  static uint64_t ChunkCount(RequestId aId)
+  {
+    return 1 + aId.mLow % kMaxChunks;
+  }
+  static std::string ChunkText(RequestId aId, uint64_t aNumber)
   {
     return aId.Text() + ":" + std::to_string(aNumber) + ";";
   }
-  static void Demand(bool aTrue, const char* aWhat)
+  static void Require(bool aCondition, const char* aWhat)
   {
-    if (!aTrue) {
+    if (!aCondition) {
       throw std::logic_error(aWhat);
     }
   }
 
-  Millis Chance(int64_t aMost)
+  Millis RandomDelay(int64_t aMax)
   {
-    return Millis(std::uniform_int_distribution<int64_t>(0, aMost)(mRandom));
+    return Millis(std::uniform_int_distribution<int64_t>(0, aMax)(mRandom));
   }
-  bool Happens(double aChance)
+  bool RandomBool(double aProbability)
   {
-    return std::bernoulli_distribution(aChance)(mRandom);
+    return std::bernoulli_distribution(aProbability)(mRandom);
   }
 
   const VirtualEngines& EngineOf(const Host& aHost) const
   {
-    const auto odd = mOdd.find(aHost.mName);
-    return odd == mOdd.end() ? mEngines : odd->second;
+    const auto found = mEngineOverrides.find(aHost.mName);
+    return found == mEngineOverrides.end() ? mEngines : found->second;
   }
 
   Millis NextDue() const
@@ -272,7 +275,7 @@
   void Boot(Host& aHost)
   {
     aHost.mBoots++;
-    aHost.mHeard = 0;
+    aHost.mSidecarChannel = 0;
     aHost.mCore = std::make_unique<SidecarCore>(
       SidecarOptions{ .mUpstream = aHost.mName,
                       .mDataCentre = "riga-1",
@@ -296,19 +299,19 @@
     CarryOut(mEntry->OnChannelUp(aHost.mName, mNow));
   }
 
-  void TellEntryOfCut(Host& aHost)
+  void NotifyEntryOfCut(Host& aHost)
   {
     if (aHost.mChannel != 0) {
       return;
     }
     CarryOut(mEntry->OnChannelDown(aHost.mName, mNow));
-    At(mNow + Chance(300), [this, &aHost] { Open(aHost); });
+    At(mNow + RandomDelay(300), [this, &aHost] { Open(aHost); });
   }
 
   void CarryOut(EntryActions aActions)
   {
     for (EntryAction& action : aActions) {
-      std::visit([this](auto& aKnown) { Do(aKnown); }, action);
+      std::visit([this](auto& aTyped) { Do(aTyped); }, action);
     }
   }
 
@@ -316,27 +319,27 @@
   {
     Host& host = mHosts.at(aAction.mUpstream);
     if (host.mChannel != 0) {
-      host.mLastUp = std::max(host.mLastUp, mNow + Chance(5));
+      host.mLastUp = std::max(host.mLastUp, mNow + RandomDelay(5));
       At(host.mLastUp,
          [this, &host, channel = host.mChannel, message = aAction.mMessage] {
-           InTurn(host, [this, &host, channel, message] {
-             ToSidecar(host, channel, message);
+           RunWhenActive(host, [this, &host, channel, message] {
+             DeliverToSidecar(host, channel, message);
            });
          });
     }
   }
 
-  void ToSidecar(Host& aHost, uint64_t aChannel, EntryMessage aMessage)
+  void DeliverToSidecar(Host& aHost, uint64_t aChannel, EntryMessage aMessage)
   {
     if (aHost.mChannel != aChannel || aHost.mSilentUp) {
       return;
     }
-    aHost.mHeard = aChannel;
+    aHost.mSidecarChannel = aChannel;
     CarryOut(aHost, aHost.mCore->OnMessage(kEntry, std::move(aMessage), mNow));
   }
 
   /** Does it at once, or in its turn when the host's process moves again. */
-  void InTurn(Host& aHost, std::function<void()> aWhat)
+  void RunWhenActive(Host& aHost, std::function<void()> aWhat)
   {
     if (mNow < aHost.mFrozenUntil || !aHost.mInbox.empty()) {
       aHost.mInbox.push_back(std::move(aWhat));
@@ -345,7 +348,7 @@
     }
   }
 
-  void Thaw(Host& aHost)
+  void Unfreeze(Host& aHost)
   {
     while (mNow >= aHost.mFrozenUntil && !aHost.mInbox.empty()) {
       const auto next = std::move(aHost.mInbox.front());
@@ -359,29 +362,29 @@
     Host& host = mHosts.at(aAction.mUpstream);
     mReopened[aAction.mUpstream] = mNow;
     host.mChannel = 0;
-    At(mNow + Chance(20), [this, &host] { Open(host); });
+    At(mNow + RandomDelay(20), [this, &host] { Open(host); });
   }
 
   VirtualCaller& CallerOf(RequestId aId)
   {
     VirtualCaller& caller = mCallers.at(aId);
-    Demand(!caller.Ended(), "something after the final answer");
-    Demand(!caller.mDisconnected, "something for a caller that left");
+    Require(!caller.Ended(), "something after the final answer");
+    Require(!caller.mDisconnected, "something for a caller that left");
     return caller;
   }
 
   void Do(AnswerHead& aAction)
   {
     VirtualCaller& caller = CallerOf(aAction.mId);
-    Demand(!caller.mHead, "a second head");
-    Demand(aAction.mStatus == 200, "another status");
+    Require(!caller.mHead, "a second head");
+    Require(aAction.mStatus == 200, "another status");
     caller.mHead = true;
   }
 
   void Do(AnswerData& aAction)
   {
     VirtualCaller& caller = CallerOf(aAction.mId);
-    Demand(caller.mHead, "data before the head");
+    Require(caller.mHead, "data before the head");
     caller.mData += aAction.mData;
   }
 
@@ -402,18 +405,21 @@
   void CarryOut(Host& aHost, SidecarActions aActions)
   {
     for (SidecarAction& action : aActions) {
-      std::visit([&](auto& aKnown) { Do(aHost, aKnown); }, action);
+      std::visit([&](auto& aTyped) { Do(aHost, aTyped); }, action);
     }
   }
 
   void Do(Host& aHost, SendToEntry& aAction)
   {
-    if (aHost.mHeard == 0) {
+    if (aHost.mSidecarChannel == 0) {
       return;
     }
-    aHost.mLastDown = std::max(aHost.mLastDown, mNow + Chance(5));
+    aHost.mLastDown = std::max(aHost.mLastDown, mNow + RandomDelay(5));
     At(aHost.mLastDown,
-       [this, &aHost, channel = aHost.mHeard, message = aAction.mMessage] {
+       [this,
+        &aHost,
+        channel = aHost.mSidecarChannel,
+        message = aAction.mMessage] {
          if (aHost.mChannel == channel && !aHost.mSilentDown) {
            CarryOut(mEntry->OnMessage(aHost.mName, message, mNow));
          }
@@ -423,17 +429,17 @@
   void Do(Host& aHost, StartCall& aAction)
   {
     const RequestId id = aAction.mKey.mRequest;
-    Demand(aAction.mCall.mBody == id.Text(), "another request's call");
+    Require(aAction.mCall.mBody == id.Text(), "another request's call");
     mCalls[aHost.mName]++;
-    if (Happens(EngineOf(aHost).mRefuse)) {
-      Later(
+    if (RandomBool(EngineOf(aHost).mRefuse)) {
+      DeliverCallEvent(
         aHost,
         CallFailed{ aAction.mKey, ErrorKind::UpstreamUnreachable, Ran::No });
       return;
     }
     mCallers.at(id).mRuns++;
     aHost.mCalls.insert(aAction.mKey);
-    Later(aHost, CallHead{ aAction.mKey, 200, {} });
+    DeliverCallEvent(aHost, CallHead{ aAction.mKey, 200, {} });
     Produce(aHost, aAction.mKey, 0);
   }
 
@@ -442,32 +448,35 @@
     aHost.mCalls.erase(aAction.mKey);
   }
 
-  void Produce(Host& aHost, AttemptKey aKey, uint64_t aPart)
+  void Produce(Host& aHost, AttemptKey aKey, uint64_t aChunk)
   {
-    const Millis when = mNow + Chance(EngineOf(aHost).mMaxPause.Count());
-    At(when, [this, &aHost, aKey, aPart, boots = aHost.mBoots] {
+    const Millis when = mNow + RandomDelay(EngineOf(aHost).mMaxPause.Count());
+    At(when, [this, &aHost, aKey, aChunk, boots = aHost.mBoots] {
       if (aHost.mBoots != boots || !aHost.mCalls.contains(aKey)) {
         return;
       }
-      if (Happens(EngineOf(aHost).mCrash)) {
+      if (RandomBool(EngineOf(aHost).mCrash)) {
         aHost.mCalls.erase(aKey);
-        Later(aHost, CallFailed{ aKey, ErrorKind::UpstreamFailed, Ran::Maybe });
-      } else if (aPart < Parts(aKey.mRequest)) {
-        Later(aHost, CallData{ aKey, Part(aKey.mRequest, aPart), 1 });
-        Produce(aHost, aKey, aPart + 1);
+        DeliverCallEvent(
+          aHost, CallFailed{ aKey, ErrorKind::UpstreamFailed, Ran::Maybe });
+      } else if (aChunk < ChunkCount(aKey.mRequest)) {
+        DeliverCallEvent(aHost,
+                         CallData{ aKey, ChunkText(aKey.mRequest, aChunk), 1 });
+        Produce(aHost, aKey, aChunk + 1);
       } else {
         aHost.mCalls.erase(aKey);
-        Later(
+        DeliverCallEvent(
           aHost,
-          CallDone{ aKey, 100, static_cast<uint32_t>(Parts(aKey.mRequest)) });
+          CallDone{
+            aKey, 100, static_cast<uint32_t>(ChunkCount(aKey.mRequest)) });
       }
     });
   }
 
   /** Tells the sidecar, as soon as its process moves. */
-  void Later(Host& aHost, const CallEvent& aEvent)
+  void DeliverCallEvent(Host& aHost, const CallEvent& aEvent)
   {
-    InTurn(aHost, [this, &aHost, aEvent, boots = aHost.mBoots] {
+    RunWhenActive(aHost, [this, &aHost, aEvent, boots = aHost.mBoots] {
       if (aHost.mBoots == boots) {
         CarryOut(aHost, aHost.mCore->OnCall(aEvent, mNow));
       }
@@ -485,7 +494,7 @@
   std::map<RequestId, VirtualCaller> mCallers;
   std::map<UpstreamId, Millis> mReopened;
   std::map<UpstreamId, int> mCalls;
-  std::map<UpstreamId, VirtualEngines> mOdd;
+  std::map<UpstreamId, VirtualEngines> mEngineOverrides;
 };
 
 } // namespace trefoilarch
