--- a/src/libtrefoilarch/eligiblesets.h
+++ b/src/libtrefoilarch/eligiblesets.h
@@ -11,32 +11,39 @@
 
 namespace trefoilarch {
 
-/** Places of upstreams in the list that EligibleSets was given, rising. */
+/**
+ * Indices into the list of upstreams given to EligibleSets, in ascending order.
+ */
 using EligibleSet = std::vector<uint32_t>;
 
 /**
- * Finds all upstreams that a request may go to, as Classifier::IsEligible()
- * says, at a cost that hardly depends on their number: which upstreams a
- * selector names is worked out once for each policy, and the set is kept for
- * each combination of the labels that selectors ask of traffic.
+ * Finds all upstreams that are eligible for a request, as
+ * Classifier::IsEligible() defines it, at a cost that hardly depends on their
+ * number. The upstreams of each selector are computed once per policy, and the
+ * set is cached for each combination of the labels that selectors test.
  * Single-threaded.
  */
 class EligibleSets
 {
 public:
-  /** Sets kept at the most, by traffic; beyond it all are dropped. */
-  explicit EligibleSets(size_t aMostKept = 8192);
+  /**
+   * Maximum number of cached sets, by traffic; beyond it the cache is cleared.
+   */
+  explicit EligibleSets(size_t aMaxCached = 8192);
 
   void SetClassifier(std::shared_ptr<const Classifier> aClassifier);
   void SetUpstreams(std::vector<UpstreamView> aUpstreams);
 
-  /** Valid until either of them is set again; empty without a classifier. */
+  /**
+   * Valid until the classifier or the upstreams are set again; empty without a
+   * classifier.
+   */
   std::shared_ptr<const EligibleSet> For(const Labels& aTraffic);
 
   const std::vector<UpstreamView>& Upstreams() const { return mUpstreams; }
 
 private:
-  struct SelectorPlaces
+  struct SelectorUpstreams
   {
     const Selector* mSelector = nullptr;
     EligibleSet mUpstreams;
@@ -46,24 +53,27 @@
   void AddKeys(const std::vector<Requirement>& aAll);
   std::string TrafficKey(const Labels& aTraffic) const;
   std::string MatchKey(const Labels& aTraffic,
-                       std::vector<const SelectorPlaces*>& aMatching) const;
+                       std::vector<const SelectorUpstreams*>& aMatching) const;
   EligibleSet Collect(const Labels& aTraffic,
-                      const std::vector<const SelectorPlaces*>& aFrom) const;
+                      const std::vector<const SelectorUpstreams*>& aFrom) const;
 
   using Sets =
     std::unordered_map<std::string, std::shared_ptr<const EligibleSet>>;
 
-  size_t mMostKept;
+  size_t mMaxCached;
   std::shared_ptr<const Classifier> mClassifier;
   std::vector<UpstreamView> mUpstreams;
   bool mPrepared = false;
-  std::vector<std::string> mKeys; /**< labels that decide, sorted */
-  std::vector<SelectorPlaces> mSelectors;
+  std::vector<std::string> mKeys; /**< labels that selectors test, sorted */
+  std::vector<SelectorUpstreams> mSelectors;
   Sets mByTraffic;
-  /** The same sets by the selectors that match, so that traffic of many
-   * workspaces shares one. */
+  /**
+   * The same sets keyed by the matching selectors, so that traffic of many
+   * workspaces shares one.
+   */
   Sets mByMatch;
-  std::shared_ptr<const EligibleSet> mNone = std::make_shared<EligibleSet>();
+  std::shared_ptr<const EligibleSet> mEmptySet =
+    std::make_shared<EligibleSet>();
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/entryimpl.h
+++ b/src/libtrefoilarch/entryimpl.h
@@ -18,25 +18,25 @@
 
 namespace trefoilarch {
 
-/** What an entry has counted since it started. */
+/** Counters since the entry started. */
 struct EntryCounters
 {
   uint64_t mRequests = 0;
-  uint64_t mWholeAnswers = 0;
+  uint64_t mCompleteResponses = 0;
   uint64_t mCallersLeft = 0;
   uint64_t mOffers = 0;
   uint64_t mStarts = 0;
   uint64_t mRetries = 0;
-  uint64_t mReopened = 0;
-  /** Late, crossed or duplicate messages that were dropped. */
-  uint64_t mDropped = 0;
+  uint64_t mChannelsReopened = 0;
+  /** Late, crossed or duplicate messages. */
+  uint64_t mMessagesDropped = 0;
   std::map<ErrorKind, uint64_t> mRefusals;
 };
 
 /**
- * The state behind EntryCore. Each event appends to the actions, which the
- * caller takes at the end of it. A method whose name begins with Conclude
- * destroys the request that it is given.
+ * Implementation of EntryCore. Each event appends to mActions, which the caller
+ * takes at its end. Methods whose names begin with Conclude destroy the request
+ * passed to them.
  */
 class EntryCore::Impl
 {
@@ -63,17 +63,20 @@
   std::string DumpState(Millis aNow) const;
 
 private:
-  /** Why a request cannot be offered to anybody just now. */
-  struct Outlook
+  /** Why a request cannot be offered to any upstream at present. */
+  struct Availability
   {
-    /** Some that it may go to are being reconnected, or are not known yet. */
-    bool mMoreLater = false;
+    /**
+     * Some eligible upstreams are reconnecting, or their labels are not known
+     * yet.
+     */
+    bool mMayComeLater = false;
     bool mAnyEligible = false;
   };
 
-  bool MakePlaceFor(Tier aTier, Millis aNow);
+  bool EvictLowerTier(Tier aTier, Millis aNow);
 
-  // Placing and concluding requests.
+  // Offering and concluding requests.
   void Place(OpenRequest& aRequest, Millis aNow);
   void PlaceOrConclude(OpenRequest& aRequest, Millis aNow);
   size_t ReadyOffers(const OpenRequest& aRequest) const;
@@ -82,11 +85,12 @@
                                     Millis aNow);
   bool IsCandidate(const OpenRequest& aRequest,
                    const UpstreamLink& aLink) const;
-  bool IsSound(const OpenRequest& aRequest,
-               const UpstreamLink& aLink,
-               Millis aNow) const;
-  Outlook LookAhead(const OpenRequest& aRequest, Millis aNow) const;
-  static bool MayComeBack(const UpstreamLink& aLink, Millis aNow);
+  bool IsHealthy(const OpenRequest& aRequest,
+                 const UpstreamLink& aLink,
+                 Millis aNow) const;
+  Availability CheckAvailability(const OpenRequest& aRequest,
+                                 Millis aNow) const;
+  static bool MayReconnect(const UpstreamLink& aLink, Millis aNow);
   bool IsEligible(const OpenRequest& aRequest, const UpstreamLink& aLink) const;
   bool HasReadyOffer(const OpenRequest& aRequest) const
   {
@@ -98,30 +102,36 @@
                  Millis aNow) const;
   void DropOffers(OpenRequest& aRequest, Millis aNow);
   void RetryOrConclude(OpenRequest& aRequest, Refusal aRefusal, Millis aNow);
-  /** Whoever may repeat the request is told to come back. */
-  static Refusal LostAfterStart(const OpenRequest& aRequest);
-  void LoseStarted(OpenRequest& aRequest, Millis aNow);
-  void OnRequestDue(OpenRequest& aRequest, Millis aNow);
+  /**
+   * The error for a started attempt whose sidecar was lost; idempotent requests
+   * may be repeated by the caller.
+   */
+  static Refusal LostStartRefusal(const OpenRequest& aRequest);
+  void HandleLostStart(OpenRequest& aRequest, Millis aNow);
+  void OnRequestTimer(OpenRequest& aRequest, Millis aNow);
   void ConcludeWithError(OpenRequest& aRequest, Refusal aRefusal, Millis aNow);
-  void ConcludeWhole(OpenRequest& aRequest, Millis aNow);
+  void ConcludeComplete(OpenRequest& aRequest, Millis aNow);
   void Conclude(OpenRequest& aRequest, Millis aNow);
   void Refuse(RequestId aId, Refusal aRefusal);
-  Refusal NothingUsable(const OpenRequest& aRequest, const Outlook& aOutlook);
-  bool LabelIsKnown(const OpenRequest& aRequest, const char* aKey) const;
+  Refusal NoUpstreamRefusal(const OpenRequest& aRequest,
+                            const Availability& aAvailability);
+  bool AnyUpstreamHasLabel(const OpenRequest& aRequest, const char* aKey) const;
   Millis Backoff(uint32_t aRetries);
-  Millis ComeBack();
-  void Watch(const OpenRequest& aRequest);
+  Millis JitteredRetryAfter();
+  void ArmTimer(const OpenRequest& aRequest);
 
-  // What a sidecar says of an attempt.
-  void On(UpstreamLink& aLink, Welcome aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Grant& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Decline& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Voided& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, Chunk aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Finished& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const Failed& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const LedgerEntry& aMessage, Millis aNow);
-  void On(UpstreamLink& aLink, const SidecarHeartbeat& aMessage, Millis aNow);
+  // Messages from sidecars.
+  void Handle(UpstreamLink& aLink, Welcome aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Grant& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Decline& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Voided& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, Chunk aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Finished& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const Failed& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink, const LedgerEntry& aMessage, Millis aNow);
+  void Handle(UpstreamLink& aLink,
+              const SidecarHeartbeat& aMessage,
+              Millis aNow);
   OpenRequest* RequestOf(const AttemptKey& aKey);
   OpenRequest* StartedAt(const UpstreamLink& aLink, const AttemptKey& aKey);
   static std::optional<EntryAttempt> TakeOffer(const UpstreamLink& aLink,
@@ -131,36 +141,40 @@
                OpenRequest& aRequest,
                EntryAttempt aOffer,
                Millis aNow);
-  static void NoteDecline(OpenRequest& aRequest, const Decline& aDecline);
-  void PlaceOnceMore(OpenRequest& aRequest, ErrorKind aDeclined, Millis aNow);
+  static void RecordDecline(OpenRequest& aRequest, const Decline& aDecline);
+  void PlaceAgain(OpenRequest& aRequest, ErrorKind aDeclined, Millis aNow);
   void OnProbeAnswered(UpstreamLink& aLink, Millis aNow);
   void ReportFirstToken(const OpenRequest& aRequest, Millis aNow);
   void Deliver(OpenRequest& aRequest, Chunk aChunk, Millis aNow);
   void AckIfDue(UpstreamLink& aLink, OpenRequest& aRequest, Millis aNow);
-  /** A message for an attempt that is not open any more. */
-  void OnLedgerEntryOfStray(UpstreamLink& aLink,
-                            const LedgerEntry& aMessage,
+  /**
+   * A ledger entry for an attempt that has not started or is not open any more.
+   */
+  void OnStrayLedgerEntry(UpstreamLink& aLink,
+                          const LedgerEntry& aMessage,
+                          Millis aNow);
+  void OnStrayMessage(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
+  void RequestMissingChunks(UpstreamLink& aLink,
+                            OpenRequest& aRequest,
                             Millis aNow);
-  void OnStray(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  void AskForMissing(UpstreamLink& aLink, OpenRequest& aRequest, Millis aNow);
 
   // Channels.
   void Send(UpstreamLink& aLink, EntryMessage aMessage, Millis aNow);
   void Withdraw(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  /** Takes the attempt off the upstream's open ones. */
+  /** Removes the attempt from the upstream's open attempts. */
   static void Release(UpstreamLink& aLink, const EntryAttempt& aAttempt);
   void CloseAttempt(const EntryAttempt& aAttempt, Millis aNow);
-  void Remember(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  void Confirm(UpstreamLink& aLink, const AttemptKey& aKey);
+  void ScheduleErase(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
+  void ConfirmWithdrawal(UpstreamLink& aLink, const AttemptKey& aKey);
   void Recover(UpstreamLink& aLink, Millis aNow);
   void RecoverAttempt(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  void LoseChannel(UpstreamLink& aLink, Millis aNow);
-  void LearnLabels(UpstreamLink& aLink, Welcome aMessage);
+  void HandleChannelLoss(UpstreamLink& aLink, Millis aNow);
+  void UpdateLabels(UpstreamLink& aLink, Welcome aMessage);
   void EraseUnlisted();
-  void MoveOffersAway(UpstreamLink& aLink, Millis aNow);
-  void PlaceParked(Millis aNow);
-  void OnLinkDue(UpstreamLink& aLink, Millis aNow);
-  void Watch(UpstreamLink& aLink, Millis aNow);
+  void WithdrawOffers(UpstreamLink& aLink, Millis aNow);
+  void PlaceWaiting(Millis aNow);
+  void OnLinkTimer(UpstreamLink& aLink, Millis aNow);
+  void ArmTimer(UpstreamLink& aLink, Millis aNow);
   UpstreamLink* LinkOf(const UpstreamId& aUpstream);
   uint64_t PolicyVersion() const;
 
@@ -169,15 +183,15 @@
   std::shared_ptr<const Classifier> mClassifier;
   std::unordered_map<RequestId, OpenRequest> mRequests;
   std::map<UpstreamId, UpstreamLink> mLinks;
-  /** Requests that wait for a channel to come up. */
-  std::set<RequestId> mParked;
+  /** Requests waiting for a channel to open. */
+  std::set<RequestId> mAwaitingChannel;
   Timers<RequestId> mRequestTimers;
   Timers<UpstreamId> mLinkTimers;
-  EligibleLinks mEligible;
+  EligibleLinks mEligibleLinks;
   Placement mPlacement;
-  OutlierDetector mOutliers;
+  OutlierDetector mOutlierDetector;
   RetryBudget mRetryBudget;
-  OutputEstimator mOutputs;
+  OutputEstimator mOutputEstimator;
   /** Requests that have not started. */
   ShedOrder mShedOrder;
   EntryCounters mCounters;
--- a/src/libtrefoilarch/strictesttarget.h
+++ b/src/libtrefoilarch/strictesttarget.h
@@ -5,29 +5,29 @@
 namespace trefoilarch {
 
 /**
- * The strictest of the targets that were seen lately. A class that comes and
- * goes within the span keeps its say in between.
+ * The strictest of the recently seen targets. A target is kept for kRetention,
+ * so a class that comes and goes within that time keeps its effect.
  */
 class StrictestTarget
 {
 public:
-  void See(Millis aTarget, Millis aNow)
+  void Observe(Millis aTarget, Millis aNow)
   {
-    if (aTarget > mTarget && aNow <= mSeen + kSpan) {
+    if (aTarget > mTarget && aNow <= mObservedAt + kRetention) {
       return;
     }
     mTarget = aTarget;
-    mSeen = aNow;
+    mObservedAt = aNow;
   }
 
   /** Never() while none has been seen. */
   Millis Value() const { return mTarget; }
 
 private:
-  static constexpr Millis kSpan{ 10000 };
+  static constexpr Millis kRetention{ 10000 };
 
   Millis mTarget = Millis::Never();
-  Millis mSeen;
+  Millis mObservedAt;
 };
 
 } // namespace trefoilarch
--- a/tests/unit/claimstest.cpp
+++ b/tests/unit/claimstest.cpp
@@ -18,40 +18,43 @@
 constexpr int kSteps = 600;
 constexpr int64_t kEpochSeconds = 1000;
 
-/** What became of one request, over all of its life. */
-struct Life
+/** What happened to one request. */
+struct RequestRecord
 {
   std::string mKey;
   size_t mEntry = 0;
-  int mBoot = 0;
+  int mIncarnation = 0;
   std::optional<ClaimOutcome> mOutcome;
   bool mStarted = false;
   std::optional<CachedAnswer> mAnswer;
 };
 
-struct Pending
+struct PendingOperation
 {
   size_t mEntry = 0;
-  int mBoot = 0;
+  int mIncarnation = 0;
   ClaimAction mAction;
   bool mSlow = false;
   bool mExecuted = false;
-  bool mForgotten = false;
+  bool mReplyLost = false;
   ClaimCommit mCommit;
   ClaimReport mReport;
 };
 
-/** Entries round one table; its writes come late and lose their answers. */
+/**
+ * Entries sharing a table whose writes may be late and whose replies may be
+ * lost.
+ */
 class Fleet : private ModelRandom
 {
 public:
   explicit Fleet(uint32_t aSeed)
     : ModelRandom(aSeed)
   {
-    for (size_t each = 0; each < kEntries; ++each) {
-      mEntries[each].mSkew =
+    for (size_t index = 0; index < kEntries; ++index) {
+      mEntries[index].mSkew =
         static_cast<int64_t>(Draw(kEpochSeconds)) - kEpochSeconds / 2;
-      Boot(each);
+      Boot(index);
     }
   }
 
@@ -61,13 +64,13 @@
       case 0:
       case 1:
       case 2:
-        return Ask(Draw(kEntries));
+        return SendRandom(Draw(kEntries));
       case 3:
       case 4:
       case 5:
-        return EndOne();
+        return FinishOne();
       case 6:
-        return PauseOrWake(mEntries[Draw(kEntries)]);
+        return PauseOrResume(mEntries[Draw(kEntries)]);
       case 7:
         if (Fault(10)) {
           Boot(Draw(kEntries));
@@ -80,35 +83,35 @@
       case 10:
         return Advance(Millis(Draw(900)));
       default:
-        return MovePending();
+        return AdvancePending();
     }
   }
 
-  void Heal()
+  void EndFaults()
   {
     mTableDown = false;
-    mHealed = true;
+    mFaultsEnded = true;
     for (Entry& entry : mEntries) {
       entry.mPaused = false;
     }
     for (int round = 0; round < 200; ++round) {
-      for (int moves = 0; moves < 30; ++moves) {
-        MovePending();
+      for (int advances = 0; advances < 30; ++advances) {
+        AdvancePending();
       }
       Advance(Millis(100));
     }
   }
 
-  /** Each request of a living entry was answered; none has run twice. */
+  /** Each request of a running entry was answered; no key has run twice. */
   void CheckAll()
   {
     std::map<std::string, int> runs;
-    for (const auto& [id, life] : mLives) {
-      if (mEntries[life.mEntry].mBoot == life.mBoot) {
-        RC_ASSERT(life.mOutcome.has_value());
+    for (const auto& [id, record] : mRequests) {
+      if (mEntries[record.mEntry].mIncarnation == record.mIncarnation) {
+        RC_ASSERT(record.mOutcome.has_value());
       }
-      runs[life.mKey] += life.mStarted ? 1 : 0;
-      RC_ASSERT(!life.mStarted || life.mOutcome == ClaimOutcome::Run);
+      runs[record.mKey] += record.mStarted ? 1 : 0;
+      RC_ASSERT(!record.mStarted || record.mOutcome == ClaimOutcome::Run);
     }
     for (const auto& [key, count] : runs) {
       RC_ASSERT(count <= 1);
@@ -116,41 +119,42 @@
     }
   }
 
-  /** A key whose requests have all not run lets the next one run. */
+  /** A key none of whose requests ran lets the next one run. */
   void CheckKeysAreFree()
   {
-    for (const std::string& key : mTried) {
+    for (const std::string& key : mUsedKeys) {
       bool free = true;
-      for (const auto& [id, life] : mLives) {
-        const bool alive = mEntries[life.mEntry].mBoot == life.mBoot;
-        free &= life.mKey != key ||
-                (alive && life.mOutcome != ClaimOutcome::Run) ||
-                (alive && mGaveUp.contains(id));
+      for (const auto& [id, record] : mRequests) {
+        const bool alive =
+          mEntries[record.mEntry].mIncarnation == record.mIncarnation;
+        free &= record.mKey != key ||
+                (alive && record.mOutcome != ClaimOutcome::Run) ||
+                (alive && mNotRun.contains(id));
       }
       if (!free) {
         continue;
       }
       const RequestId id = Send(Draw(kEntries), key);
       for (int round = 0; round < 20; ++round) {
-        Heal();
-        if (mLives.at(id).mOutcome) {
+        EndFaults();
+        if (mRequests.at(id).mOutcome) {
           break;
         }
       }
-      RC_ASSERT(mLives.at(id).mOutcome == ClaimOutcome::Run);
-      ++mFreed;
+      RC_ASSERT(mRequests.at(id).mOutcome == ClaimOutcome::Run);
+      ++mReusedKeys;
     }
   }
 
   int Runs() const { return mRuns; }
-  int Freed() const { return mFreed; }
+  int ReusedKeys() const { return mReusedKeys; }
   int Repeats() const { return mRepeats; }
 
 private:
   struct Entry
   {
     std::unique_ptr<Claims> mClaims;
-    int mBoot = 0;
+    int mIncarnation = 0;
     bool mPaused = false;
     int64_t mSkew = 0;
   };
@@ -163,7 +167,7 @@
   void Boot(size_t aEntry)
   {
     Entry& entry = mEntries[aEntry];
-    ++entry.mBoot;
+    ++entry.mIncarnation;
     entry.mClaims = std::make_unique<Claims>(
       ClaimOptions{ .mAddress = "entry-" + std::to_string(aEntry),
                     .mMaxBatchSize = 3,
@@ -171,12 +175,12 @@
                     .mSeed = mRandom() });
   }
 
-  void PauseOrWake(Entry& aEntry)
+  void PauseOrResume(Entry& aEntry)
   {
     aEntry.mPaused = aEntry.mPaused ? Chance(80) : Fault(40);
   }
 
-  void Ask(size_t aEntry)
+  void SendRandom(size_t aEntry)
   {
     if (!mEntries[aEntry].mPaused) {
       Send(aEntry, "key-" + std::to_string(Draw(6)));
@@ -185,131 +189,137 @@
 
   RequestId Send(size_t aEntry, const std::string& aKey)
   {
-    mTried.insert(aKey);
+    mUsedKeys.insert(aKey);
     const RequestId id{ 7, ++mLastId };
-    mLives[id] = { aKey, aEntry, mEntries[aEntry].mBoot, {}, false, {} };
-    Carry(aEntry,
-          mEntries[aEntry].mClaims->Claim(
-            { id, aKey, "same" }, SecondsAt(aEntry), mNow));
+    mRequests[id] = {
+      aKey, aEntry, mEntries[aEntry].mIncarnation, {}, false, {}
+    };
+    Perform(aEntry,
+            mEntries[aEntry].mClaims->Claim(
+              { id, aKey, "same" }, SecondsAt(aEntry), mNow));
     return id;
   }
 
-  /** One of the requests that were let run starts, ends or is given up. */
-  void EndOne()
+  /**
+   * One of the requests that were allowed to run starts, ends or is given up.
+   */
+  void FinishOne()
   {
     if (mRunning.empty()) {
       return;
     }
-    auto place = mRunning.begin();
-    std::advance(place, Draw(static_cast<uint32_t>(mRunning.size())));
-    const RequestId id = *place;
-    Life& life = mLives.at(id);
-    Entry& entry = mEntries[life.mEntry];
+    auto position = mRunning.begin();
+    std::advance(position, Draw(static_cast<uint32_t>(mRunning.size())));
+    const RequestId id = *position;
+    RequestRecord& record = mRequests.at(id);
+    Entry& entry = mEntries[record.mEntry];
     if (entry.mPaused) {
       return;
     }
-    mRunning.erase(place);
-    if (entry.mBoot != life.mBoot) {
+    mRunning.erase(position);
+    if (entry.mIncarnation != record.mIncarnation) {
       return;
     }
     if (Chance(30)) {
-      mGaveUp.insert(id);
+      mNotRun.insert(id);
       entry.mClaims->NotRun(id);
       return;
     }
-    life.mStarted = true;
+    record.mStarted = true;
     if (Chance(25)) {
       entry.mClaims->MaybeRan(id);
       return;
     }
-    life.mAnswer = CachedAnswer{ 200, "text/plain", id.Text() };
-    entry.mClaims->Answered(id, *life.mAnswer);
+    record.mAnswer = CachedAnswer{ 200, "text/plain", id.Text() };
+    entry.mClaims->Answered(id, *record.mAnswer);
   }
 
-  void Advance(Millis aSpan)
+  void Advance(Millis aDuration)
   {
-    mNow += aSpan;
-    for (size_t each = 0; each < kEntries; ++each) {
-      Entry& entry = mEntries[each];
+    mNow += aDuration;
+    for (size_t index = 0; index < kEntries; ++index) {
+      Entry& entry = mEntries[index];
       if (!entry.mPaused && entry.mClaims->NextWake() <= mNow) {
-        Carry(each, entry.mClaims->OnTick(SecondsAt(each), mNow));
+        Perform(index, entry.mClaims->OnTick(SecondsAt(index), mNow));
       }
     }
   }
 
-  void Carry(size_t aEntry, ClaimActions aActions)
+  void Perform(size_t aEntry, ClaimActions aActions)
   {
     for (ClaimAction& action : aActions) {
-      if (const auto* answer = std::get_if<ClaimDecided>(&action)) {
-        NoteAnswer(*answer);
+      if (const auto* decided = std::get_if<ClaimDecided>(&action)) {
+        RecordDecision(*decided);
         continue;
       }
-      Pending& pending = mPending.emplace_back();
+      PendingOperation& pending = mPending.emplace_back();
       pending.mEntry = aEntry;
-      pending.mBoot = mEntries[aEntry].mBoot;
+      pending.mIncarnation = mEntries[aEntry].mIncarnation;
       pending.mAction = std::move(action);
       pending.mSlow = Fault(15);
     }
   }
 
-  void NoteAnswer(const ClaimDecided& aAnswer)
+  void RecordDecision(const ClaimDecided& aDecided)
   {
-    Life& life = mLives.at(aAnswer.mId);
-    RC_ASSERT(!life.mOutcome.has_value());
-    life.mOutcome = aAnswer.mOutcome;
-    if (aAnswer.mOutcome == ClaimOutcome::Run) {
-      mRunning.insert(aAnswer.mId);
+    RequestRecord& record = mRequests.at(aDecided.mId);
+    RC_ASSERT(!record.mOutcome.has_value());
+    record.mOutcome = aDecided.mOutcome;
+    if (aDecided.mOutcome == ClaimOutcome::Run) {
+      mRunning.insert(aDecided.mId);
     }
-    if (aAnswer.mOutcome == ClaimOutcome::Finished) {
+    if (aDecided.mOutcome == ClaimOutcome::Finished) {
       ++mRepeats;
-      const RequestId first = FirstOf(life.mKey);
-      RC_ASSERT(aAnswer.mAnswer && mLives.contains(first));
-      RC_ASSERT(*aAnswer.mAnswer == *mLives.at(first).mAnswer);
+      const RequestId first = FirstOf(record.mKey);
+      RC_ASSERT(aDecided.mAnswer && mRequests.contains(first));
+      RC_ASSERT(*aDecided.mAnswer == *mRequests.at(first).mAnswer);
     }
   }
 
   RequestId FirstOf(const std::string& aKey) const
   {
-    for (const auto& [id, life] : mLives) {
-      if (life.mKey == aKey && life.mAnswer) {
+    for (const auto& [id, record] : mRequests) {
+      if (record.mKey == aKey && record.mAnswer) {
         return id;
       }
     }
     return {};
   }
 
-  void MovePending()
+  void AdvancePending()
   {
     if (mPending.empty()) {
       return;
     }
-    const size_t place = Draw(static_cast<uint32_t>(mPending.size()));
-    Pending& one = mPending[place];
-    const bool lets = mHealed || !one.mSlow || Chance(2);
-    if (!one.mExecuted && lets && (mHealed || !Fault(30))) {
-      Execute(one);
-    } else if (one.mForgotten) {
-      if (one.mExecuted || Chance(one.mSlow ? 1 : 10)) {
-        EraseAt(mPending, place);
+    const size_t position = Draw(static_cast<uint32_t>(mPending.size()));
+    PendingOperation& operation = mPending[position];
+    const bool mayExecute = mFaultsEnded || !operation.mSlow || Chance(2);
+    if (!operation.mExecuted && mayExecute && (mFaultsEnded || !Fault(30))) {
+      Execute(operation);
+    } else if (operation.mReplyLost) {
+      if (operation.mExecuted || Chance(operation.mSlow ? 1 : 10)) {
+        EraseAt(mPending, position);
       }
-    } else if (!mEntries[one.mEntry].mPaused) {
-      Deliver(place, !one.mExecuted || (!mHealed && Fault(50)));
+    } else if (!mEntries[operation.mEntry].mPaused) {
+      Deliver(position, !operation.mExecuted || (!mFaultsEnded && Fault(50)));
     }
   }
 
-  void Execute(Pending& aOne)
+  void Execute(PendingOperation& aOperation)
   {
-    aOne.mExecuted = true;
-    if (const auto* commit = std::get_if<CommitClaims>(&aOne.mAction)) {
-      aOne.mCommit = TableCommit(*commit);
-    } else if (const auto* ask = std::get_if<QueryClaimant>(&aOne.mAction)) {
-      const size_t entry = ask->mAddress.back() - '0';
+    aOperation.mExecuted = true;
+    if (const auto* commit = std::get_if<CommitClaims>(&aOperation.mAction)) {
+      aOperation.mCommit = TableCommit(*commit);
+    } else if (const auto* query =
+                 std::get_if<QueryClaimant>(&aOperation.mAction)) {
+      const size_t entry = query->mAddress.back() - '0';
       if (!mEntries[entry].mPaused) {
-        aOne.mReport = mEntries[entry].mClaims->Report(ask->mRequest);
+        aOperation.mReport = mEntries[entry].mClaims->Report(query->mRequest);
       }
-    } else if (const auto* gone = std::get_if<ExpireClaims>(&aOne.mAction)) {
+    } else if (const auto* expired =
+                 std::get_if<ExpireClaims>(&aOperation.mAction)) {
       std::erase_if(mTable, [&](const auto& aRow) {
-        return aRow.second.mEpoch < gone->mBelowEpoch;
+        return aRow.second.mEpoch < expired->mBelowEpoch;
       });
     }
   }
@@ -354,45 +364,48 @@
     return std::nullopt;
   }
 
-  void Deliver(size_t aPlace, bool aLost)
+  void Deliver(size_t aPosition, bool aLost)
   {
-    const Pending one = mPending[aPlace];
-    if (aLost && !one.mExecuted) {
-      mPending[aPlace].mForgotten = true;
+    const PendingOperation operation = mPending[aPosition];
+    if (aLost && !operation.mExecuted) {
+      mPending[aPosition].mReplyLost = true;
     } else {
-      EraseAt(mPending, aPlace);
+      EraseAt(mPending, aPosition);
     }
-    Entry& entry = mEntries[one.mEntry];
-    if (entry.mBoot != one.mBoot || one.mForgotten) {
+    Entry& entry = mEntries[operation.mEntry];
+    if (entry.mIncarnation != operation.mIncarnation || operation.mReplyLost) {
       return;
     }
-    const int64_t seconds = SecondsAt(one.mEntry);
-    if (std::holds_alternative<CommitClaims>(one.mAction)) {
-      Carry(one.mEntry,
-            entry.mClaims->OnCommitted(
-              aLost ? ClaimCommit() : one.mCommit, seconds, mNow));
-    } else if (const auto* ask = std::get_if<QueryClaimant>(&one.mAction)) {
-      Carry(
-        one.mEntry,
-        entry.mClaims->OnClaimantReport(
-          ask->mTicket, aLost ? ClaimReport() : one.mReport, seconds, mNow));
+    const int64_t seconds = SecondsAt(operation.mEntry);
+    if (std::holds_alternative<CommitClaims>(operation.mAction)) {
+      Perform(operation.mEntry,
+              entry.mClaims->OnCommitted(
+                aLost ? ClaimCommit() : operation.mCommit, seconds, mNow));
+    } else if (const auto* query =
+                 std::get_if<QueryClaimant>(&operation.mAction)) {
+      Perform(operation.mEntry,
+              entry.mClaims->OnClaimantReport(query->mTicket,
+                                              aLost ? ClaimReport()
+                                                    : operation.mReport,
+                                              seconds,
+                                              mNow));
     }
   }
 
   Millis mNow{ 1000 };
   std::array<Entry, kEntries> mEntries;
-  std::vector<Pending> mPending;
+  std::vector<PendingOperation> mPending;
   std::map<std::pair<std::string, uint64_t>, FoundClaim> mTable;
   int64_t mRevision = 0;
   bool mTableDown = false;
-  bool mHealed = false;
-  std::map<RequestId, Life> mLives;
+  bool mFaultsEnded = false;
+  std::map<RequestId, RequestRecord> mRequests;
   std::set<RequestId> mRunning;
-  std::set<RequestId> mGaveUp;
-  std::set<std::string> mTried;
+  std::set<RequestId> mNotRun;
+  std::set<std::string> mUsedKeys;
   uint64_t mLastId = 0;
   int mRuns = 0;
-  int mFreed = 0;
+  int mReusedKeys = 0;
   int mRepeats = 0;
 };
 
@@ -407,31 +420,31 @@
 Test(claims, no_key_runs_twice_over_random_faults)
 {
   int runs = 0;
-  int freed = 0;
+  int reusedKeys = 0;
   int repeats = 0;
   const bool holds = rc::check([&](uint32_t aSeed) {
     Fleet fleet(aSeed);
     for (int step = 0; step < kSteps; ++step) {
       fleet.Step();
     }
-    fleet.Heal();
+    fleet.EndFaults();
     fleet.CheckAll();
     fleet.CheckKeysAreFree();
     runs += fleet.Runs();
-    freed += fleet.Freed();
+    reusedKeys += fleet.ReusedKeys();
     repeats += fleet.Repeats();
   });
   cr_assert(holds);
   cr_assert(runs > 150 && repeats > 100, "%d, %d", runs, repeats);
-  cr_assert(freed > 10, "%d", freed);
+  cr_assert(reusedKeys > 10, "%d", reusedKeys);
 }
 
-Test(claims, what_waits_is_committed_together)
+Test(claims, waiting_claims_are_committed_together)
 {
   Claims claims({ .mAddress = "here" });
   size_t commits = 0;
   size_t writes = 0;
-  const auto note = [&](const ClaimActions& aActions) {
+  const auto count = [&](const ClaimActions& aActions) {
     for (const ClaimAction& action : aActions) {
       if (const auto* commit = std::get_if<CommitClaims>(&action)) {
         ++commits;
@@ -439,15 +452,16 @@
       }
     }
   };
-  for (uint64_t each = 0; each < 30; ++each) {
-    note(claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0)));
+  for (uint64_t index = 0; index < 30; ++index) {
+    count(
+      claims.Claim({ Id(index), std::to_string(index), "f" }, 0, Millis(0)));
   }
   cr_assert(commits == 1 && writes == 1);
-  note(claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(5)));
+  count(claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(5)));
   cr_assert(commits == 2 && writes == 30);
 }
 
-Test(claims, a_lost_answer_is_settled_by_the_row)
+Test(claims, a_lost_commit_reply_is_resolved_by_the_row)
 {
   Claims claims({ .mAddress = "here" });
   claims.Claim({ Id(1), "key", "f" }, 0, Millis(0));
@@ -475,10 +489,10 @@
                   .mMaxRemembered = 10,
                   .mMaxCachedBytes = 1000,
                   .mMaxCachedAnswerSize = 300 });
-  for (uint64_t each = 0; each < 100; ++each) {
-    claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0));
+  for (uint64_t index = 0; index < 100; ++index) {
+    claims.Claim({ Id(index), std::to_string(index), "f" }, 0, Millis(0));
     claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(0));
-    claims.Answered(Id(each), { 200, "text/plain", std::string(250, 'x') });
+    claims.Answered(Id(index), { 200, "text/plain", std::string(250, 'x') });
     cr_assert(claims.AnswerBytes() <= 1000);
   }
   cr_assert(claims.Remembered() == 10);
--- a/tests/unit/entryfaultstest.cpp
+++ b/tests/unit/entryfaultstest.cpp
@@ -10,23 +10,25 @@
 namespace {
 
 constexpr Millis kFaultsEnd{ 16000 };
-constexpr Millis kLongestDeadline{ 20000 };
-/** Too short for some answers, and more than the sidecars ever foresee. */
-constexpr Millis kScant{ 500 };
-constexpr Millis kEnough{ 10000 };
-/** By now every channel has been found silent and replaced. */
-constexpr Millis kCalm{ 40000 };
-/** Longer than every deadline and span together. */
-constexpr Millis kQuiet{ 60000 };
+constexpr Millis kMaxDeadline{ 20000 };
+/**
+ * Too short for some responses, and more than sidecars ever refuse in advance.
+ */
+constexpr Millis kShortDeadline{ 500 };
+constexpr Millis kAmpleDeadline{ 10000 };
+/** By now every silent channel has been found and replaced. */
+constexpr Millis kRecoveredAt{ 40000 };
+/** Longer than all deadlines and timeouts together. */
+constexpr Millis kRunEnd{ 60000 };
 
-/** Requests and faults drawn from one seed, and the checks on what came. */
-class Storm
+/** Requests and faults drawn from one seed. */
+class FaultScenario
 {
 public:
-  Storm(uint64_t aSeed, size_t aFaults, VirtualEngines aEngines)
+  FaultScenario(uint64_t aSeed, size_t aFaults, VirtualEngines aEngines)
     : mRandom(aSeed)
     , mFleet(aSeed, kSidecars, aEngines, AnyUpstream())
-    , mShortestDeadline(aFaults == 0 ? kEnough : kScant)
+    , mMinDeadline(aFaults == 0 ? kAmpleDeadline : kShortDeadline)
   {
     for (size_t i = 0; i < kRequests; i++) {
       mFleet.At(Draw(kFaultsEnd), [this] { SendRequest(); });
@@ -34,43 +36,47 @@
     for (size_t i = 0; i < aFaults; i++) {
       mFleet.At(Draw(kFaultsEnd), [this] { Fault(); });
     }
-    mFleet.At(kCalm, [this] { AskInCalm(); });
+    mFleet.At(kRecoveredAt, [this] { SendAfterFaults(); });
   }
 
   VirtualFleet& Run()
   {
-    mFleet.Run(kQuiet);
+    mFleet.Run(kRunEnd);
     return mFleet;
   }
 
-  /** Asked when all faults were over. */
-  const std::vector<RequestId>& InCalm() const { return mInCalm; }
+  /** Requests sent after all faults were over. */
+  const std::vector<RequestId>& RequestsAfterFaults() const
+  {
+    return mRequestsAfterFaults;
+  }
 
 private:
   static constexpr size_t kSidecars = 3;
   static constexpr size_t kRequests = 40;
 
-  Millis Draw(Millis aMost)
+  Millis Draw(Millis aMax)
   {
     return Millis(
-      std::uniform_int_distribution<int64_t>(0, aMost.Count())(mRandom));
+      std::uniform_int_distribution<int64_t>(0, aMax.Count())(mRandom));
   }
 
   void SendRequest()
   {
-    const RequestId id = mFleet.SendRequest(
-      mRandom() % 2 == 0, mShortestDeadline + Draw(kLongestDeadline));
+    const RequestId id =
+      mFleet.SendRequest(mRandom() % 2 == 0, mMinDeadline + Draw(kMaxDeadline));
     if (mRandom() % 8 == 0) {
       mFleet.At(mFleet.Now() + Draw(Millis(800)),
                 [this, id] { mFleet.Leave(id); });
     }
   }
 
-  void AskInCalm()
+  void SendAfterFaults()
   {
     mFleet.SetEngines({});
     for (size_t i = 0; i < kRequests; i++) {
-      mInCalm.push_back(mFleet.SendRequest(i % 2 == 0, kEnough * 2));
+      mRequestsAfterFaults.push_back(
+        mFleet.SendRequest(i % 2 == 0, kAmpleDeadline * 2));
     }
   }
 
@@ -98,8 +104,8 @@
 
   std::mt19937_64 mRandom;
   VirtualFleet mFleet;
-  Millis mShortestDeadline;
-  std::vector<RequestId> mInCalm;
+  Millis mMinDeadline;
+  std::vector<RequestId> mRequestsAfterFaults;
 };
 
 void
@@ -130,9 +136,9 @@
   }
 }
 
-/** What is told of a request whose sidecar was restarted. */
+/** The error expected for a request whose sidecar was restarted. */
 ErrorKind
-KindOfLoss(const VirtualCaller& aCaller)
+ExpectedKindAfterRestart(const VirtualCaller& aCaller)
 {
   if (aCaller.mHead) {
     return ErrorKind::AnswerCut;
@@ -143,41 +149,43 @@
 
 } // namespace
 
-Test(entryfaults, answers_are_whole_once_and_honest_under_faults)
+Test(entryfaults, responses_are_complete_unique_and_correct_under_faults)
 {
   std::map<std::string, int> endings;
-  const bool holds = rc::check(
-    "answers are whole, once and honest under faults", [&](uint64_t aSeed) {
-      const size_t faults = aSeed % 25;
-      Storm storm(aSeed, faults, { .mCrash = 0.02, .mRefuse = 0.05 });
-      VirtualFleet& fleet = storm.Run();
-      RC_ASSERT(fleet.Entry().OpenRequests() == 0U);
-      RC_ASSERT(fleet.DrainedAtOnce());
-      for (const RequestId& id : storm.InCalm()) {
-        RC_ASSERT(fleet.Callers().at(id).mComplete);
-      }
-      for (const auto& [id, caller] : fleet.Callers()) {
-        CheckCaller(id, caller);
-        endings[caller.mComplete ? "whole"
-                : caller.mDisconnected
-                  ? "left"
-                  : std::string(Name(caller.mRefusal->mKind)) + " " +
-                      std::string(Name(caller.mRefusal->mRan))]++;
-      }
-    });
+  const bool holds =
+    rc::check("responses are complete, unique and correct under faults",
+              [&](uint64_t aSeed) {
+                const size_t faults = aSeed % 25;
+                FaultScenario scenario(
+                  aSeed, faults, { .mCrash = 0.02, .mRefuse = 0.05 });
+                VirtualFleet& fleet = scenario.Run();
+                RC_ASSERT(fleet.Entry().OpenRequests() == 0U);
+                RC_ASSERT(fleet.DrainedAtOnce());
+                for (const RequestId& id : scenario.RequestsAfterFaults()) {
+                  RC_ASSERT(fleet.Callers().at(id).mComplete);
+                }
+                for (const auto& [id, caller] : fleet.Callers()) {
+                  CheckCaller(id, caller);
+                  endings[caller.mComplete ? "whole"
+                          : caller.mDisconnected
+                            ? "left"
+                            : std::string(Name(caller.mRefusal->mKind)) + " " +
+                                std::string(Name(caller.mRefusal->mRan))]++;
+                }
+              });
   for (const auto& [ending, count] : endings) {
     std::cout << ending << ": " << count << "\n";
   }
   cr_assert(holds);
 }
 
-Test(entryfaults, without_faults_every_answer_is_whole_at_the_first_try)
+Test(entryfaults, without_faults_every_response_completes_on_the_first_attempt)
 {
   const bool holds =
-    rc::check("without faults every answer is whole at the first try",
+    rc::check("without faults every response completes on the first attempt",
               [](uint64_t aSeed) {
-                Storm storm(aSeed, 0, {});
-                VirtualFleet& fleet = storm.Run();
+                FaultScenario scenario(aSeed, 0, {});
+                VirtualFleet& fleet = scenario.Run();
                 RC_ASSERT(fleet.Reopened().empty());
                 for (const auto& [id, caller] : fleet.Callers()) {
                   RC_ASSERT(caller.mComplete || caller.mDisconnected);
@@ -187,24 +195,24 @@
   cr_assert(holds);
 }
 
-Test(entryfaults, silence_alone_costs_no_answer)
+Test(entryfaults, silent_channels_alone_lose_no_response)
 {
   const bool holds =
-    rc::check("silence alone costs no answer", [](uint64_t aSeed) {
+    rc::check("silent channels alone lose no response", [](uint64_t aSeed) {
       std::mt19937_64 random(aSeed);
       VirtualFleet fleet(aSeed, 2, {}, AnyUpstream());
       for (int i = 0; i < 20; i++) {
-        std::uniform_int_distribution<int64_t> span(1, 10000);
-        const Millis when(span(random));
-        fleet.At(when,
+        std::uniform_int_distribution<int64_t> time(1, 10000);
+        const Millis cutAt(time(random));
+        fleet.At(cutAt,
                  [&] { fleet.SendRequest(random() % 2 == 0, Millis(20000)); });
-        fleet.At(when + Millis(span(random) / 25), [&] {
+        fleet.At(cutAt + Millis(time(random) / 25), [&] {
           fleet.Silence(random() % 2 == 0 ? "engine-0" : "engine-1",
                         random() % 3 != 0,
                         random() % 3 != 0);
         });
       }
-      fleet.Run(kQuiet);
+      fleet.Run(kRunEnd);
       for (const auto& [id, caller] : fleet.Callers()) {
         CheckCaller(id, caller);
         RC_ASSERT(caller.mComplete);
@@ -213,7 +221,7 @@
   cr_assert(holds);
 }
 
-Test(entryfaults, what_a_restart_lost_is_told_or_rerun_at_once)
+Test(entryfaults, requests_lost_in_a_restart_are_reported_or_rerun_at_once)
 {
   VirtualFleet fleet(3, 1, { .mMaxPause = Millis(1000) }, AnyUpstream());
   fleet.Run(Millis(2000));
@@ -228,19 +236,19 @@
     if (caller.mRefusal) {
       refused++;
       cr_assert(caller.mRefusal->mRan == Ran::Maybe);
-      cr_assert(caller.mRefusal->mKind == KindOfLoss(caller));
+      cr_assert(caller.mRefusal->mKind == ExpectedKindAfterRestart(caller));
     } else if (!caller.mIdempotent) {
       cr_assert(caller.mComplete);
     }
   }
   cr_assert_gt(refused, 20);
-  fleet.Run(kQuiet);
+  fleet.Run(kRunEnd);
   for (const auto& [id, caller] : fleet.Callers()) {
     cr_assert(caller.mComplete || (caller.mRefusal && caller.mRuns == 1));
   }
 }
 
-Test(entryfaults, a_busy_upstream_is_not_taken_for_a_silent_channel)
+Test(entryfaults, a_busy_upstream_is_not_mistaken_for_a_silent_channel)
 {
   VirtualFleet fleet(1, 1, { .mMaxPause = Millis(6000) }, AnyUpstream());
   for (int i = 1; i <= 20; i++) {
@@ -262,10 +270,10 @@
       fleet.Run(Millis(7000) + Millis(pause));
       fleet.Silence("engine-0", up, !up);
       const RequestId id = fleet.SendRequest(true, Millis(20000));
-      const Millis asked = fleet.Now();
-      fleet.Run(asked + Millis(10000));
+      const Millis sentAt = fleet.Now();
+      fleet.Run(sentAt + Millis(10000));
       cr_assert_eq(fleet.Reopened().size(), 1);
-      cr_assert(fleet.Reopened().at("engine-0") - asked <= Millis(2000));
+      cr_assert(fleet.Reopened().at("engine-0") - sentAt <= Millis(2000));
       cr_assert(fleet.Callers().at(id).mComplete);
     }
   }
--- a/tests/unit/ledgertest.cpp
+++ b/tests/unit/ledgertest.cpp
@@ -19,16 +19,16 @@
 } // namespace
 
 /**
- * Over random ends and pauses: the bounds hold, the first word on a key
- * stands, and while no start has been forgotten every attempt that had started
- * is still known.
+ * Over random ends and pauses: the bounds hold, the first record of a key
+ * stays, and as long as no started attempt has been dropped, all of them are
+ * known.
  */
-Test(ledger, never_forgets_a_start_unsaid)
+Test(ledger, never_drops_a_started_attempt_unreported)
 {
   const bool holds = rc::check([] {
     constexpr size_t kLimit = 20;
-    constexpr Millis kSpan{ 1000 };
-    Ledger ledger({ .mRetention = kSpan, .mLimit = kLimit });
+    constexpr Millis kRetention{ 1000 };
+    Ledger ledger({ .mRetention = kRetention, .mLimit = kLimit });
     std::map<uint64_t, bool> ended;
     Millis now(1);
     const int steps = *rc::gen::inRange(1, 200);
@@ -37,10 +37,10 @@
       const auto number = *rc::gen::inRange<uint64_t>(0, 60);
       const bool started = *rc::gen::arbitrary<bool>();
       const bool known = ledger.Find(KeyOf(number)) != nullptr;
-      const FinalMessage word =
+      const FinalMessage message =
         started ? FinalMessage(Finished{ .mKey = KeyOf(number) })
                 : FinalMessage();
-      ledger.Close(KeyOf(number), word, now);
+      ledger.Close(KeyOf(number), message, now);
       if (!known) {
         ended[number] = started;
       }
@@ -60,8 +60,8 @@
   cr_assert(holds);
 }
 
-/** At the bound a voided attempt goes before one that had started. */
-Test(ledger, forgets_voided_attempts_first)
+/** At the limit voided attempts are dropped before started ones. */
+Test(ledger, drops_voided_attempts_first)
 {
   Ledger ledger({ .mRetention = Millis(1000), .mLimit = 3 });
   ledger.Close(KeyOf(1), Finished{ .mKey = KeyOf(1) }, Millis(1));
