--- a/src/libtrefoilgate/bootclock.h
+++ b/src/libtrefoilgate/bootclock.h
@@ -5,8 +5,8 @@
 namespace trefoilgate {
 
 /**
- * Time since the machine started, the time in which it was suspended with it:
- * a belief that was fresh before a suspension must not look fresh after it.
+ * Time since the machine started, including time spent suspended, so that state
+ * does not look fresh after a suspension.
  */
 trefoilarch::Millis
 BootNow();
--- a/src/libtrefoilgate/callerconnection.cpp
+++ b/src/libtrefoilgate/callerconnection.cpp
@@ -19,14 +19,14 @@
 
 constexpr size_t kReadBytes = 8192;
 
-/** What a caller may send ahead while its request is served. */
-constexpr size_t kMostReadAhead = 65536;
+/** Limit of what a caller may send ahead while its request is served. */
+constexpr size_t kMaxReadAhead = 65536;
 
-/** How long a caller may take for a body; generous, as phones are slow. */
-constexpr Millis kBodySpan{ 15000 };
+/** Time for a caller to send a body; generous, as phones are slow. */
+constexpr Millis kBodyTimeout{ 15000 };
 
-/** Added to the idle limit, so that a caller that keeps the limit is never
- * the one to lose the race. */
+/** Added to the idle timeout, so that a caller that respects the timeout never
+ * has its request cross the close. */
 constexpr Millis kIdleMargin{ 1000 };
 
 constexpr int kBadRequest = 400;
@@ -35,7 +35,7 @@
 constexpr int kHeadersTooLarge = 431;
 
 void
-AppendHead(std::string& aOut, const AnswerHead& aHead, bool aKeep)
+AppendHead(std::string& aOut, const AnswerHead& aHead, bool aKeepAlive)
 {
   aOut += "HTTP/1.1 ";
   aOut += std::to_string(aHead.mStatus);
@@ -53,7 +53,7 @@
   } else if (!aHead.mNoBody) {
     AppendField(aOut, "Transfer-Encoding", "chunked");
   }
-  if (!aKeep) {
+  if (!aKeepAlive) {
     AppendField(aOut, "Connection", "close");
   }
   aOut += "\r\n";
@@ -74,7 +74,7 @@
                                    const CallerHooks& aHooks)
   : mSocket(std::move(aSocket))
   , mHooks(aHooks)
-  , mSince(BootNow())
+  , mPhaseStartedAt(BootNow())
 {
 }
 
@@ -98,15 +98,15 @@
   if (mState != State::Reading) {
     return;
   }
-  const Millis span = aNow - mSince;
+  const Millis elapsed = aNow - mPhaseStartedAt;
   if (Idle()) {
-    if (span >= mLimits.mIdleTimeout + kIdleMargin) {
+    if (elapsed >= mLimits.mIdleTimeout + kIdleMargin) {
       Close();
     }
     return;
   }
-  const Millis most = mHeadChecked ? kBodySpan : mLimits.mHeaderTimeout;
-  if (span >= most) {
+  const Millis timeout = mHeadChecked ? kBodyTimeout : mLimits.mHeaderTimeout;
+  if (elapsed >= timeout) {
     Reject(kTimedOut, "request not sent in time");
   }
 }
@@ -122,10 +122,10 @@
   mState = State::Closed;
   Error ignored;
   mSocket.close(ignored);
-  const auto left = std::exchange(mOnLeft, nullptr);
+  const auto onDisconnected = std::exchange(mOnDisconnected, nullptr);
   mOnDrained = nullptr;
-  if (serving && left) {
-    left();
+  if (serving && onDisconnected) {
+    onDisconnected();
   }
   mHooks.mOnClosed(this);
 }
@@ -139,7 +139,7 @@
   mParser->header_limit(mLimits.mMaxHeaderBytes);
   mParser->body_limit(mLimits.mMaxBodyBytes);
   mHeadChecked = false;
-  mSince = BootNow();
+  mPhaseStartedAt = BootNow();
 }
 
 void
@@ -170,13 +170,13 @@
     return;
   }
   if (Idle()) {
-    mSince = BootNow();
+    mPhaseStartedAt = BootNow();
   }
   mBuffer.commit(aBytes);
   if (mState == State::Reading) {
     Parse();
   }
-  if (mBuffer.size() < kMostReadAhead) {
+  if (mBuffer.size() < kMaxReadAhead) {
     Read();
   }
 }
@@ -187,8 +187,8 @@
   const auto self = shared_from_this();
   while (mState == State::Reading && mBuffer.size() > 0) {
     Error error;
-    const size_t used = mParser->put(mBuffer.data(), error);
-    mBuffer.consume(used);
+    const size_t consumed = mParser->put(mBuffer.data(), error);
+    mBuffer.consume(consumed);
     if (error && error != http::error::need_more) {
       Reject(StatusFor(error), "malformed request");
       return;
@@ -224,7 +224,7 @@
   const bool expects =
     boost::beast::iequals(message[http::field::expect], "100-continue");
   if (expects && !mParser->is_done()) {
-    mOut += "HTTP/1.1 100 Continue\r\n\r\n";
+    mUnsent += "HTTP/1.1 100 Continue\r\n\r\n";
     Write();
   }
   return true;
@@ -241,7 +241,7 @@
                          .mHeaders = EndToEndHeaders(message),
                          .mHasBody =
                            message.has_content_length() || message.chunked(),
-                         .mArrivedAt = mSince };
+                         .mArrivedAt = mPhaseStartedAt };
   request.mBody =
     std::make_shared<const std::string>(std::move(message.body()));
   mState = State::Serving;
@@ -250,14 +250,14 @@
 }
 
 void
-CallerConnection::Reject(int aStatus, const char* aWhy)
+CallerConnection::Reject(int aStatus, const char* aReason)
 {
-  mHooks.mOnRejected(aStatus, aWhy);
+  mHooks.mOnRejected(aStatus, aReason);
   mKeepAlive = false;
   mState = State::Serving;
   Answer(
     { .mStatus = aStatus, .mHeaders = { { "Content-Type", "text/plain" } } },
-    aWhy);
+    aReason);
 }
 
 void
@@ -265,8 +265,8 @@
 {
   mNoBody = aHead.mNoBody;
   mChunked = !aHead.mLength && !aHead.mNoBody;
-  mKeepAlive = Keep();
-  AppendHead(mOut, aHead, mKeepAlive);
+  mKeepAlive = KeepsAlive();
+  AppendHead(mUnsent, aHead, mKeepAlive);
 }
 
 void
@@ -280,12 +280,12 @@
     constexpr int kHexadecimal = 16;
     const auto end = std::to_chars(
       digits.data(), digits.data() + digits.size(), aData.size(), kHexadecimal);
-    mOut.append(digits.data(), end.ptr);
-    mOut += "\r\n";
-    mOut += aData;
-    mOut += "\r\n";
+    mUnsent.append(digits.data(), end.ptr);
+    mUnsent += "\r\n";
+    mUnsent += aData;
+    mUnsent += "\r\n";
   } else {
-    mOut += aData;
+    mUnsent += aData;
   }
   Write();
 }
@@ -298,9 +298,9 @@
   }
   const auto self = shared_from_this();
   if (mChunked) {
-    mOut += "0\r\n\r\n";
+    mUnsent += "0\r\n\r\n";
   }
-  mOnLeft = nullptr;
+  mOnDisconnected = nullptr;
   mOnDrained = nullptr;
   mState = mKeepAlive ? State::Reading : State::Closing;
   Write();
@@ -323,7 +323,7 @@
   }
   BeginAnswer(aHead);
   if (!mNoBody) {
-    mOut += aBody;
+    mUnsent += aBody;
   }
   EndAnswer();
 }
@@ -331,19 +331,19 @@
 void
 CallerConnection::AbortAnswer()
 {
-  mOnLeft = nullptr;
+  mOnDisconnected = nullptr;
   Close();
 }
 
 void
 CallerConnection::Write()
 {
-  if (!mWriting.empty() || mOut.empty() || mState == State::Closed) {
+  if (!mInFlight.empty() || mUnsent.empty() || mState == State::Closed) {
     return;
   }
-  mWriting.swap(mOut);
+  mInFlight.swap(mUnsent);
   asio::async_write(mSocket,
-                    asio::buffer(mWriting),
+                    asio::buffer(mInFlight),
                     [self = shared_from_this()](const Error& aError, size_t) {
                       self->OnWritten(aError);
                     });
@@ -352,7 +352,7 @@
 void
 CallerConnection::OnWritten(const Error& aError)
 {
-  mWriting.clear();
+  mInFlight.clear();
   if (mState == State::Closed) {
     return;
   }
@@ -360,20 +360,20 @@
     Close();
     return;
   }
-  if (!mOut.empty()) {
+  if (!mUnsent.empty()) {
     Write();
     return;
   }
   if (mState == State::Closing) {
-    // The other side reads to the end before the connection goes.
+    // The caller reads everything sent before the connection closes.
     Error ignored;
     mSocket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     Close();
     return;
   }
   if (mOnDrained) {
-    const auto drained = mOnDrained;
-    drained();
+    const auto onDrained = mOnDrained;
+    onDrained();
   }
 }
 
--- a/src/libtrefoilgate/callerconnection.h
+++ b/src/libtrefoilgate/callerconnection.h
@@ -18,55 +18,57 @@
 
 namespace trefoilgate {
 
-/** A caller's request, read as a whole. */
+/** A complete request of a caller. */
 struct CallerRequest
 {
   std::string mMethod;
   std::string mTarget;
   std::string mHost;
-  /** End-to-end headers alone. */
+  /** Only end-to-end headers. */
   Headers mHeaders;
   std::shared_ptr<const std::string> mBody;
-  /** It came with a length or in chunks, even if it was empty. */
+  /** It has a Content-Length or is chunked, even if the body is empty. */
   bool mHasBody = false;
   /** When its first byte was read. */
   trefoilarch::Millis mArrivedAt;
 };
 
-/** The head of an answer to a caller. */
+/** The status line and headers of an answer to a caller. */
 struct AnswerHead
 {
   int mStatus = 200;
   std::string mReason;
   Headers mHeaders;
-  /** Absent: in chunks. */
+  /** Absent for a chunked body. */
   std::optional<uint64_t> mLength;
-  /** A head alone, as after HEAD or with 204 and 304. */
+  /** There is no body, as after HEAD or with status 204 and 304. */
   bool mNoBody = false;
 };
 
 class CallerConnection;
 
-/** What a CallerConnection asks of its owner. */
+/** Callbacks of a CallerConnection to its owner. */
 struct CallerHooks
 {
-  /** A whole request is here; it is answered by the Answer methods. */
+  /** Called with each complete request. The owner responds through
+   * BeginAnswer(), WriteAnswer() and EndAnswer(), or Answer(). */
   std::function<void(const std::shared_ptr<CallerConnection>&, CallerRequest)>
     mOnRequest;
-  /** The limits in force. */
+  /** Returns the limits in force. */
   std::function<trefoilarch::CallerLimits()> mLimits;
-  /** Whether the process is stopping: answers then close the connection. */
+  /** Whether the process is stopping; the connection is then closed after the
+   * current answer. */
   std::function<bool()> mStopping;
-  /** The connection is gone. */
+  /** Called when the connection has closed. */
   std::function<void(CallerConnection*)> mOnClosed;
-  /** A request that can't be read was refused with that status. */
+  /** Called with the status and the reason when a request can't be parsed. */
   std::function<void(int, const char*)> mOnRejected;
 };
 
 /**
- * One connection of a caller: reads one request at a time, strictly, and
- * writes its answer. While a request is served it watches for the caller's
- * close.
+ * One connection of a caller. Reads one request at a time with strict parsing
+ * and writes its answer. While a request is served, it watches for the caller
+ * to close the connection.
  */
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
@@ -76,36 +78,39 @@
 
   void Start();
 
-  /** Told if the caller leaves before its answer is whole. */
-  void OnDisconnected(std::function<void()> aLeft)
+  /** Sets the handler called if the caller closes the connection before its
+   * answer is complete. */
+  void OnDisconnected(std::function<void()> aOnDisconnected)
   {
-    mOnLeft = std::move(aLeft);
+    mOnDisconnected = std::move(aOnDisconnected);
   }
-  /** Told when a slow caller has taken what was pending. */
-  void OnDrained(std::function<void()> aDrained)
+  /** Sets the handler called when a slow caller has received all pending
+   * bytes. */
+  void OnDrained(std::function<void()> aOnDrained)
   {
-    mOnDrained = std::move(aDrained);
+    mOnDrained = std::move(aOnDrained);
   }
 
   void BeginAnswer(const AnswerHead& aHead);
   void WriteAnswer(std::string_view aData);
-  /** The answer is whole; the next request may be read. */
+  /** Completes the answer; the next request may be read. */
   void EndAnswer();
-  /** The whole of a short answer. */
+  /** Sends a complete answer. */
   void Answer(AnswerHead aHead, std::string_view aBody);
-  /** The answer can't be completed: the connection ends, visibly short. */
+  /** Closes the connection, so that the caller sees an incomplete answer. */
   void AbortAnswer();
 
-  /** Bytes that the caller has not taken yet. */
-  size_t PendingBytes() const { return mOut.size() + mWriting.size(); }
-  /** No request is being read or served. */
+  /** Bytes not yet written to the caller. */
+  size_t PendingBytes() const { return mUnsent.size() + mInFlight.size(); }
+  /** Whether no request is being read or served. */
   bool Idle() const;
-  /** How long it has been idle; zero if it is not. */
+  /** How long the connection has been idle; zero if it is not idle. */
   trefoilarch::Millis IdleTime(trefoilarch::Millis aNow) const
   {
-    return Idle() ? aNow - mSince : trefoilarch::Millis(0);
+    return Idle() ? aNow - mPhaseStartedAt : trefoilarch::Millis(0);
   }
-  /** Closes an idle connection, and one whose request takes too long. */
+  /** Closes the connection if it is idle, or its request incomplete, for too
+   * long. */
   void CheckTimeouts(trefoilarch::Millis aNow);
   void Close();
 
@@ -128,21 +133,21 @@
   void Parse();
   bool CheckHead();
   void Dispatch();
-  void Reject(int aStatus, const char* aWhy);
+  void Reject(int aStatus, const char* aReason);
   void Write();
   void OnWritten(const Error& aError);
-  bool Keep() const { return mKeepAlive && !mHooks.mStopping(); }
+  bool KeepsAlive() const { return mKeepAlive && !mHooks.mStopping(); }
 
   boost::asio::ip::tcp::socket mSocket;
   const CallerHooks& mHooks;
   boost::beast::flat_buffer mBuffer;
   std::optional<Parser> mParser;
-  std::function<void()> mOnLeft;
+  std::function<void()> mOnDisconnected;
   std::function<void()> mOnDrained;
-  std::string mOut;
-  std::string mWriting;
+  std::string mUnsent;
+  std::string mInFlight;
   State mState = State::Reading;
-  trefoilarch::Millis mSince;
+  trefoilarch::Millis mPhaseStartedAt;
   trefoilarch::CallerLimits mLimits;
   bool mHeadChecked = false;
   bool mKeepAlive = true;
--- a/src/libtrefoilgate/callerlistener.cpp
+++ b/src/libtrefoilgate/callerlistener.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-/** The queue of callers that are not accepted yet. */
+/** Length of the queue of connections not yet accepted. */
 constexpr int kBacklog = 1024;
 
-/** After a failure to accept, such as too many descriptors. */
-constexpr std::chrono::milliseconds kAcceptPause{ 50 };
+/** Delay after a failure to accept, such as too many descriptors. */
+constexpr std::chrono::milliseconds kAcceptRetryDelay{ 50 };
 
 /** A caller on a bad line may be silent for seconds. */
-constexpr KeepaliveOptions kCallerSilence{ .mUserTimeout = Millis(8000),
-                                           .mKeepaliveIdleSeconds = 5,
-                                           .mKeepaliveProbes = 3 };
+constexpr KeepaliveOptions kCallerKeepalive{ .mUserTimeout = Millis(8000),
+                                             .mKeepaliveIdleSeconds = 5,
+                                             .mKeepaliveProbes = 3 };
 
 } // namespace
 
@@ -32,7 +32,7 @@
   , mOptions(std::move(aOptions))
   , mHooks(std::move(aHooks))
   , mAcceptor(aLoop)
-  , mPause(aLoop)
+  , mAcceptRetryTimer(aLoop)
 {
   mHooks.mOnClosed = [this](CallerConnection* aConnection) {
     mConnections.erase(aConnection);
@@ -53,8 +53,8 @@
 std::string
 CallerListener::Address() const
 {
-  const auto place = mAcceptor.local_endpoint();
-  return place.address().to_string() + ":" + std::to_string(place.port());
+  const auto endpoint = mAcceptor.local_endpoint();
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
 void
@@ -71,10 +71,10 @@
 }
 
 void
-CallerListener::CloseIdle(Millis aSpan, Millis aNow)
+CallerListener::CloseIdle(Millis aMinIdleTime, Millis aNow)
 {
-  ForEach([aSpan, aNow](CallerConnection& aEach) {
-    if (aEach.IdleTime(aNow) >= aSpan) {
+  ForEach([aMinIdleTime, aNow](CallerConnection& aEach) {
+    if (aEach.IdleTime(aNow) >= aMinIdleTime) {
       aEach.Close();
     }
   });
@@ -95,12 +95,13 @@
       return;
     }
     if (aError) {
-      mPause.expires_after(kAcceptPause);
-      mPause.async_wait([this](const boost::system::error_code& aStopped) {
-        if (!aStopped) {
-          Accept();
-        }
-      });
+      mAcceptRetryTimer.expires_after(kAcceptRetryDelay);
+      mAcceptRetryTimer.async_wait(
+        [this](const boost::system::error_code& aTimerError) {
+          if (!aTimerError) {
+            Accept();
+          }
+        });
       return;
     }
     Add(std::move(aSocket));
@@ -114,7 +115,7 @@
   if (mConnections.size() >= mOptions.mMaxConnections) {
     return;
   }
-  SetSocketOptions(aSocket, kCallerSilence);
+  SetSocketOptions(aSocket, kCallerKeepalive);
   const auto connection =
     std::make_shared<CallerConnection>(std::move(aSocket), mHooks);
   mConnections[connection.get()] = connection;
--- a/src/libtrefoilgate/callerlistener.h
+++ b/src/libtrefoilgate/callerlistener.h
@@ -12,16 +12,16 @@
 
 namespace trefoilgate {
 
-/** How a CallerListener treats its connections. */
+/** Options of a CallerListener. */
 struct ListenerOptions
 {
   /** `IP:PORT`. */
   std::string mAddress;
-  /** More connections than these are closed at once. */
+  /** Connections above this number are closed at once. */
   size_t mMaxConnections = 3500;
 };
 
-/** Accepts callers and keeps their connections. */
+/** Accepts callers' connections and owns them. */
 class CallerListener
 {
 public:
@@ -30,18 +30,18 @@
                  ListenerOptions aOptions,
                  CallerHooks aHooks);
 
-  /** Throws boost::system::system_error where it can't listen. */
+  /** Throws boost::system::system_error if it can't listen. */
   void Open();
   void Close();
 
-  /** Closes connections that are idle or slow beyond the limits. */
+  /** Closes connections that exceed the idle and request timeouts. */
   void CheckTimeouts(trefoilarch::Millis aNow);
-  /** Closes the connections that have had no request for that long. */
-  void CloseIdle(trefoilarch::Millis aSpan, trefoilarch::Millis aNow);
+  /** Closes the connections idle for at least this long. */
+  void CloseIdle(trefoilarch::Millis aMinIdleTime, trefoilarch::Millis aNow);
   void CloseAll();
 
   size_t Connections() const { return mConnections.size(); }
-  /** Where it listens, with the port that it was given. */
+  /** The address it listens on, with the port assigned by the kernel. */
   std::string Address() const;
 
 private:
@@ -54,7 +54,7 @@
   ListenerOptions mOptions;
   CallerHooks mHooks;
   boost::asio::ip::tcp::acceptor mAcceptor;
-  boost::asio::steady_timer mPause;
+  boost::asio::steady_timer mAcceptRetryTimer;
   std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
     mConnections;
 };
--- a/src/libtrefoilgate/clientconnection.cpp
+++ b/src/libtrefoilgate/clientconnection.cpp
@@ -17,12 +17,12 @@
 namespace {
 
 constexpr size_t kReadBytes = 8192;
-constexpr uint32_t kMostHeaderBytes = 65536;
-constexpr int kLeastFinalStatus = 200;
+constexpr uint32_t kMaxHeaderBytes = 65536;
+constexpr int kMinFinalStatus = 200;
 
 /** The `timeout` of a Keep-Alive header, in whole seconds. */
 std::optional<Millis>
-IdleSpanOf(const http::fields& aFields)
+ParseIdleTimeout(const http::fields& aFields)
 {
   const auto field = aFields.find(http::field::keep_alive);
   if (field == aFields.end()) {
@@ -30,11 +30,11 @@
   }
   const std::string_view value(field->value().data(), field->value().size());
   constexpr std::string_view kName = "timeout=";
-  const size_t place = value.find(kName);
-  if (place == std::string_view::npos) {
+  const size_t position = value.find(kName);
+  if (position == std::string_view::npos) {
     return std::nullopt;
   }
-  const char* begin = value.data() + place + kName.size();
+  const char* begin = value.data() + position + kName.size();
   int64_t seconds = 0;
   const auto [end, error] =
     std::from_chars(begin, value.data() + value.size(), seconds);
@@ -56,17 +56,17 @@
 
 void
 ClientConnection::Connect(const asio::ip::tcp::endpoint& aServer,
-                          Millis aSpan,
-                          const KeepaliveOptions& aSilence,
+                          Millis aTimeout,
+                          const KeepaliveOptions& aKeepalive,
                           std::function<void(bool)> aDone)
 {
   mOnConnected = std::move(aDone);
   Error error;
   mSocket.open(asio::ip::tcp::v4(), error);
   if (!error) {
-    SetSocketOptions(mSocket, aSilence);
+    SetSocketOptions(mSocket, aKeepalive);
   }
-  mConnectTimer.expires_after(std::chrono::milliseconds(aSpan.Count()));
+  mConnectTimer.expires_after(std::chrono::milliseconds(aTimeout.Count()));
   mConnectTimer.async_wait([self = shared_from_this()](const Error& aError) {
     if (!aError && !self->mOpen) {
       self->mSocket.close();
@@ -94,7 +94,7 @@
   mCall = std::move(aCall);
   mHandlers = std::move(aHandlers);
   mBusy = true;
-  mWritten = false;
+  mRequestWritten = false;
   NewParser();
   Write();
 }
@@ -120,7 +120,7 @@
   mOpen = false;
   mBusy = false;
   mHandlers = {};
-  mOnLost = nullptr;
+  mOnClosedWhileIdle = nullptr;
   mOnConnected = nullptr;
   Error ignored;
   mSocket.close(ignored);
@@ -133,29 +133,29 @@
   mParser.emplace();
   mParser->eager(true);
   mParser->body_limit(boost::none);
-  mParser->header_limit(kMostHeaderBytes);
+  mParser->header_limit(kMaxHeaderBytes);
   mParser->skip(mCall.mNoBody);
-  mHeadTaken = false;
-  mSkipping = false;
+  mHeadParsed = false;
+  mSkippingAnswer = false;
 }
 
 void
 ClientConnection::Write()
 {
-  const std::array<asio::const_buffer, 2> parts = {
+  const std::array<asio::const_buffer, 2> buffers = {
     asio::buffer(mCall.mHead),
     mCall.mBody ? asio::buffer(*mCall.mBody) : asio::const_buffer{}
   };
   asio::async_write(mSocket,
-                    parts,
+                    buffers,
                     [self = shared_from_this(),
                      body = mCall.mBody](const Error& aError, size_t) {
                       if (!aError) {
-                        self->mWritten = true;
+                        self->mRequestWritten = true;
                       } else if (self->mBusy && self->mOpen) {
-                        // An answer may have come before the break: the read
-                        // tells.
-                        self->mSpoilt = true;
+                        // An answer may have arrived before the write failed;
+                        // the pending read finds out.
+                        self->mNotReusable = true;
                       }
                     });
 }
@@ -179,11 +179,11 @@
     return;
   }
   if (aError == asio::error::eof) {
-    AtEnd();
+    OnEndOfStream();
     return;
   }
   if (aError) {
-    Break(aError.message());
+    Fail(aError.message());
     return;
   }
   mBuffer.commit(aBytes);
@@ -199,52 +199,52 @@
   const auto self = shared_from_this();
   while (mOpen && mBuffer.size() > 0) {
     if (!mBusy) {
-      Break("bytes that nobody asked for");
+      Fail("unsolicited bytes");
       return;
     }
-    if (!ParseSome()) {
+    if (!ParseStep()) {
       return;
     }
   }
 }
 
 bool
-ClientConnection::ParseSome()
+ClientConnection::ParseStep()
 {
   Error error;
-  const size_t used = mParser->put(mBuffer.data(), error);
-  mBuffer.consume(used);
+  const size_t consumed = mParser->put(mBuffer.data(), error);
+  mBuffer.consume(consumed);
   if (error && error != http::error::need_more) {
-    Break(error.message());
+    Fail(error.message());
     return false;
   }
-  if (mParser->is_header_done() && !mHeadTaken) {
-    TakeHead();
+  if (mParser->is_header_done() && !mHeadParsed) {
+    OnHeadParsed();
   }
-  if (mOpen && mBusy && mHeadTaken) {
-    TakeBody();
+  if (mOpen && mBusy && mHeadParsed) {
+    DeliverBody();
   }
   if (mOpen && mBusy && mParser->is_done()) {
-    Finish();
+    FinishAnswer();
     return true;
   }
   return !error && mOpen;
 }
 
 void
-ClientConnection::TakeHead()
+ClientConnection::OnHeadParsed()
 {
-  mHeadTaken = true;
+  mHeadParsed = true;
   const auto& message = mParser->get();
-  if (message.result_int() < kLeastFinalStatus) {
-    mSkipping = true;
+  if (message.result_int() < kMinFinalStatus) {
+    mSkippingAnswer = true;
     return;
   }
   UpstreamAnswer answer{ .mStatus = static_cast<int>(message.result_int()),
                          .mReason = std::string(message.reason()),
                          .mHeaders = EndToEndHeaders(message),
                          .mEndsWithConnection = mParser->need_eof(),
-                         .mIdleTimeout = IdleSpanOf(message) };
+                         .mIdleTimeout = ParseIdleTimeout(message) };
   if (message.has_content_length()) {
     const auto length = mParser->content_length();
     answer.mLength = length ? std::optional<uint64_t>(*length) : 0;
@@ -253,18 +253,18 @@
     mIdleTimeout = answer.mIdleTimeout;
   }
   if (mHandlers.mIsOurs && !mHandlers.mIsOurs(answer)) {
-    mSkipping = true;
+    mSkippingAnswer = true;
     return;
   }
   if (mHandlers.mOnHead) {
-    // A copy: the handler may let go of the call that it belongs to.
+    // Copied, as the handler may release the call that owns it.
     const auto handler = mHandlers.mOnHead;
     handler(std::move(answer));
   }
 }
 
 void
-ClientConnection::TakeBody()
+ClientConnection::DeliverBody()
 {
   std::string& body = mParser->get().body();
   if (body.empty()) {
@@ -272,32 +272,32 @@
   }
   std::string data;
   data.swap(body);
-  if (!mSkipping && mHandlers.mOnData) {
+  if (!mSkippingAnswer && mHandlers.mOnData) {
     const auto handler = mHandlers.mOnData;
     handler(std::move(data));
   }
 }
 
 void
-ClientConnection::Finish()
+ClientConnection::FinishAnswer()
 {
-  if (mSkipping) {
-    const bool closes = !mParser->keep_alive() &&
-                        mParser->get().result_int() >= kLeastFinalStatus;
+  if (mSkippingAnswer) {
+    const bool closes =
+      !mParser->keep_alive() && mParser->get().result_int() >= kMinFinalStatus;
     if (closes) {
-      Break("closed after an answer to another call");
+      Fail("closed after an answer to another call");
       return;
     }
     NewParser();
     return;
   }
-  mSpoilt =
-    mSpoilt || !mParser->keep_alive() || !mWritten || mBuffer.size() > 0;
+  mNotReusable = mNotReusable || !mParser->keep_alive() || !mRequestWritten ||
+                 mBuffer.size() > 0;
   mBusy = false;
   const auto end = mHandlers.mOnEnd;
   mHandlers = {};
   mCall = {};
-  if (mSpoilt) {
+  if (mNotReusable) {
     Error ignored;
     mOpen = false;
     mSocket.close(ignored);
@@ -308,32 +308,32 @@
 }
 
 void
-ClientConnection::AtEnd()
+ClientConnection::OnEndOfStream()
 {
-  if (mBusy && mHeadTaken && !mSkipping) {
+  if (mBusy && mHeadParsed && !mSkippingAnswer) {
     Error error;
     mParser->put_eof(error);
     if (!error && mParser->is_done()) {
-      mSpoilt = true;
-      Finish();
+      mNotReusable = true;
+      FinishAnswer();
       return;
     }
   }
-  Break("closed by the server");
+  Fail("closed by the server");
 }
 
 void
-ClientConnection::Break(const std::string& aWhy)
+ClientConnection::Fail(const std::string& aReason)
 {
   const auto self = shared_from_this();
-  const auto broken = mHandlers.mOnBroken;
-  const auto lost = mOnLost;
+  const auto onBroken = mHandlers.mOnBroken;
+  const auto onClosedWhileIdle = mOnClosedWhileIdle;
   const bool busy = mBusy;
   Close();
-  if (busy && broken) {
-    broken(aWhy);
-  } else if (!busy && lost) {
-    lost();
+  if (busy && onBroken) {
+    onBroken(aReason);
+  } else if (!busy && onClosedWhileIdle) {
+    onClosedWhileIdle();
   }
 }
 
--- a/src/libtrefoilgate/clientconnection.h
+++ b/src/libtrefoilgate/clientconnection.h
@@ -18,33 +18,32 @@
 
 namespace trefoilgate {
 
-/** What a ClientConnection tells of one call, in this order. */
+/** Callbacks of a ClientConnection for one call, in the order of their use. */
 struct CallHandlers
 {
   /** Whether the answer belongs to this call; another one is skipped. */
   std::function<bool(const UpstreamAnswer&)> mIsOurs;
   std::function<void(UpstreamAnswer)> mOnHead;
   std::function<void(std::string)> mOnData;
-  /** The answer is whole. */
+  /** The answer is complete. */
   std::function<void()> mOnEnd;
-  /** The connection broke before that, or what came was no answer. */
+  /** The connection failed before that, or the answer was malformed. */
   std::function<void(const std::string&)> mOnBroken;
 };
 
-/** A request as it goes out: its head, and a body that may be shared. */
+/** An outgoing request: its head, and a body that may be shared. */
 struct OutgoingCall
 {
   std::string mHead;
   std::shared_ptr<const std::string> mBody;
-  /** The answer has a head alone, whatever its length says. */
+  /** The answer has no body, whatever its Content-Length says. */
   bool mNoBody = false;
 };
 
 /**
- * One HTTP/1.1 connection to a server, for one call at a time. Calls back
- * from the event loop only, never from within a method. Every byte of an
- * answer is checked; a connection that has brought bytes nobody asked for is
- * not used again.
+ * One HTTP/1.1 connection to a server, for one call at a time. Callbacks run
+ * from the event loop only, never within a method. Every byte of an answer is
+ * checked; a connection that has received unsolicited bytes is not reused.
  */
 class ClientConnection : public std::enable_shared_from_this<ClientConnection>
 {
@@ -54,42 +53,42 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  /** Tells whether the connection was made within the span. */
+  /** Reports whether the connection was established before the timeout. */
   void Connect(const boost::asio::ip::tcp::endpoint& aServer,
-               trefoilarch::Millis aSpan,
-               const KeepaliveOptions& aSilence,
+               trefoilarch::Millis aTimeout,
+               const KeepaliveOptions& aKeepalive,
                std::function<void(bool)> aDone);
 
-  /** Only while Idle(). */
+  /** Requires Idle(). */
   void Send(OutgoingCall aCall, CallHandlers aHandlers);
 
-  /** The rest of the call's answer goes to others. */
+  /** Passes the rest of the call's answer to other handlers. */
   void ReplaceHandlers(CallHandlers aHandlers)
   {
     mHandlers = std::move(aHandlers);
   }
 
-  /** Reads no further until Resume(): the receiver is slow. */
+  /** Stops reading until Resume(), as the receiver is slow. */
   void Pause();
   void Resume();
 
-  /** Can take another call. */
-  bool Idle() const { return mOpen && !mBusy && !mSpoilt; }
+  /** Whether another call can be sent. */
+  bool Idle() const { return mOpen && !mBusy && !mNotReusable; }
   bool Open() const { return mOpen; }
-  /** Nobody listened at the server's address. */
+  /** Whether the server refused the connection. */
   bool Refused() const { return mRefused; }
-  /** How long the server keeps it when idle, as last told. */
+  /** The server's idle timeout, as it last announced. */
   std::optional<trefoilarch::Millis> IdleTimeout() const
   {
     return mIdleTimeout;
   }
-  /** Told once if the connection ends while idle. */
-  void OnClosedWhileIdle(std::function<void()> aLost)
+  /** Sets the handler called once if the connection closes while idle. */
+  void OnClosedWhileIdle(std::function<void()> aOnClosed)
   {
-    mOnLost = std::move(aLost);
+    mOnClosedWhileIdle = std::move(aOnClosed);
   }
 
-  /** Drops the connection and forgets the call. */
+  /** Closes the connection and drops the call. */
   void Close();
 
 private:
@@ -102,13 +101,14 @@
   void Read();
   void OnRead(const Error& aError, size_t aBytes);
   void Parse();
-  /** One step; false where nothing more can be done with what is there. */
-  bool ParseSome();
-  void TakeHead();
-  void TakeBody();
-  void Finish();
-  void AtEnd();
-  void Break(const std::string& aWhy);
+  /** Parses one step; returns false if no progress is possible with the
+   * buffered bytes. */
+  bool ParseStep();
+  void OnHeadParsed();
+  void DeliverBody();
+  void FinishAnswer();
+  void OnEndOfStream();
+  void Fail(const std::string& aReason);
 
   boost::asio::ip::tcp::socket mSocket;
   boost::asio::steady_timer mConnectTimer;
@@ -117,18 +117,18 @@
   OutgoingCall mCall;
   CallHandlers mHandlers;
   std::function<void(bool)> mOnConnected;
-  std::function<void()> mOnLost;
+  std::function<void()> mOnClosedWhileIdle;
   std::optional<trefoilarch::Millis> mIdleTimeout;
   bool mOpen = false;
   bool mRefused = false;
   bool mBusy = false;
-  bool mWritten = false;
-  bool mHeadTaken = false;
-  bool mSkipping = false;
+  bool mRequestWritten = false;
+  bool mHeadParsed = false;
+  bool mSkippingAnswer = false;
   bool mReading = false;
   bool mPaused = false;
-  /** Not to be used again. */
-  bool mSpoilt = false;
+  /** The connection must not be reused. */
+  bool mNotReusable = false;
 };
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/connectionpool.cpp
+++ b/src/libtrefoilgate/connectionpool.cpp
@@ -44,16 +44,16 @@
                         std::function<void(Connection)> aDone)
 {
   const Millis now = BootNow();
-  const auto place = mIdle.find(aUpstream);
-  while (place != mIdle.end() && !place->second.empty()) {
-    const Kept kept = std::move(place->second.back());
-    place->second.pop_back();
-    if (kept.mConnection->Idle() && !Expired(kept, now)) {
-      kept.mConnection->OnClosedWhileIdle(nullptr);
-      aDone(kept.mConnection);
+  const auto found = mIdle.find(aUpstream);
+  while (found != mIdle.end() && !found->second.empty()) {
+    const IdleConnection idle = std::move(found->second.back());
+    found->second.pop_back();
+    if (idle.mConnection->Idle() && !IsExpired(idle, now)) {
+      idle.mConnection->OnClosedWhileIdle(nullptr);
+      aDone(idle.mConnection);
       return;
     }
-    kept.mConnection->Close();
+    idle.mConnection->Close();
   }
   Connect(aUpstream, aAddress, std::move(aDone));
 }
@@ -62,13 +62,13 @@
 ConnectionPool::CheckListening(const UpstreamId& aUpstream,
                                const std::string& aAddress)
 {
-  if (!mChecked.insert(aUpstream).second) {
+  if (!mChecking.insert(aUpstream).second) {
     return;
   }
-  Connect(aUpstream, aAddress, [this, aUpstream](const Connection& aMade) {
-    mChecked.erase(aUpstream);
-    if (aMade) {
-      Release(aUpstream, aMade);
+  Connect(aUpstream, aAddress, [this, aUpstream](const Connection& aConnected) {
+    mChecking.erase(aUpstream);
+    if (aConnected) {
+      Release(aUpstream, aConnected);
     }
   });
 }
@@ -83,14 +83,14 @@
     ParseEndpoint(aAddress),
     mOptions.mConnectTimeout,
     mOptions.mKeepalive,
-    [this, connection, aUpstream, done = std::move(aDone)](bool aMade) {
-      (aMade ? mMade : mFailed)++;
-      if (aMade) {
+    [this, connection, aUpstream, done = std::move(aDone)](bool aConnected) {
+      (aConnected ? mMadeCount : mFailedCount)++;
+      if (aConnected) {
         mOptions.mOnListening(aUpstream);
       } else if (connection->Refused()) {
         mOptions.mOnRefused(aUpstream);
       }
-      done(aMade ? connection : nullptr);
+      done(aConnected ? connection : nullptr);
     });
 }
 
@@ -102,7 +102,7 @@
     return;
   }
   aConnection->OnClosedWhileIdle(
-    [this, aUpstream, raw = aConnection.get()] { Forget(aUpstream, raw); });
+    [this, aUpstream, raw = aConnection.get()] { RemoveIdle(aUpstream, raw); });
   mIdle[aUpstream].push_back({ aConnection, BootNow() });
 }
 
@@ -120,13 +120,13 @@
 ConnectionPool::Sweep(const std::function<bool(const UpstreamId&)>& aListed,
                       Millis aNow)
 {
-  for (auto& [upstream, kept] : mIdle) {
+  for (auto& [upstream, idle] : mIdle) {
     const bool listed = aListed(upstream);
-    std::erase_if(kept, [&](const Kept& aKept) {
-      if (listed && !Expired(aKept, aNow)) {
+    std::erase_if(idle, [&](const IdleConnection& aIdle) {
+      if (listed && !IsExpired(aIdle, aNow)) {
         return false;
       }
-      aKept.mConnection->Close();
+      aIdle.mConnection->Close();
       return true;
     });
   }
@@ -137,21 +137,21 @@
 void
 ConnectionPool::CloseIdle(const UpstreamId& aUpstream)
 {
-  const auto place = mIdle.find(aUpstream);
-  if (place == mIdle.end()) {
+  const auto found = mIdle.find(aUpstream);
+  if (found == mIdle.end()) {
     return;
   }
-  for (const Kept& each : place->second) {
+  for (const IdleConnection& each : found->second) {
     each.mConnection->Close();
   }
-  mIdle.erase(place);
+  mIdle.erase(found);
 }
 
 void
 ConnectionPool::CloseAll()
 {
-  for (auto& [upstream, kept] : mIdle) {
-    for (const Kept& each : kept) {
+  for (auto& [upstream, idle] : mIdle) {
+    for (const IdleConnection& each : idle) {
       each.mConnection->Close();
     }
   }
@@ -162,31 +162,32 @@
 ConnectionPool::IdleCount() const
 {
   size_t count = 0;
-  for (const auto& [upstream, kept] : mIdle) {
-    count += kept.size();
+  for (const auto& [upstream, idle] : mIdle) {
+    count += idle.size();
   }
   return count;
 }
 
 bool
-ConnectionPool::Expired(const Kept& aKept, Millis aNow) const
+ConnectionPool::IsExpired(const IdleConnection& aIdle, Millis aNow) const
 {
-  const Millis told =
-    aKept.mConnection->IdleTimeout().value_or(mOptions.mIdleTimeout);
-  const Millis span = std::max(told - mOptions.mIdleMargin, told / 2);
-  return aNow - aKept.mSince >= span;
+  const Millis idleTimeout =
+    aIdle.mConnection->IdleTimeout().value_or(mOptions.mIdleTimeout);
+  const Millis maxIdleTime =
+    std::max(idleTimeout - mOptions.mIdleMargin, idleTimeout / 2);
+  return aNow - aIdle.mIdleSince >= maxIdleTime;
 }
 
 void
-ConnectionPool::Forget(const UpstreamId& aUpstream,
-                       const ClientConnection* aConnection)
+ConnectionPool::RemoveIdle(const UpstreamId& aUpstream,
+                           const ClientConnection* aConnection)
 {
-  const auto place = mIdle.find(aUpstream);
-  if (place == mIdle.end()) {
+  const auto found = mIdle.find(aUpstream);
+  if (found == mIdle.end()) {
     return;
   }
-  std::erase_if(place->second, [aConnection](const Kept& aKept) {
-    return aKept.mConnection.get() == aConnection;
+  std::erase_if(found->second, [aConnection](const IdleConnection& aIdle) {
+    return aIdle.mConnection.get() == aConnection;
   });
 }
 
--- a/src/libtrefoilgate/connectionpool.h
+++ b/src/libtrefoilgate/connectionpool.h
@@ -15,27 +15,27 @@
 
 namespace trefoilgate {
 
-/** How connections to upstreams are kept. */
+/** Options of a ConnectionPool. */
 struct PoolOptions
 {
-  /** In a region a handshake takes milliseconds; an upstream that does not
-   * answer one is tried no longer. */
+  /** In a region a handshake takes milliseconds, so longer attempts are given
+   * up. */
   trefoilarch::Millis mConnectTimeout{ 250 };
-  /** Closed by us this long before the upstream would: a request must not
-   * cross the upstream's close. */
+  /** Idle connections are closed this long before the upstream closes them, so
+   * that a request does not cross the upstream's close. */
   trefoilarch::Millis mIdleMargin{ 1000 };
-  /** Kept where the upstream says nothing. */
+  /** Used if the upstream announces no idle timeout. */
   trefoilarch::Millis mIdleTimeout{ 15000 };
   KeepaliveOptions mKeepalive{};
-  /** Nobody listens at the upstream's address. */
+  /** The connection to the upstream's address was refused. */
   std::function<void(const trefoilarch::UpstreamId&)> mOnRefused =
     [](const trefoilarch::UpstreamId&) {};
-  /** A new connection was made. */
+  /** A new connection was established. */
   std::function<void(const trefoilarch::UpstreamId&)> mOnListening =
     [](const trefoilarch::UpstreamId&) {};
 };
 
-/** Kept-alive connections to upstreams, the newest used first. */
+/** Kept-alive connections to upstreams, the most recently used first. */
 class ConnectionPool
 {
 public:
@@ -44,63 +44,65 @@
   ConnectionPool(boost::asio::io_context& aLoop, PoolOptions aOptions);
 
   /**
-   * Gives a connection to the upstream, or null where none can be made. May
-   * call back at once.
+   * Passes a connection to the upstream to the callback, or null if none can be
+   * established. The callback may run at once.
    */
   void Acquire(const trefoilarch::UpstreamId& aUpstream,
                const std::string& aAddress,
                std::function<void(Connection)> aDone);
 
-  /** Makes a connection and keeps it, or finds that nobody listens. */
+  /** Connects to the upstream to find out whether it listens, and keeps the
+   * connection. */
   void CheckListening(const trefoilarch::UpstreamId& aUpstream,
                       const std::string& aAddress);
 
-  /** Takes a connection back once its call has ended. */
+  /** Takes back a connection whose call has ended. */
   void Release(const trefoilarch::UpstreamId& aUpstream,
                const Connection& aConnection);
 
-  /** Lets the call's answer run out unread, then keeps the connection. */
+  /** Handlers that discard the rest of an answer and then return the connection
+   * to the pool. */
   static CallHandlers DiscardHandlers(ConnectionPool& aPool,
                                       const trefoilarch::UpstreamId& aUpstream,
                                       const Connection& aConnection);
 
-  /** Closes what has been idle for too long, and all to upstreams that are
-   * not on the list any more. */
+  /** Closes expired idle connections, and all to upstreams no longer on the
+   * list. */
   void Sweep(const std::function<bool(const trefoilarch::UpstreamId&)>& aListed,
              trefoilarch::Millis aNow);
-  /** Closes what is idle to that upstream: its process is another one now. */
+  /** Closes idle connections to an upstream whose process was restarted. */
   void CloseIdle(const trefoilarch::UpstreamId& aUpstream);
   void CloseAll();
 
   size_t IdleCount() const;
-  /** Connections made since the start. */
-  uint64_t MadeCount() const { return mMade; }
-  uint64_t FailedCount() const { return mFailed; }
+  /** Connections established since the start. */
+  uint64_t MadeCount() const { return mMadeCount; }
+  uint64_t FailedCount() const { return mFailedCount; }
 
 private:
-  struct Kept
+  struct IdleConnection
   {
     Connection mConnection;
-    trefoilarch::Millis mSince;
+    trefoilarch::Millis mIdleSince;
   };
 
   void Connect(const trefoilarch::UpstreamId& aUpstream,
                const std::string& aAddress,
                std::function<void(Connection)> aDone);
-  bool Expired(const Kept& aKept, trefoilarch::Millis aNow) const;
-  void Forget(const trefoilarch::UpstreamId& aUpstream,
-              const ClientConnection* aConnection);
+  bool IsExpired(const IdleConnection& aIdle, trefoilarch::Millis aNow) const;
+  void RemoveIdle(const trefoilarch::UpstreamId& aUpstream,
+                  const ClientConnection* aConnection);
 
   boost::asio::io_context& mLoop;
   PoolOptions mOptions;
-  std::map<trefoilarch::UpstreamId, std::vector<Kept>> mIdle;
-  /** Upstreams to which a check is under way. */
-  std::set<trefoilarch::UpstreamId> mChecked;
-  uint64_t mMade = 0;
-  uint64_t mFailed = 0;
+  std::map<trefoilarch::UpstreamId, std::vector<IdleConnection>> mIdle;
+  /** Upstreams with a CheckListening() in progress. */
+  std::set<trefoilarch::UpstreamId> mChecking;
+  uint64_t mMadeCount = 0;
+  uint64_t mFailedCount = 0;
 };
 
-/** Reads `IP:PORT`; an unspecified endpoint where it is none. */
+/** Parses `IP:PORT`; returns an unspecified endpoint if invalid. */
 boost::asio::ip::tcp::endpoint
 ParseEndpoint(const std::string& aAddress);
 
--- a/src/libtrefoilgate/crashdatagram.h
+++ b/src/libtrefoilgate/crashdatagram.h
@@ -8,11 +8,11 @@
 
 namespace trefoilgate {
 
-/** The bytes of the news, which fits a datagram. */
+/** Encodes an update that fits a datagram. */
 std::vector<uint8_t>
-EncodeCrashUpdate(const trefoilarch::CrashUpdate& aNews);
+EncodeCrashUpdate(const trefoilarch::CrashUpdate& aUpdate);
 
-/** Reads what EncodeCrashUpdate() wrote; nothing if it is anything else. */
+/** Decodes the output of EncodeCrashUpdate(); empty for any other bytes. */
 std::optional<trefoilarch::CrashUpdate>
 DecodeCrashUpdate(const std::vector<uint8_t>& aBytes);
 
--- a/src/libtrefoilgate/datagramfields.cpp
+++ b/src/libtrefoilgate/datagramfields.cpp
@@ -12,16 +12,16 @@
 }
 
 bool
-IsAtMost(const nlohmann::json& aValue, uint64_t aMost)
+IsAtMost(const nlohmann::json& aValue, uint64_t aMax)
 {
-  return IsUnsigned(aValue) && aValue.get<uint64_t>() <= aMost;
+  return IsUnsigned(aValue) && aValue.get<uint64_t>() <= aMax;
 }
 
 uint64_t
-ClampedMillis(trefoilarch::Millis aSpan, uint64_t aMost)
+ClampedMillis(trefoilarch::Millis aDuration, uint64_t aMax)
 {
   return static_cast<uint64_t>(
-    std::clamp<int64_t>(aSpan.Count(), 0, static_cast<int64_t>(aMost)));
+    std::clamp<int64_t>(aDuration.Count(), 0, static_cast<int64_t>(aMax)));
 }
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/datagramfields.h
+++ b/src/libtrefoilgate/datagramfields.h
@@ -7,17 +7,16 @@
 
 namespace trefoilgate {
 
-/** What the datagrams between entries have in common: numbers that are checked
- * before they are taken. */
+/** Checked numbers, shared by the datagrams between entries. */
 
 bool
 IsUnsigned(const nlohmann::json& aValue);
 
 bool
-IsAtMost(const nlohmann::json& aValue, uint64_t aMost);
+IsAtMost(const nlohmann::json& aValue, uint64_t aMax);
 
-/** The span in milliseconds, no less than 0 and no more than that. */
+/** The duration in milliseconds, clamped to 0 and aMax. */
 uint64_t
-ClampedMillis(trefoilarch::Millis aSpan, uint64_t aMost);
+ClampedMillis(trefoilarch::Millis aDuration, uint64_t aMax);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/decisionlog.cpp
+++ b/src/libtrefoilgate/decisionlog.cpp
@@ -14,35 +14,35 @@
 
 constexpr Millis kSecond{ 1000 };
 
-/** How long the writer waits for a line before it looks whether to end. */
-constexpr Millis kWriterSpan{ 5000 };
+/** How long the writer waits for a line before it checks for shutdown. */
+constexpr Millis kWriterPollInterval{ 5000 };
 
-/** Lines that are gathered into one write. */
-constexpr size_t kMostBatchBytes = 32768;
+/** Size up to which lines are gathered into one write. */
+constexpr size_t kMaxBatchBytes = 32768;
 
 std::string
 JsonText(const nlohmann::ordered_json& aValue)
 {
-  // Callers' bytes may be anything: what is no UTF-8 is replaced.
+  // Callers may send any bytes; invalid UTF-8 is replaced.
   constexpr auto kReplace = nlohmann::ordered_json::error_handler_t::replace;
   return aValue.dump(-1, ' ', false, kReplace);
 }
 
-/** Writes all of it; gives up where standard output is gone. */
+/** Writes all of the text; gives up if standard output is closed. */
 void
 WriteOut(const std::string& aText)
 {
-  size_t done = 0;
-  while (done < aText.size()) {
-    const ssize_t wrote =
-      write(STDOUT_FILENO, aText.data() + done, aText.size() - done);
-    if (wrote < 0 && errno == EINTR) {
+  size_t offset = 0;
+  while (offset < aText.size()) {
+    const ssize_t written =
+      write(STDOUT_FILENO, aText.data() + offset, aText.size() - offset);
+    if (written < 0 && errno == EINTR) {
       continue;
     }
-    if (wrote <= 0) {
+    if (written <= 0) {
       return;
     }
-    done += static_cast<size_t>(wrote);
+    offset += static_cast<size_t>(written);
   }
 }
 
@@ -51,7 +51,7 @@
 DecisionLog::DecisionLog(DecisionLogOptions aOptions)
   : mOptions(std::move(aOptions))
   , mProcess(",\"process\":" + JsonText(mOptions.mProcess))
-  , mRing(mOptions.mRing)
+  , mRing(mOptions.mRingCapacity)
   , mWriter([this] { Run(); })
 {
 }
@@ -68,13 +68,14 @@
                    const nlohmann::ordered_json& aFields)
 {
   const Millis now = BootNow();
-  if (!Allowed(aKind, now)) {
+  if (!IsWithinBudget(aKind, now)) {
     mLeftOut++;
     mUnreported++;
     return;
   }
-  // The fields are written apart from the rest: a line of 20 fields took 23
-  // microseconds where they were merged into one object, and 11 to 16 so.
+  // The fields are serialised separately: a line of 20 fields took 23
+  // microseconds when all was merged into one object, and takes 11 to 16 this
+  // way.
   std::string line = "{\"t_ms\":" + std::to_string(now.Count());
   line += mProcess;
   line += ",\"event\":\"";
@@ -95,17 +96,17 @@
 }
 
 bool
-DecisionLog::Allowed(LineKind aKind, Millis aNow)
+DecisionLog::IsWithinBudget(LineKind aKind, Millis aNow)
 {
   Budget& budget = mBudgets[aKind];
-  if (aNow - budget.mSecond >= kSecond) {
-    budget.mSecond = aNow;
+  if (aNow - budget.mSecondStart >= kSecond) {
+    budget.mSecondStart = aNow;
     budget.mLines = 0;
   }
-  const uint32_t most = aKind == LineKind::Success
-                          ? mOptions.mSuccessesPerSecond
-                          : mOptions.mOthersPerSecond;
-  if (budget.mLines >= most) {
+  const uint32_t limit = aKind == LineKind::Success
+                           ? mOptions.mSuccessesPerSecond
+                           : mOptions.mOthersPerSecond;
+  if (budget.mLines >= limit) {
     return false;
   }
   budget.mLines++;
@@ -116,7 +117,7 @@
 DecisionLog::Run()
 {
   for (;;) {
-    std::optional<std::string> line = mRing.PopFor(kWriterSpan);
+    std::optional<std::string> line = mRing.PopFor(kWriterPollInterval);
     if (!line) {
       if (mRing.Closed()) {
         return;
@@ -124,7 +125,7 @@
       continue;
     }
     std::string batch = std::move(*line);
-    while (batch.size() < kMostBatchBytes) {
+    while (batch.size() < kMaxBatchBytes) {
       std::optional<std::string> next = mRing.PopFor(Millis(0));
       if (!next) {
         break;
--- a/src/libtrefoilgate/decisionlog.h
+++ b/src/libtrefoilgate/decisionlog.h
@@ -11,30 +11,31 @@
 
 namespace trefoilgate {
 
-/** Kinds of line, each with a budget of its own. */
+/** Kinds of log lines, each with its own rate limit. */
 enum class LineKind : uint8_t
 {
   Process,     /**< start, stop, reload, a dependency lost or regained */
-  StateChange, /**< what the process believes has changed */
-  Failure,     /**< a refusal, repeat, cancellation or unknown outcome */
-  Success,     /**< a request that was served; the first to be left out */
+  StateChange, /**< the known policy, upstreams or peers have changed */
+  Failure,     /**< a refusal, retry, cancellation or unknown outcome */
+  Success,     /**< a served request; these are dropped first */
 };
 
-/** How much is logged. */
+/** Limits of a DecisionLog. */
 struct DecisionLogOptions
 {
   std::string mProcess;
-  /** Lines that wait to be written; more are counted as dropped. */
-  size_t mRing = 4096;
-  /** Lines a second of successes, and of each other kind. */
+  /** Maximum number of lines waiting to be written; further lines are dropped
+   * and counted. */
+  size_t mRingCapacity = 4096;
+  /** Lines per second of successes, and of each other kind. */
   uint32_t mSuccessesPerSecond = 50;
   uint32_t mOthersPerSecond = 400;
 };
 
 /**
- * Writes one JSON object a line to standard output, from a thread of its own.
- * The loop never waits for a reader: what does not fit is counted, and the
- * count is written with the next line that fits.
+ * Writes one JSON object per line to standard output, from its own thread. The
+ * event loop never waits for a reader: dropped lines are counted, and the count
+ * is written with the next line that fits.
  */
 class DecisionLog
 {
@@ -44,8 +45,8 @@
   DecisionLog(const DecisionLog&) = delete;
   DecisionLog& operator=(const DecisionLog&) = delete;
 
-  /** Adds `t_ms`, `process` and `event` to the fields, of which there must
-   * be some; aEvent goes out as it is. */
+  /** Adds `t_ms`, `process` and `event` to the fields, which must not be empty;
+   * aEvent is written unescaped. */
   void Write(LineKind aKind,
              const char* aEvent,
              const nlohmann::ordered_json& aFields);
@@ -55,16 +56,16 @@
 private:
   struct Budget
   {
-    trefoilarch::Millis mSecond;
+    trefoilarch::Millis mSecondStart;
     uint32_t mLines = 0;
     uint64_t mLeftOut = 0;
   };
 
-  bool Allowed(LineKind aKind, trefoilarch::Millis aNow);
+  bool IsWithinBudget(LineKind aKind, trefoilarch::Millis aNow);
   void Run();
 
   DecisionLogOptions mOptions;
-  /** The field of every line, ready-made. */
+  /** The `process` field of every line, already serialised. */
   std::string mProcess;
   std::map<LineKind, Budget> mBudgets;
   trefoilio::BoundedRing<std::string> mRing;
--- a/src/libtrefoilgate/eventtracker.cpp
+++ b/src/libtrefoilgate/eventtracker.cpp
@@ -11,7 +11,7 @@
 
 /** The value of the event's `id` line, or empty. */
 std::string_view
-IdOf(std::string_view aEvent)
+EventId(std::string_view aEvent)
 {
   size_t start = 0;
   while (start < aEvent.size()) {
@@ -33,7 +33,7 @@
 }
 
 std::optional<uint64_t>
-NumberOf(std::string_view aId)
+ParseNumber(std::string_view aId)
 {
   uint64_t number = 0;
   const char* end = aId.data() + aId.size();
@@ -49,44 +49,44 @@
 std::string
 EventTracker::Add(const std::string& aData)
 {
-  mRest += aData;
-  std::string whole;
+  mRemainder += aData;
+  std::string complete;
   size_t start = 0;
-  size_t end = mRest.find(kEventEnd);
+  size_t end = mRemainder.find(kEventEnd);
   while (end != std::string::npos) {
     end += kEventEnd.size();
-    whole += TakeEvent(mRest.substr(start, end - start));
+    complete += ProcessEvent(mRemainder.substr(start, end - start));
     start = end;
-    end = mRest.find(kEventEnd, start);
+    end = mRemainder.find(kEventEnd, start);
   }
-  mRest.erase(0, start);
-  return whole;
+  mRemainder.erase(0, start);
+  return complete;
 }
 
 void
 EventTracker::BeginNextRun()
 {
-  mRest.clear();
-  mJoining = true;
+  mRemainder.clear();
+  mResuming = true;
 }
 
 std::string
-EventTracker::TakeEvent(const std::string& aEvent)
+EventTracker::ProcessEvent(const std::string& aEvent)
 {
-  const std::string_view id = IdOf(aEvent);
-  const std::optional<uint64_t> number = NumberOf(id);
-  if (mJoining && number && mLastNumber) {
+  const std::string_view id = EventId(aEvent);
+  const std::optional<uint64_t> number = ParseNumber(id);
+  if (mResuming && number && mLastNumber) {
     if (*number <= *mLastNumber) {
       return {};
     }
-    mGap = mGap || *number > *mLastNumber + 1;
-    mJoining = false;
+    mHasGap = mHasGap || *number > *mLastNumber + 1;
+    mResuming = false;
   }
   if (!id.empty()) {
     mLastId = id;
     mLastNumber = number;
   }
-  mEvents++;
+  mEventCount++;
   return aEvent;
 }
 
--- a/src/libtrefoilgate/eventtracker.h
+++ b/src/libtrefoilgate/eventtracker.h
@@ -7,38 +7,39 @@
 namespace trefoilgate {
 
 /**
- * Cuts a stream into whole server-sent events and follows their ids, so that
- * a stream that breaks off can go on at another upstream without a gap, a
- * repetition or half an event.
+ * Splits a stream into complete server-sent events and tracks their ids, so
+ * that an interrupted stream can continue at another upstream without a
+ * missing, repeated or partial event.
  */
 class EventTracker
 {
 public:
-  /** The events that are whole by now and have not been passed on before. */
+  /** Adds received data; returns the newly completed events. */
   std::string Add(const std::string& aData);
 
-  /** What was left over at the end of a run. */
-  const std::string& Remainder() const { return mRest; }
+  /** The incomplete data left at the end of a run. */
+  const std::string& Remainder() const { return mRemainder; }
 
-  /** Another run goes on: half an event of the last one is dropped, events
-   * that are known already are left out. */
+  /** Prepares for the stream of another run: drops a partial event of the last
+   * run, and skips events that were forwarded already. */
   void BeginNextRun();
 
-  /** The id of the last event passed on, or empty. */
+  /** The id of the last forwarded event, or empty. */
   const std::string& LastEventId() const { return mLastId; }
-  uint64_t Events() const { return mEvents; }
-  /** An event of the new run left out others: the streams don't fit. */
-  bool HasGap() const { return mGap; }
+  uint64_t Events() const { return mEventCount; }
+  /** Whether the new run's stream skipped events, so that the streams don't fit
+   * together. */
+  bool HasGap() const { return mHasGap; }
 
 private:
-  std::string TakeEvent(const std::string& aEvent);
+  std::string ProcessEvent(const std::string& aEvent);
 
-  std::string mRest;
+  std::string mRemainder;
   std::string mLastId;
   std::optional<uint64_t> mLastNumber;
-  uint64_t mEvents = 0;
-  bool mJoining = false;
-  bool mGap = false;
+  uint64_t mEventCount = 0;
+  bool mResuming = false;
+  bool mHasGap = false;
 };
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/exchange.cpp
+++ b/src/libtrefoilgate/exchange.cpp
@@ -14,17 +14,18 @@
 
 namespace {
 
-/** An answer that is no stream is passed on whole up to this size, so that
- * one that breaks off can still be asked for again. */
-constexpr size_t kMostBuffered = 65536;
+/** An answer that is not a stream is buffered up to this size, so that the
+ * request can still be retried if the answer breaks off. */
+constexpr size_t kMaxBuffered = 65536;
 
-/** A caller that has this much untaken is slow: the upstream waits. */
-constexpr size_t kMostPending = 262144;
+/** With more bytes pending than this, the caller is slow and reading from the
+ * upstream pauses. */
+constexpr size_t kMaxPending = 262144;
 
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
-constexpr int kAfterSuccess = 300;
-constexpr int kLeastFailure = 500;
+constexpr int kMinRedirectStatus = 300;
+constexpr int kMinServerErrorStatus = 500;
 
 } // namespace
 
@@ -47,15 +48,15 @@
 Exchange::Start()
 {
   const auto self = shared_from_this();
-  mCaller->OnDisconnected([self] { self->OnCallerLeft(); });
+  mCaller->OnDisconnected([self] { self->OnCallerDisconnected(); });
   mCaller->OnDrained([self] {
     if (self->mPaused && self->mConnection) {
       self->mPaused = false;
       self->mConnection->Resume();
     }
   });
-  const Millis left = mPlan.Request().mDeadline - BootNow();
-  mTimer.expires_after(std::chrono::milliseconds(left.Count()));
+  const Millis timeLeft = mPlan.Request().mDeadline - BootNow();
+  mTimer.expires_after(std::chrono::milliseconds(timeLeft.Count()));
   mTimer.async_wait([self](const boost::system::error_code& aError) {
     if (!aError) {
       self->OnTimeUp();
@@ -72,28 +73,28 @@
   }
   EndAttempt(AttemptOutcome::Withdrawn);
   DropConnection();
-  Cut(ErrorKind::ShuttingDown);
+  Abort(ErrorKind::ShuttingDown);
 }
 
 void
 Exchange::Apply(PlanStep aStep)
 {
   if (auto* send = std::get_if<SendRequest>(&aStep)) {
-    SendTo(std::move(*send));
+    StartAttempt(std::move(*send));
   } else if (const auto* hold = std::get_if<HoldRequest>(&aStep)) {
     Hold(hold->mDelay);
   } else if (const auto* answer = std::get_if<AnswerRefusal>(&aStep)) {
     Refuse(answer->mRefusal);
-  } else if (const auto* cut = std::get_if<AbortAnswer>(&aStep)) {
-    Cut(cut->mKind);
+  } else if (const auto* abort = std::get_if<AbortAnswer>(&aStep)) {
+    Abort(abort->mKind);
   }
 }
 
 void
-Exchange::SendTo(SendRequest aSend)
+Exchange::StartAttempt(SendRequest aSend)
 {
   mAttempt = std::move(aSend.mAttempt);
-  mLastPlaced = *mAttempt;
+  mLastAttempt = *mAttempt;
   mAnswer.reset();
   mAttemptNumber++;
   mContext.mPool.Acquire(mAttempt->mUpstream,
@@ -105,9 +106,9 @@
 }
 
 void
-Exchange::Hold(Millis aSpan)
+Exchange::Hold(Millis aDelay)
 {
-  RunAfter(mHoldTimer, aSpan, [self = shared_from_this()] {
+  RunAfter(mHoldTimer, aDelay, [self = shared_from_this()] {
     if (!self->mDone) {
       self->Apply(self->mPlan.OnHoldElapsed(BootNow()));
     }
@@ -120,7 +121,7 @@
 {
   if (mDone || aAttempt != mAttemptNumber || !mAttempt) {
     if (aConnection && aAttempt == mAttemptNumber) {
-      mContext.mPool.Release(mLastPlaced.mUpstream, aConnection);
+      mContext.mPool.Release(mLastAttempt.mUpstream, aConnection);
     } else if (aConnection) {
       aConnection->Close();
     }
@@ -134,9 +135,9 @@
     return;
   }
   if (!mPlan.MaySend(now)) {
-    // It began to leave while the connection was made.
+    // The upstream began to leave while the connection was established.
     mContext.mPool.Release(mAttempt->mUpstream, aConnection);
-    LogAttempt("not_sent", "the upstream or the key went meanwhile");
+    LogAttempt("not_sent", "the upstream is leaving or the key expired");
     EndAttempt(AttemptOutcome::Withdrawn);
     Apply(mPlan.OnUnreachable(now));
     return;
@@ -144,9 +145,10 @@
   mConnection = aConnection;
   mListAgeMs = mContext.mRouter.ListFreshness().AgeMs(now);
   const auto& unlisted = mContext.mRouter.Directory().Unlisted();
-  const auto kept = unlisted.find(mAttempt->mUpstream);
-  mUnlistedMs =
-    kept == unlisted.end() ? -1 : (now - kept->second.mSince).Count();
+  const auto unlistedUpstream = unlisted.find(mAttempt->mUpstream);
+  mUnlistedMs = unlistedUpstream == unlisted.end()
+                  ? -1
+                  : (now - unlistedUpstream->second.mSince).Count();
   mPlan.OnSending();
   mConnection->Send(MakeCall(mPlan.Request().mDeadline - now), MakeHandlers());
 }
@@ -155,20 +157,20 @@
 Exchange::MakeCall(Millis aTimeLeft) const
 {
   const BoundRequest& bound = mPlan.Request();
-  const OutgoingRequestInfo marks{ .mUpstream = mAttempt->mUpstream,
-                                   .mWorkspace = bound.mWorkspace,
-                                   .mPriority = bound.mPriority,
-                                   .mRoutePriority = bound.mRoutePriority,
-                                   .mTimeLeft = aTimeLeft,
-                                   .mHolderAddress = mAttempt->mHolderAddress,
-                                   .mBackupAddress = mAttempt->mBackupAddress,
-                                   .mCopySourceAddress =
-                                     mAttempt->mCopySourceAddress,
-                                   .mLastEventId = mEvents.LastEventId() };
+  const OutgoingRequestInfo info{ .mUpstream = mAttempt->mUpstream,
+                                  .mWorkspace = bound.mWorkspace,
+                                  .mPriority = bound.mPriority,
+                                  .mRoutePriority = bound.mRoutePriority,
+                                  .mTimeLeft = aTimeLeft,
+                                  .mHolderAddress = mAttempt->mHolderAddress,
+                                  .mBackupAddress = mAttempt->mBackupAddress,
+                                  .mCopySourceAddress =
+                                    mAttempt->mCopySourceAddress,
+                                  .mLastEventId = mEvents.LastEventId() };
   std::string head =
     mRequest.mMethod + " " + mRequest.mTarget + " HTTP/1.1\r\n";
   for (const auto& [name, value] :
-       mContext.mDialect.mOutgoing(mRequest, marks)) {
+       mContext.mDialect.mOutgoing(mRequest, info)) {
     AppendField(head, name, value);
   }
   if (mRequest.mHasBody) {
@@ -194,7 +196,7 @@
       [self](UpstreamAnswer aAnswer) { self->OnHead(std::move(aAnswer)); },
     .mOnData = [self](const std::string& aData) { self->OnData(aData); },
     .mOnEnd = [self] { self->OnEnd(); },
-    .mOnBroken = [self](const std::string& aWhy) { self->OnBroken(aWhy); }
+    .mOnBroken = [self](const std::string& aReason) { self->OnBroken(aReason); }
   };
 }
 
@@ -208,20 +210,20 @@
   }
   mContext.mRouter.OnRateLimit(
     *mAttempt, mContext.mDialect.mLimit(aAnswer), now);
-  const AnswerValidity meaning = mContext.mDialect.mClassify(aAnswer, mId);
-  if (meaning == AnswerValidity::NotRun) {
+  const AnswerValidity validity = mContext.mDialect.mClassify(aAnswer, mId);
+  if (validity == AnswerValidity::NotRun) {
     LogAttempt("not_run", "status " + std::to_string(aAnswer.mStatus));
-    SetAside();
+    DiscardAnswer();
     EndAttempt(AttemptOutcome::Refused);
     Apply(mPlan.OnNotRun(now));
     return;
   }
-  if (meaning == AnswerValidity::Unsealed) {
+  if (validity == AnswerValidity::Unsealed) {
     DropConnection();
     OnBroken("a success without the upstream's seal");
     return;
   }
-  if (mBegun && aAnswer.mStatus >= kAfterSuccess) {
+  if (mAnswerBegun && aAnswer.mStatus >= kMinRedirectStatus) {
     DropConnection();
     OnBroken("status " + std::to_string(aAnswer.mStatus) +
              " instead of events");
@@ -230,7 +232,7 @@
   PlanStep step = mPlan.OnHead(aAnswer.mStatus, now);
   if (std::holds_alternative<SendRequest>(step)) {
     LogAttempt("failed", "status " + std::to_string(aAnswer.mStatus));
-    SetAside();
+    DiscardAnswer();
     EndAttempt(AttemptOutcome::Failed);
     Apply(std::move(step));
     return;
@@ -251,12 +253,13 @@
     mContext.mRouter.OnPause(*mAttempt, now - mLastByteAt, now);
   }
   mLastByteAt = now;
-  if (mPlan.Request().mRoute->mStream && mAnswer->mStatus < kAfterSuccess) {
-    PassData(mEvents.Add(aData));
+  if (mPlan.Request().mRoute->mStream &&
+      mAnswer->mStatus < kMinRedirectStatus) {
+    ForwardData(mEvents.Add(aData));
     return;
   }
   mBuffered += aData;
-  if (mBegun || mBuffered.size() > kMostBuffered) {
+  if (mAnswerBegun || mBuffered.size() > kMaxBuffered) {
     Flush();
   }
 }
@@ -264,46 +267,47 @@
 void
 Exchange::MarkStarted(Millis aNow)
 {
-  // A failure's body is no start: it would speak for the upstream.
-  if (!mAnswer || mAnswer->mStatus < kLeastFailure) {
+  // The body of a failure does not count as a start: it would improve the
+  // upstream's record.
+  if (!mAnswer || mAnswer->mStatus < kMinServerErrorStatus) {
     mContext.mRouter.OnStarted(*mAttempt, aNow);
   }
 }
 
 void
-Exchange::PassData(const std::string& aData)
+Exchange::ForwardData(const std::string& aData)
 {
   if (mEvents.HasGap()) {
     DropConnection();
     EndAttempt(AttemptOutcome::Broken);
-    Cut(ErrorKind::AnswerCut);
+    Abort(ErrorKind::AnswerCut);
     return;
   }
   if (aData.empty()) {
     return;
   }
-  if (!mBegun) {
+  if (!mAnswerBegun) {
     BeginAnswer();
   }
   mCaller->WriteAnswer(aData);
-  HoldBackIfSlow();
+  PauseIfCallerIsSlow();
 }
 
 void
 Exchange::Flush()
 {
-  if (!mBegun) {
+  if (!mAnswerBegun) {
     BeginAnswer();
   }
   mCaller->WriteAnswer(mBuffered);
   mBuffered.clear();
-  HoldBackIfSlow();
+  PauseIfCallerIsSlow();
 }
 
 void
-Exchange::HoldBackIfSlow()
+Exchange::PauseIfCallerIsSlow()
 {
-  if (mCaller->PendingBytes() > kMostPending) {
+  if (mCaller->PendingBytes() > kMaxPending) {
     mPaused = true;
     mConnection->Pause();
   }
@@ -317,7 +321,7 @@
 }
 
 AnswerHead
-Exchange::HeadWith(std::optional<uint64_t> aLength) const
+Exchange::MakeHead(std::optional<uint64_t> aLength) const
 {
   return { .mStatus = mAnswer->mStatus,
            .mReason = mAnswer->mReason,
@@ -329,10 +333,10 @@
 void
 Exchange::BeginAnswer()
 {
-  mBegun = true;
+  mAnswerBegun = true;
   mPlan.OnAnswerBegun();
-  // A stream that may go on at another upstream has no length of its own.
-  mCaller->BeginAnswer(HeadWith(CanGoOn() ? std::nullopt : mAnswer->mLength));
+  // A stream that may continue at another upstream has no known length.
+  mCaller->BeginAnswer(MakeHead(CanResume() ? std::nullopt : mAnswer->mLength));
 }
 
 void
@@ -342,35 +346,36 @@
   MarkStarted(now);
   const int status = mAnswer ? mAnswer->mStatus : 0;
   if (mAnswer && mAnswer->mEndsWithConnection) {
-    DoubtEnd(now);
+    OnUncertainEnd(now);
   }
   mContext.mPool.Release(mAttempt->mUpstream, mConnection);
   mConnection.reset();
-  EndAttempt(status < kLeastFailure ? AttemptOutcome::Good
-                                    : AttemptOutcome::Failed);
-  // What is no whole event at the end is the upstream's to answer for.
+  EndAttempt(status < kMinServerErrorStatus ? AttemptOutcome::Good
+                                            : AttemptOutcome::Failed);
+  // An incomplete event at the end of an answer is forwarded as the upstream
+  // sent it.
   mBuffered += mEvents.Remainder();
-  if (mBegun) {
+  if (mAnswerBegun) {
     mCaller->WriteAnswer(mBuffered);
     mCaller->EndAnswer();
   } else {
     const auto length = HasNoBody() ? mAnswer->mLength
                                     : std::optional<uint64_t>(mBuffered.size());
-    mCaller->Answer(HeadWith(length), mBuffered);
+    mCaller->Answer(MakeHead(length), mBuffered);
   }
-  Close(status < kLeastFailure ? "served" : "upstream_failed", status);
+  Close(status < kMinServerErrorStatus ? "served" : "upstream_failed", status);
 }
 
 void
-Exchange::DoubtEnd(Millis aNow)
+Exchange::OnUncertainEnd(Millis aNow)
 {
-  // The kernel of an upstream that crashes ends its connections alike.
+  // The kernel of a crashed upstream closes its connections in the same way.
   mAttempt->mProvesHarmless = false;
-  AskIfCrashed(aNow);
+  CheckForCrash(aNow);
 }
 
 void
-Exchange::AskIfCrashed(Millis aNow)
+Exchange::CheckForCrash(Millis aNow)
 {
   if (mContext.mRouter.OnConnectionLost(*mAttempt, aNow)) {
     mContext.mPool.CheckListening(mAttempt->mUpstream, mAttempt->mAddress);
@@ -378,15 +383,15 @@
 }
 
 void
-Exchange::OnBroken(const std::string& aWhy)
+Exchange::OnBroken(const std::string& aReason)
 {
-  LogAttempt("broken", aWhy);
+  LogAttempt("broken", aReason);
   mConnection.reset();
-  AskIfCrashed(BootNow());
+  CheckForCrash(BootNow());
   EndAttempt(AttemptOutcome::Broken);
   mBuffered.clear();
-  const bool canGoOn = CanGoOn();
-  PlanStep step = mPlan.OnBroken(canGoOn, BootNow());
+  const bool canResume = CanResume();
+  PlanStep step = mPlan.OnBroken(canResume, BootNow());
   if (std::holds_alternative<SendRequest>(step) ||
       std::holds_alternative<HoldRequest>(step)) {
     mEvents.BeginNextRun();
@@ -395,16 +400,16 @@
 }
 
 void
-Exchange::OnCallerLeft()
+Exchange::OnCallerDisconnected()
 {
   if (mDone) {
     return;
   }
   const Millis waited = BootNow() - mRequest.mArrivedAt;
-  const bool late = mAttempt && !mAttempt->mStarted &&
-                    waited > mPlan.Request().mRoute->mFirstTokenTarget;
+  const bool startIsLate = mAttempt && !mAttempt->mStarted &&
+                           waited > mPlan.Request().mRoute->mFirstTokenTarget;
   DropConnection();
-  EndAttempt(late ? AttemptOutcome::Broken : AttemptOutcome::Withdrawn);
+  EndAttempt(startIsLate ? AttemptOutcome::Broken : AttemptOutcome::Withdrawn);
   Close("caller_left", 0);
 }
 
@@ -414,9 +419,9 @@
   if (mDone) {
     return;
   }
-  const bool late = mAttempt && !mAttempt->mStarted;
+  const bool startIsLate = mAttempt && !mAttempt->mStarted;
   DropConnection();
-  EndAttempt(late ? AttemptOutcome::Broken : AttemptOutcome::Withdrawn);
+  EndAttempt(startIsLate ? AttemptOutcome::Broken : AttemptOutcome::Withdrawn);
   Apply(mPlan.OnTimeUp(BootNow()));
 }
 
@@ -430,7 +435,7 @@
 }
 
 void
-Exchange::Cut(ErrorKind aKind)
+Exchange::Abort(ErrorKind aKind)
 {
   mCaller->AbortAnswer();
   Close(Name(aKind).data(), 0);
@@ -457,16 +462,16 @@
 }
 
 void
-Exchange::SetAside()
+Exchange::DiscardAnswer()
 {
-  // The rest of the answer is read and dropped, and the connection kept.
+  // The rest of the answer is read and discarded, and the connection reused.
   mConnection->ReplaceHandlers(ConnectionPool::DiscardHandlers(
     mContext.mPool, mAttempt->mUpstream, mConnection));
   mConnection.reset();
 }
 
 bool
-Exchange::CanGoOn() const
+Exchange::CanResume() const
 {
   return mPlan.Request().mRoute->mRetryMode == RetryMode::Resumable;
 }
--- a/src/libtrefoilgate/exchange.h
+++ b/src/libtrefoilgate/exchange.h
@@ -21,7 +21,7 @@
 class DecisionLog;
 class GateMetrics;
 
-/** What an Exchange works with; owned by the gateway. */
+/** What an Exchange uses; owned by the gateway. */
 struct ExchangeContext
 {
   boost::asio::io_context& mLoop;
@@ -30,13 +30,13 @@
   const Dialect& mDialect;
   DecisionLog& mLog;
   GateMetrics& mMetrics;
-  /** The exchange has ended. */
+  /** Called when the exchange has ended. */
   std::function<void(Exchange*)> mOnEnded;
 };
 
 /**
- * One caller's request on its way: carries out what its RequestPlan says, on
- * the connections of the pool, and writes the answer.
+ * Processes one caller's request: carries out the steps of its RequestPlan on
+ * pooled connections, and writes the answer.
  */
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
@@ -48,17 +48,17 @@
            trefoilarch::BoundRequest aBound);
 
   void Start();
-  /** Memory that the caller's body takes. */
+  /** Memory used by the caller's body. */
   size_t BodyBytes() const { return mRequest.mBody->size(); }
-  /** The process ends: whatever is open is cut. */
+  /** Aborts the exchange, as the process ends. */
   void Abandon();
 
 private:
   using Millis = trefoilarch::Millis;
 
   void Apply(trefoilarch::PlanStep aStep);
-  void SendTo(trefoilarch::SendRequest aSend);
-  void Hold(trefoilarch::Millis aSpan);
+  void StartAttempt(trefoilarch::SendRequest aSend);
+  void Hold(trefoilarch::Millis aDelay);
   void OnConnection(uint64_t aAttempt,
                     const ConnectionPool::Connection& aConnection);
   OutgoingCall MakeCall(Millis aTimeLeft) const;
@@ -66,35 +66,36 @@
   void OnHead(UpstreamAnswer aAnswer);
   void OnData(const std::string& aData);
   void OnEnd();
-  /** The answer ended with its connection, which proves nothing. */
-  void DoubtEnd(Millis aNow);
+  /** Handles an answer that ended with its connection, which does not prove
+   * that it is complete. */
+  void OnUncertainEnd(Millis aNow);
   /** Finds out whether the attempt's upstream has crashed. */
-  void AskIfCrashed(Millis aNow);
-  void OnBroken(const std::string& aWhy);
-  void OnCallerLeft();
+  void CheckForCrash(Millis aNow);
+  void OnBroken(const std::string& aReason);
+  void OnCallerDisconnected();
   void OnTimeUp();
-  /** Sends what is buffered, the head first. */
+  /** Sends the head if necessary, and the buffered data. */
   void Flush();
   void BeginAnswer();
-  /** Reads no further while the caller has much untaken. */
-  void HoldBackIfSlow();
-  /** The answer is a head alone. */
+  /** Pauses reading while the caller has many bytes pending. */
+  void PauseIfCallerIsSlow();
+  /** Whether the answer has no body. */
   bool HasNoBody() const;
-  /** The upstream's head, as it goes to the caller. */
-  AnswerHead HeadWith(std::optional<uint64_t> aLength) const;
-  /** The answer's content has begun to come. */
+  /** The upstream's status line and headers, as forwarded to the caller. */
+  AnswerHead MakeHead(std::optional<uint64_t> aLength) const;
+  /** Records that the answer's content has begun to arrive. */
   void MarkStarted(trefoilarch::Millis aNow);
-  void PassData(const std::string& aData);
+  void ForwardData(const std::string& aData);
   void Refuse(const trefoilarch::Refusal& aRefusal);
-  void Cut(trefoilarch::ErrorKind aKind);
-  /** Counts the attempt as ended; the connection is let go or kept. */
+  void Abort(trefoilarch::ErrorKind aKind);
+  /** Records the attempt's outcome; leaves the connection alone. */
   void EndAttempt(trefoilarch::AttemptOutcome aOutcome);
   void DropConnection();
-  void SetAside();
-  /** Writes the request's line and ends the exchange. */
+  void DiscardAnswer();
+  /** Logs the request and ends the exchange. */
   void Close(const char* aOutcome, int aStatus);
-  void LogAttempt(const char* aWhat, const std::string& aWhy);
-  bool CanGoOn() const;
+  void LogAttempt(const char* aOutcome, const std::string& aReason);
+  bool CanResume() const;
 
   ExchangeContext& mContext;
   std::shared_ptr<CallerConnection> mCaller;
@@ -104,11 +105,11 @@
   boost::asio::steady_timer mTimer;
   boost::asio::steady_timer mHoldTimer;
   std::optional<trefoilarch::PlacedAttempt> mAttempt;
-  /** The newest attempt, for the log. */
-  trefoilarch::PlacedAttempt mLastPlaced;
-  /** How old the list of upstreams was when it was sent; -1 for unknown. */
+  /** The most recent attempt, for the log. */
+  trefoilarch::PlacedAttempt mLastAttempt;
+  /** Age of the list of upstreams when the request was sent; -1 if unknown. */
   int64_t mListAgeMs = -1;
-  /** Since the list was read to lack the upstream; -1 where it did not. */
+  /** Time since the list was found to lack the upstream; -1 if it is listed. */
   int64_t mUnlistedMs = -1;
   ConnectionPool::Connection mConnection;
   std::optional<UpstreamAnswer> mAnswer;
@@ -117,9 +118,9 @@
   uint64_t mAttemptNumber = 0;
   Millis mFirstByteAt;
   Millis mLastByteAt;
-  /** The longest pause between two parts of the answer. */
+  /** The longest pause between two pieces of the answer. */
   Millis mLongestPause;
-  bool mBegun = false;
+  bool mAnswerBegun = false;
   bool mDone = false;
   bool mPaused = false;
 };
--- a/src/libtrefoilgate/exchangelog.cpp
+++ b/src/libtrefoilgate/exchangelog.cpp
@@ -4,7 +4,7 @@
 #include "decisionlog.h"
 #include "gatemetrics.h"
 
-/** What is logged and counted of a request and its attempts. */
+/** Log lines and metrics of a request and its attempts. */
 namespace trefoilgate {
 
 using namespace trefoilarch;
@@ -41,11 +41,11 @@
       { "priority", bound.mPriority },
       { "policy_version", bound.mIndex->Version() },
       { "attempts", mPlan.Attempts() },
-      { "upstream", mLastPlaced.mUpstream },
+      { "upstream", mLastAttempt.mUpstream },
       { "list_age_ms", mListAgeMs },
       { "unlisted_ms", mUnlistedMs },
       { "prompt_tokens", bound.mPrompt.mPromptTokens },
-      { "prefill_tokens", mLastPlaced.mWork.mPrefill },
+      { "prefill_tokens", mLastAttempt.mWork.mPrefill },
       { "most_output_tokens", bound.mPrompt.mMaxOutput },
       { "may_have_run", mPlan.MayHaveRun() },
       { "events", mEvents.Events() },
@@ -53,7 +53,8 @@
       { "longest_pause_ms", mLongestPause.Count() },
       { "took_ms", (now - mRequest.mArrivedAt).Count() },
       { "allowed_ms", (bound.mDeadline - bound.mArrivedAt).Count() } });
-  // The last reference may be the caller's hooks: end after they are gone.
+  // The caller's hooks may hold the last reference; keep it until they are
+  // reset.
   const auto self = shared_from_this();
   mCaller->OnDisconnected(nullptr);
   mCaller->OnDrained(nullptr);
@@ -61,7 +62,7 @@
 }
 
 void
-Exchange::LogAttempt(const char* aWhat, const std::string& aWhy)
+Exchange::LogAttempt(const char* aOutcome, const std::string& aReason)
 {
   const Millis now = BootNow();
   mContext.mLog.Write(
@@ -69,8 +70,8 @@
     "attempt_ended",
     { { "id", mId },
       { "fingerprint", mPlan.Request().mFingerprint.Text() },
-      { "outcome", aWhat },
-      { "why", aWhy },
+      { "outcome", aOutcome },
+      { "why", aReason },
       { "upstream", mAttempt ? mAttempt->mUpstream : "" },
       { "address", mAttempt ? mAttempt->mAddress : "" },
       { "list_age_ms", mListAgeMs },
--- a/src/libtrefoilgate/gatemetrics.cpp
+++ b/src/libtrefoilgate/gatemetrics.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-/** Routes with series of their own; a policy may hold many hundreds. */
-constexpr size_t kMostRoutes = 40;
+/** Maximum number of routes with their own series; a policy may have many
+ * hundreds. */
+constexpr size_t kMaxRoutes = 40;
 
 constexpr const char* kRequests = "trefoilarch_gate_requests_total";
 constexpr const char* kFirstByte = "trefoilarch_gate_first_byte_ms";
-constexpr const char* kRequestSpan = "trefoilarch_gate_request_ms";
+constexpr const char* kRequestDuration = "trefoilarch_gate_request_ms";
 constexpr const char* kRefusals = "trefoilarch_gate_refusals_total";
 constexpr const char* kAttempts = "trefoilarch_gate_attempts_total";
 constexpr const char* kPolicies = "trefoilarch_gate_policies_total";
@@ -23,26 +24,28 @@
 constexpr const char* kLoopLag = "trefoilarch_gate_loop_lag_ms";
 
 /** A metric that is not a gauge. */
-struct Described
+struct MetricDescription
 {
   const char* mName;
   const char* mHelp;
 };
 
-constexpr std::array kDescribed{
-  Described{ kRequests, "Bound requests that ended." },
-  Described{ kFirstByte, "From a request's arrival to its first byte back." },
-  Described{ kRequestSpan, "From a request's arrival to its end." },
-  Described{ kRefusals, "Answers of the gate's own, by kind of error." },
-  Described{ kAttempts, "Attempts at upstreams that ended." },
-  Described{ kPolicies, "Policies that came from the store." },
-  Described{ kUnreadable, "Rows of the store that could not be read." },
-  Described{ kReloads, "Times that the settings were read again." },
-  Described{ kLoopLag, "How late a timer of the event loop fired." },
+constexpr std::array kMetricDescriptions{
+  MetricDescription{ kRequests, "Bound requests that ended." },
+  MetricDescription{ kFirstByte,
+                     "From a request's arrival to its first byte back." },
+  MetricDescription{ kRequestDuration, "From a request's arrival to its end." },
+  MetricDescription{ kRefusals,
+                     "Answers of the gate's own, by kind of error." },
+  MetricDescription{ kAttempts, "Attempts at upstreams that ended." },
+  MetricDescription{ kPolicies, "Policies that came from the store." },
+  MetricDescription{ kUnreadable, "Rows of the store that could not be read." },
+  MetricDescription{ kReloads, "Times that the settings were read again." },
+  MetricDescription{ kLoopLag, "How late a timer of the event loop fired." },
 };
 
-/** A gauge's name, the label it is split by, and its meaning. */
-struct GaugeEntry
+/** A gauge's name, the label it is split by, and its help text. */
+struct GaugeDescription
 {
   Gauge mGauge;
   const char* mName;
@@ -52,76 +55,77 @@
 
 /** In the order of the enumeration. */
 constexpr std::array kGauges{
-  GaugeEntry{ Gauge::OpenRequests,
-              "trefoilarch_gate_open_requests",
-              "",
-              "Requests without a final answer." },
-  GaugeEntry{ Gauge::BodyBytes,
-              "trefoilarch_gate_body_bytes",
-              "",
-              "Bytes of callers' bodies that are held." },
-  GaugeEntry{ Gauge::CallerConnections,
-              "trefoilarch_gate_caller_connections",
-              "",
-              "Open connections of callers." },
-  GaugeEntry{ Gauge::IdleUpstreamConnections,
-              "trefoilarch_gate_idle_upstream_connections",
-              "",
-              "Connections to upstreams that wait for a request." },
-  GaugeEntry{ Gauge::UpstreamConnectionsMade,
-              "trefoilarch_gate_upstream_connections_made",
-              "",
-              "Connections to upstreams made since the start." },
-  GaugeEntry{ Gauge::UpstreamConnectionsFailed,
-              "trefoilarch_gate_upstream_connections_failed",
-              "",
-              "Connections to upstreams that could not be made." },
-  GaugeEntry{ Gauge::PolicyAgeMs,
-              "trefoilarch_gate_policy_age_ms",
-              "",
-              "Since the policy was last confirmed as the newest." },
-  GaugeEntry{ Gauge::PolicyVersion,
-              "trefoilarch_gate_policy_version",
-              "",
-              "Version of the policy in force." },
-  GaugeEntry{ Gauge::ListAgeMs,
-              "trefoilarch_gate_list_age_ms",
-              "",
-              "Since the list of upstreams was last confirmed." },
-  GaugeEntry{ Gauge::Ejections,
-              "trefoilarch_gate_ejections",
-              "",
-              "Times that an upstream was avoided for its results." },
-  GaugeEntry{ Gauge::UpstreamCrashes,
-              "trefoilarch_gate_upstream_crashes",
-              "",
-              "Upstreams that crashed with requests of this gate, since the "
-              "start." },
-  GaugeEntry{ Gauge::Quarantined,
-              "trefoilarch_gate_quarantined_requests",
-              "",
-              "Requests that are not run, as they crash upstreams." },
-  GaugeEntry{ Gauge::LimitedUpstreams,
-              "trefoilarch_gate_limited_upstreams",
-              "",
-              "Upstreams that name a rate limit." },
-  GaugeEntry{ Gauge::LogLinesLeftOut,
-              "trefoilarch_gate_log_lines_left_out",
-              "",
-              "Log lines left out since the start." },
-  GaugeEntry{ Gauge::RetriesLeft,
-              "trefoilarch_gate_retries_left",
-              "service",
-              "Retries that this gate may make now." },
-  GaugeEntry{ Gauge::Upstreams,
-              "trefoilarch_gate_upstreams",
-              "state",
-              "Known upstreams: ready, ejected, draining, or kept though "
-              "unlisted." },
+  GaugeDescription{ Gauge::OpenRequests,
+                    "trefoilarch_gate_open_requests",
+                    "",
+                    "Requests without a final answer." },
+  GaugeDescription{ Gauge::BodyBytes,
+                    "trefoilarch_gate_body_bytes",
+                    "",
+                    "Bytes of callers' bodies that are held." },
+  GaugeDescription{ Gauge::CallerConnections,
+                    "trefoilarch_gate_caller_connections",
+                    "",
+                    "Open connections of callers." },
+  GaugeDescription{ Gauge::IdleUpstreamConnections,
+                    "trefoilarch_gate_idle_upstream_connections",
+                    "",
+                    "Connections to upstreams that wait for a request." },
+  GaugeDescription{ Gauge::UpstreamConnectionsMade,
+                    "trefoilarch_gate_upstream_connections_made",
+                    "",
+                    "Connections to upstreams made since the start." },
+  GaugeDescription{ Gauge::UpstreamConnectionsFailed,
+                    "trefoilarch_gate_upstream_connections_failed",
+                    "",
+                    "Connections to upstreams that could not be made." },
+  GaugeDescription{ Gauge::PolicyAgeMs,
+                    "trefoilarch_gate_policy_age_ms",
+                    "",
+                    "Since the policy was last confirmed as the newest." },
+  GaugeDescription{ Gauge::PolicyVersion,
+                    "trefoilarch_gate_policy_version",
+                    "",
+                    "Version of the policy in force." },
+  GaugeDescription{ Gauge::ListAgeMs,
+                    "trefoilarch_gate_list_age_ms",
+                    "",
+                    "Since the list of upstreams was last confirmed." },
+  GaugeDescription{ Gauge::Ejections,
+                    "trefoilarch_gate_ejections",
+                    "",
+                    "Times that an upstream was avoided for its results." },
+  GaugeDescription{
+    Gauge::UpstreamCrashes,
+    "trefoilarch_gate_upstream_crashes",
+    "",
+    "Upstreams that crashed with requests of this gate, since the "
+    "start." },
+  GaugeDescription{ Gauge::Quarantined,
+                    "trefoilarch_gate_quarantined_requests",
+                    "",
+                    "Requests that are not run, as they crash upstreams." },
+  GaugeDescription{ Gauge::LimitedUpstreams,
+                    "trefoilarch_gate_limited_upstreams",
+                    "",
+                    "Upstreams that name a rate limit." },
+  GaugeDescription{ Gauge::LogLinesLeftOut,
+                    "trefoilarch_gate_log_lines_left_out",
+                    "",
+                    "Log lines left out since the start." },
+  GaugeDescription{ Gauge::RetriesLeft,
+                    "trefoilarch_gate_retries_left",
+                    "service",
+                    "Retries that this gate may make now." },
+  GaugeDescription{ Gauge::Upstreams,
+                    "trefoilarch_gate_upstreams",
+                    "state",
+                    "Known upstreams: ready, ejected, draining, or kept though "
+                    "unlisted." },
 };
 
 constexpr bool
-InOrder()
+AreGaugesInOrder()
 {
   for (size_t each = 0; each < kGauges.size(); ++each) {
     if (kGauges[each].mGauge != static_cast<Gauge>(each)) {
@@ -130,10 +134,10 @@
   }
   return true;
 }
-static_assert(InOrder(), "EntryOf() finds a gauge by its place");
+static_assert(AreGaugesInOrder(), "DescriptionOf() finds a gauge by its index");
 
-const GaugeEntry&
-EntryOf(Gauge aGauge)
+const GaugeDescription&
+DescriptionOf(Gauge aGauge)
 {
   return kGauges[static_cast<size_t>(aGauge)];
 }
@@ -177,10 +181,10 @@
 
 GateMetrics::GateMetrics()
 {
-  for (const Described& each : kDescribed) {
+  for (const MetricDescription& each : kMetricDescriptions) {
     mMetrics.Describe(each.mName, each.mHelp);
   }
-  for (const GaugeEntry& each : kGauges) {
+  for (const GaugeDescription& each : kGauges) {
     mMetrics.Describe(each.mName, each.mHelp);
   }
 }
@@ -188,7 +192,7 @@
 void
 GateMetrics::OnRequest(const EndedRequest& aRequest)
 {
-  const std::string route = Label("route", Labelled(aRequest.mRoute));
+  const std::string route = Label("route", RouteLabel(aRequest.mRoute));
   const std::string priority =
     Label("priority", std::to_string(aRequest.mPriority));
   mMetrics.Count(kRequests,
@@ -200,7 +204,7 @@
                      route);
   }
   mMetrics.Observe(
-    kRequestSpan, static_cast<double>(aRequest.mDuration.Count()), route);
+    kRequestDuration, static_cast<double>(aRequest.mDuration.Count()), route);
 }
 
 void
@@ -242,23 +246,23 @@
 void
 GateMetrics::Set(Gauge aGauge, double aValue)
 {
-  mMetrics.SetGauge(EntryOf(aGauge).mName, aValue);
+  mMetrics.SetGauge(DescriptionOf(aGauge).mName, aValue);
 }
 
 void
 GateMetrics::Set(Gauge aGauge, std::string_view aLabelValue, double aValue)
 {
-  const GaugeEntry& entry = EntryOf(aGauge);
-  mMetrics.SetGauge(entry.mName, aValue, Label(entry.mLabel, aLabelValue));
+  const GaugeDescription& gauge = DescriptionOf(aGauge);
+  mMetrics.SetGauge(gauge.mName, aValue, Label(gauge.mLabel, aLabelValue));
 }
 
 std::string_view
-GateMetrics::Labelled(const std::string& aRoute)
+GateMetrics::RouteLabel(const std::string& aRoute)
 {
   if (mRoutes.contains(aRoute)) {
     return aRoute;
   }
-  if (mRoutes.size() >= kMostRoutes) {
+  if (mRoutes.size() >= kMaxRoutes) {
     return "other";
   }
   mRoutes.insert(aRoute);
--- a/src/libtrefoilgate/gatemetrics.h
+++ b/src/libtrefoilgate/gatemetrics.h
@@ -11,19 +11,19 @@
 
 namespace trefoilgate {
 
-/** One ended request, as counted. */
+/** One ended request, for the metrics. */
 struct EndedRequest
 {
   std::string mRoute;
   /** 0 is the most urgent. */
   uint8_t mPriority = 0;
   std::string_view mOutcome;
-  /** 0 where no byte of an answer came. */
+  /** 0 if no byte of an answer arrived. */
   trefoilarch::Millis mTimeToFirstByte;
   trefoilarch::Millis mDuration;
 };
 
-/** A gauge of the gateway; the table of names stands in the source. */
+/** A gauge of the gateway; the metric names are defined in the source file. */
 enum class Gauge : uint8_t
 {
   OpenRequests,
@@ -44,8 +44,8 @@
   Upstreams,   /**< by state */
 };
 
-/** The gateway's metrics; their names and meaning stand in the source, and
- * are written with them. */
+/** The gateway's metrics; names and help texts are defined in the source
+ * file. */
 class GateMetrics
 {
 public:
@@ -57,7 +57,7 @@
   void OnPolicy(std::string_view aResult);
   void OnUnreadableRow(std::string_view aTable);
   void OnReload(std::string_view aResult);
-  /** A timer of the loop fired so much after its time. */
+  /** Records how late a timer of the event loop fired. */
   void OnLoopLag(trefoilarch::Millis aLag);
   void Set(Gauge aGauge, double aValue);
   void Set(Gauge aGauge, std::string_view aLabelValue, double aValue);
@@ -65,8 +65,8 @@
   std::string Text() const { return mMetrics.Text(); }
 
 private:
-  /** The route's name, or "other" once there are very many. */
-  std::string_view Labelled(const std::string& aRoute);
+  /** The route's name, or "other" if too many routes have been seen. */
+  std::string_view RouteLabel(const std::string& aRoute);
 
   trefoilio::Metrics mMetrics;
   std::set<std::string, std::less<>> mRoutes;
--- a/src/libtrefoilgate/gatesettings.cpp
+++ b/src/libtrefoilgate/gatesettings.cpp
@@ -12,25 +12,25 @@
 
 namespace {
 
-/** Taken off the time for which a revoked key may be honoured: for the way
- * to the upstream, and for a host that stands still for a moment. */
-constexpr Millis kKeyMargin{ 500 };
+/** Subtracted from the time for which a revoked key may be honoured: covers the
+ * way to the upstream, and a short pause of the host. */
+constexpr Millis kRevocationMargin{ 500 };
 
-/** Taken off the time in which a process has to end. */
+/** Subtracted from the time in which a process has to stop. */
 constexpr Millis kStopMargin{ 300 };
 
 constexpr double kHundred = 100;
 
-/** The part of the allowed share of retries that is used: what is sent and
- * lost on the way counts as well. */
-constexpr double kRetryPart = 0.9;
+/** Factor on the allowed share of retries, as retries lost in transit count as
+ * well. */
+constexpr double kUsedRetryShare = 0.9;
 
 constexpr double kBytesPerMb = 1048576;
 constexpr double kMillisInSecond = 1000;
 
-/** One part in so many of the memory may hold callers' bodies; answers, which
- * are held for slow callers, and the rest have the others. */
-constexpr uint64_t kBodyPart = 3;
+/** Callers' bodies may use the memory divided by this; the rest is for answers
+ * buffered for slow callers and everything else. */
+constexpr uint64_t kBodyMemoryDivisor = 3;
 
 std::function<std::string(const std::string&)>
 EmptyOrEndpoint()
@@ -40,8 +40,8 @@
   };
 }
 
-/** A whole number that is no more than the setting: what a fraction stands
- * for is never exceeded, be it a span, a count or a size. */
+/** Rounds down, so that a duration, count or size never exceeds a fractional
+ * setting. */
 int64_t
 Floor(double aValue)
 {
@@ -53,7 +53,7 @@
 std::vector<SettingSpec>
 GateSettingSpecs()
 {
-  constexpr double kMostMillis = 3600.0 * 1000;
+  constexpr double kMaxMillis = 3600.0 * 1000;
   return {
     { .mName = "name",
       .mHelp = "name of this process, for logs",
@@ -82,20 +82,20 @@
     { .mName = "revoke-ms",
       .mHelp = "a revoked key is honoured no longer than this (ms)",
       .mDefault = "5000",
-      .mCheck = NumberBetween(1000, kMostMillis) },
+      .mCheck = NumberBetween(1000, kMaxMillis) },
     { .mName = "apply-ms",
       .mHelp = "a policy is in force this long after it was put (ms)",
       .mDefault = "2000",
-      .mCheck = NumberBetween(500, kMostMillis) },
+      .mCheck = NumberBetween(500, kMaxMillis) },
     { .mName = "drain-ms",
       .mHelp = "an upstream gets no request later than this after it said that "
                "it leaves (ms)",
       .mDefault = "2000",
-      .mCheck = NumberBetween(500, kMostMillis) },
+      .mCheck = NumberBetween(500, kMaxMillis) },
     { .mName = "heartbeat-ms",
       .mHelp = "upstreams renew their entries in the store this often (ms)",
       .mDefault = "1200",
-      .mCheck = NumberBetween(50, kMostMillis) },
+      .mCheck = NumberBetween(50, kMaxMillis) },
     { .mName = "retry-share",
       .mHelp = "retries that all entries together may make, as a share of "
                "requests (0 to 1)",
@@ -161,16 +161,17 @@
     .mPlatform = aSettings.Text("platform"),
     .mPeerListen = aSettings.Text("peer-listen"),
     .mKeyPolicyMaxAge =
-      Millis(Floor(aSettings.Number("revoke-ms"))) - kKeyMargin,
+      Millis(Floor(aSettings.Number("revoke-ms"))) - kRevocationMargin,
     .mMaxApplyDelay = Millis(Floor(aSettings.Number("apply-ms"))),
     .mMaxDrainDelay = Millis(Floor(aSettings.Number("drain-ms"))),
     .mHeartbeatInterval = Millis(Floor(aSettings.Number("heartbeat-ms"))),
-    .mRetryPercent = aSettings.Number("retry-share") * kRetryPart * kHundred,
+    .mRetryPercent =
+      aSettings.Number("retry-share") * kUsedRetryShare * kHundred,
     .mRetrySlack = aSettings.Number("retry-slack"),
     .mStopTimeout = Millis(Floor(stopMillis)) - kStopMargin,
     .mMaxDescriptors =
       static_cast<uint32_t>(Floor(aSettings.Number("most-descriptors"))),
-    .mMaxBodyBytes = static_cast<uint64_t>(Floor(memory)) / kBodyPart
+    .mMaxBodyBytes = static_cast<uint64_t>(Floor(memory)) / kBodyMemoryDivisor
   };
 }
 
--- a/src/libtrefoilgate/gatesettings.h
+++ b/src/libtrefoilgate/gatesettings.h
@@ -9,7 +9,7 @@
 
 namespace trefoilgate {
 
-/** The settings of a gateway, checked. */
+/** The validated settings of a gateway. */
 struct GateSettings
 {
   std::string mName;
@@ -17,21 +17,21 @@
   std::string mListen;
   std::string mOperatorListen;
   std::string mPlatform;
-  /** Empty: other entries are neither told anything nor heard. */
+  /** Empty: no updates are sent to or received from other entries. */
   std::string mPeerListen;
   trefoilarch::Millis mKeyPolicyMaxAge;
-  /** A policy is in force within this. */
+  /** Maximum delay until a policy is in force. */
   trefoilarch::Millis mMaxApplyDelay;
-  /** An upstream that leaves gets no request later than this. */
+  /** Maximum time after which a leaving upstream gets no more requests. */
   trefoilarch::Millis mMaxDrainDelay;
-  /** Upstreams renew their entries this often. */
+  /** Interval at which upstreams renew their entries. */
   trefoilarch::Millis mHeartbeatInterval;
   double mRetryPercent = 0;
-  /** Retries beside the share, of all entries together. */
+  /** Retries in addition to the share, for all entries together. */
   double mRetrySlack = 0;
   trefoilarch::Millis mStopTimeout;
   uint32_t mMaxDescriptors = 0;
-  /** Bytes of callers' bodies that may be held at a time. */
+  /** Maximum size in bytes of all callers' bodies held at a time. */
   uint64_t mMaxBodyBytes = 0;
 
   bool operator==(const GateSettings&) const = default;
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -15,27 +15,32 @@
 
 namespace {
 
-/** Housekeeping: idle connections, kept list entries, the drain. */
-constexpr Millis kTick{ 500 };
-constexpr Millis kDrainTick{ 50 };
+/** Interval of housekeeping: idle connections, unlisted upstreams, the
+ * drain. */
+constexpr Millis kTickInterval{ 500 };
+constexpr Millis kDrainTickInterval{ 50 };
 
-/** After a planned stop begins, callers still come until the balancer has
- * noticed; only then are idle connections closed. What comes later can't be
- * sure to end in time and is sent elsewhere. */
-constexpr Millis kOutOfRotation{ 3000 };
+/**
+ * After a planned stop begins, callers still arrive until the load balancer has
+ * noticed; only then are idle connections closed. Requests that arrive later
+ * may not end in time and are sent elsewhere.
+ */
+constexpr Millis kRotationDelay{ 3000 };
 
-/** While the process ends, a connection may be idle for this long: a caller
- * that has just connected is about to send. */
-constexpr Millis kStopIdleSpan{ 400 };
+/** Idle timeout of connections during a stop: a caller that has just connected
+ * is about to send. */
+constexpr Millis kDrainIdleTimeout{ 400 };
 
-/** For a caller that comes while the process ends: another entry serves. */
-constexpr Millis kReturnElsewhere{ 100 };
+/** Retry-After for requests that arrive during a stop: another entry serves
+ * them. */
+constexpr Millis kShutdownRetryAfter{ 100 };
 
-/** For a caller whose body finds no room: others end within this. */
-constexpr Millis kReturnLater{ 300 };
+/** Retry-After if a body exceeds the memory for bodies: others end within this
+ * time. */
+constexpr Millis kMemoryRetryAfter{ 300 };
 
-/** Descriptors that are not for callers: upstreams, store, files. */
-constexpr size_t kOtherDescriptors = 800;
+/** Descriptors reserved for other purposes: upstreams, store, files. */
+constexpr size_t kReservedDescriptors = 800;
 
 RequestFingerprint
 FingerprintOf(const CallerRequest& aRequest, const std::string& aWorkspace)
@@ -48,17 +53,17 @@
 }
 
 RetryBudgetOptions
-RetriesOf(const GateSettings& aSettings, size_t aEntries)
+RetryOptionsOf(const GateSettings& aSettings, size_t aEntries)
 {
-  const double saved = RetriesPerEntry(aSettings.mRetrySlack, aEntries);
+  const double slack = RetriesPerEntry(aSettings.mRetrySlack, aEntries);
   return { .mPercent = aSettings.mRetryPercent,
-           .mInitial = saved,
-           .mMax = saved };
+           .mInitial = slack,
+           .mMax = slack };
 }
 
-/** The entries' questions leave gaps by themselves, up to their bound and one
- * part in so many of it. */
-constexpr int64_t kUsualGapPart = 4;
+/** Gaps between the entries' queries last up to their bound plus the bound
+ * divided by this. */
+constexpr int64_t kUsualGapDivisor = 4;
 
 DirectoryOptions
 DirectoryOptionsOf(const GateSettings& aSettings)
@@ -66,24 +71,25 @@
   const Millis bound = TableWatchOptions::MaxAgeFor(aSettings.mMaxDrainDelay);
   // An entry lapses after three heartbeats of silence, one of which may pass
   // before the outage and one after it.
-  const Millis least =
-    std::max(aSettings.mHeartbeatInterval, bound + bound / kUsualGapPart);
-  return { .mStore = { .mMinOutage = least } };
+  const Millis minOutage =
+    std::max(aSettings.mHeartbeatInterval, bound + bound / kUsualGapDivisor);
+  return { .mStore = { .mMinOutage = minOutage } };
 }
 
-/** Entries that share the fleet's retries, before others are listed: one that
- * is never told of others has the slack for itself. */
+/** Number of entries that share the fleet's retries until peers are listed: an
+ * entry without peers has the whole slack. */
 size_t
-EntriesAtStart(const GateSettings& aSettings)
+InitialEntryCount(const GateSettings& aSettings)
 {
   return aSettings.mPeerListen.empty() ? 1 : 0;
 }
 
 size_t
-ConnectionsFor(uint32_t aDescriptors)
+MaxConnectionsFor(uint32_t aDescriptors)
 {
-  return aDescriptors > 2 * kOtherDescriptors ? aDescriptors - kOtherDescriptors
-                                              : aDescriptors / 2;
+  return aDescriptors > 2 * kReservedDescriptors
+           ? aDescriptors - kReservedDescriptors
+           : aDescriptors / 2;
 }
 
 } // namespace
@@ -94,16 +100,16 @@
   , mLog({ .mProcess = mOptions.mSettings.mName })
   , mRouter({ .mDataCentre = mOptions.mSettings.mDataCentre,
               .mKeyPolicyMaxAge = mOptions.mSettings.mKeyPolicyMaxAge,
-              .mRetries = RetriesOf(mOptions.mSettings,
-                                    EntriesAtStart(mOptions.mSettings)),
+              .mRetries = RetryOptionsOf(mOptions.mSettings,
+                                         InitialEntryCount(mOptions.mSettings)),
               .mName = mOptions.mSettings.mName,
               .mDirectory = DirectoryOptionsOf(mOptions.mSettings),
               .mOnCrashUpdate = [this] { OnCrashUpdate(); },
               .mOnLimitChange =
                 [this](const LimitChange& aChange) { LogLimit(aChange); },
               .mOnPermitRequest =
-                [this](const AddressedPermitRequest& aAsk) {
-                  mPeers.RequestPermit(aAsk.mTo, aAsk.mRequest);
+                [this](const AddressedPermitRequest& aRequest) {
+                  mPeers.RequestPermit(aRequest.mTo, aRequest.mRequest);
                 },
               .mSeed = mOptions.mSeed })
   , mPool(aLoop,
@@ -123,18 +129,18 @@
               .mMetrics = mMetrics,
               .mOnEnded =
                 [this](Exchange* aEnded) { OnExchangeEnded(aEnded); } }
-  , mCallers(
-      aLoop,
-      { .mAddress = mOptions.mSettings.mListen,
-        .mMaxConnections = ConnectionsFor(mOptions.mSettings.mMaxDescriptors) },
-      CallersHooks())
+  , mCallers(aLoop,
+             { .mAddress = mOptions.mSettings.mListen,
+               .mMaxConnections =
+                 MaxConnectionsFor(mOptions.mSettings.mMaxDescriptors) },
+             MakeCallerHooks())
   , mOperators(aLoop,
                { .mAddress = mOptions.mSettings.mOperatorListen },
-               OperatorHooks())
-  , mPeers(aLoop, mOptions.mSettings.mPeerListen, HooksForPeers())
+               MakeOperatorHooks())
+  , mPeers(aLoop, mOptions.mSettings.mPeerListen, MakePeerHooks())
   , mTimer(aLoop)
-  , mPages(OperatorPages())
-  , mEntries(EntriesAtStart(mOptions.mSettings))
+  , mOperatorHandlers(MakeOperatorHandlers())
+  , mEntryCount(InitialEntryCount(mOptions.mSettings))
 {
 }
 
@@ -235,7 +241,7 @@
   mOptions.mSettings.mStopTimeout = aSettings.mStopTimeout;
   mOptions.mSettings.mMaxBodyBytes = aSettings.mMaxBodyBytes;
   mRouter.SetKeyPolicyMaxAge(aSettings.mKeyPolicyMaxAge);
-  mRouter.SetRetries(RetriesOf(aSettings, mEntries));
+  mRouter.SetRetries(RetryOptionsOf(aSettings, mEntryCount));
   mLog.Write(
     LineKind::Process,
     "reloaded",
@@ -255,9 +261,9 @@
 Gateway::SetPeers(const std::vector<std::string>& aAddresses)
 {
   mPeers.SetPeers(aAddresses);
-  mEntries = mPeers.ListedCount() + 1;
-  mRouter.SetRetries(RetriesOf(mOptions.mSettings, mEntries));
-  mRouter.SetEntries(mEntries);
+  mEntryCount = mPeers.ListedCount() + 1;
+  mRouter.SetRetries(RetryOptionsOf(mOptions.mSettings, mEntryCount));
+  mRouter.SetEntries(mEntryCount);
   mRouter.SetRelays(mPeers.SendsToSubset());
   mRouter.SetPermitEntries(PeerAddress(), aAddresses);
   mLog.Write(
@@ -267,40 +273,42 @@
 Millis
 Gateway::LastReceivedAt(const std::string& aName) const
 {
-  const auto place = mHeardAt.find(aName);
-  return place == mHeardAt.end() ? Millis(0) : place->second;
+  const auto found = mLastReceivedAt.find(aName);
+  return found == mLastReceivedAt.end() ? Millis(0) : found->second;
 }
 
 PeerHooks
-Gateway::HooksForPeers()
+Gateway::MakePeerHooks()
 {
   return PeerHooks{
     .mHasPeerUpdate = [this] { return mRouter.HasPeerUpdate(); },
     .mTakePeerUpdate =
       [this] {
-        PeerUpdate notes = mRouter.TakePeerUpdate(BootNow());
-        notes.mTables = mTables.mGetCheckpoints();
-        notes.mStoreServing = mRouter.Directory().StoreServing();
-        return notes;
+        PeerUpdate update = mRouter.TakePeerUpdate(BootNow());
+        update.mTables = mTableHooks.mGetCheckpoints();
+        update.mStoreServing = mRouter.Directory().StoreServing();
+        return update;
       },
     .mOnPeerUpdate =
-      [this](const PeerUpdate& aNotes) {
-        mHeardAt[aNotes.mFrom] = BootNow();
-        mRouter.OnPeerUpdate(aNotes, BootNow());
-        if (aNotes.mStoreServing) {
-          OnStoreReport(*aNotes.mStoreServing);
+      [this](const PeerUpdate& aPeerUpdate) {
+        mLastReceivedAt[aPeerUpdate.mFrom] = BootNow();
+        mRouter.OnPeerUpdate(aPeerUpdate, BootNow());
+        if (aPeerUpdate.mStoreServing) {
+          OnStoreReport(*aPeerUpdate.mStoreServing);
         }
-        mTables.mOnCheckpoints(aNotes.mTables);
+        mTableHooks.mOnCheckpoints(aPeerUpdate.mTables);
       },
     .mOnTableUpdate =
-      [this](const TableUpdate& aNews) { mTables.mOnTableUpdate(aNews); },
+      [this](const TableUpdate& aUpdate) {
+        mTableHooks.mOnTableUpdate(aUpdate);
+      },
     .mOnCrashUpdate =
-      [this](const CrashUpdate& aNews) {
-        mRouter.OnCrashUpdate(aNews, BootNow());
+      [this](const CrashUpdate& aUpdate) {
+        mRouter.OnCrashUpdate(aUpdate, BootNow());
       },
     .mOnPermitRequest =
-      [this](const std::string& aFrom, const PermitRequest& aAsk) {
-        return mRouter.OnPermitRequest(aFrom, aAsk, BootNow());
+      [this](const std::string& aFrom, const PermitRequest& aRequest) {
+        return mRouter.OnPermitRequest(aFrom, aRequest, BootNow());
       },
     .mOnPermitReply =
       [this](const PermitReply& aReply) {
@@ -310,7 +318,7 @@
 }
 
 CallerHooks
-Gateway::CallersHooks()
+Gateway::MakeCallerHooks()
 {
   return CallerHooks{ .mOnRequest =
                         [this](const std::shared_ptr<CallerConnection>& aCaller,
@@ -325,17 +333,17 @@
                         },
                       .mStopping = [this] { return mDraining; },
                       .mOnRejected =
-                        [this](int aStatus, const char* aWhy) {
+                        [this](int aStatus, const char* aReason) {
                           mMetrics.OnRefusal("unreadable");
                           mLog.Write(
                             LineKind::Failure,
                             "request_unreadable",
-                            { { "status", aStatus }, { "why", aWhy } });
+                            { { "status", aStatus }, { "why", aReason } });
                         } };
 }
 
 CallerHooks
-Gateway::OperatorHooks()
+Gateway::MakeOperatorHooks()
 {
   return CallerHooks{ .mOnRequest =
                         [this](const std::shared_ptr<CallerConnection>& aCaller,
@@ -352,29 +360,30 @@
                    CallerRequest aRequest)
 {
   const std::string id = mOptions.mDialect.mRequestId(aRequest);
-  if (mDraining && BootNow() - mDrainingSince >= kOutOfRotation) {
-    RefuseUnbound(aCaller,
+  if (mDraining && BootNow() - mDrainingSince >= kRotationDelay) {
+    RefuseRequest(aCaller,
                   aRequest,
                   id,
                   Refusal{ .mKind = ErrorKind::ShuttingDown,
-                           .mRetryAfter = kReturnElsewhere,
+                           .mRetryAfter = kShutdownRetryAfter,
                            .mMessage = "could not be finished in time" });
     return;
   }
   if (mBodyBytes + aRequest.mBody->size() > mOptions.mSettings.mMaxBodyBytes) {
-    RefuseUnbound(aCaller,
-                  aRequest,
-                  id,
-                  Refusal{ .mKind = ErrorKind::TooManyOpen,
-                           .mRetryAfter = kReturnLater,
-                           .mMessage = "bodies fill the memory" });
+    RefuseRequest(
+      aCaller,
+      aRequest,
+      id,
+      Refusal{ .mKind = ErrorKind::TooManyOpen,
+               .mRetryAfter = kMemoryRetryAfter,
+               .mMessage = "request bodies exceed the memory limit" });
     return;
   }
-  const RequestAttributes facts =
+  const RequestAttributes attributes =
     mOptions.mDialect.mRequestAttributes(aRequest);
   boost::leaf::try_handle_all(
     [&]() -> Result<void> {
-      BOOST_LEAF_AUTO(bound, mRouter.Bind(facts, BootNow()));
+      BOOST_LEAF_AUTO(bound, mRouter.Bind(attributes, BootNow()));
       bound.mFingerprint = FingerprintOf(aRequest, bound.mWorkspace);
       const auto exchange = std::make_shared<Exchange>(
         mContext, aCaller, std::move(aRequest), id, std::move(bound));
@@ -384,10 +393,10 @@
       return {};
     },
     [&](const Refusal& aRefusal) {
-      RefuseUnbound(aCaller, aRequest, id, aRefusal);
+      RefuseRequest(aCaller, aRequest, id, aRefusal);
     },
     [&] {
-      RefuseUnbound(
+      RefuseRequest(
         aCaller, aRequest, id, Refusal{ .mKind = ErrorKind::Internal });
     });
 }
@@ -400,7 +409,7 @@
 }
 
 void
-Gateway::RefuseUnbound(const std::shared_ptr<CallerConnection>& aCaller,
+Gateway::RefuseRequest(const std::shared_ptr<CallerConnection>& aCaller,
                        const CallerRequest& aRequest,
                        const std::string& aId,
                        const Refusal& aRefusal)
@@ -424,7 +433,7 @@
 {
   const Millis now = BootNow();
   mRouter.TickCrashes(now);
-  TellCrashNews(true);
+  SendCrashUpdates(true);
   mCallers.CheckTimeouts(now);
   mOperators.CheckTimeouts(now);
   mPool.Sweep(
@@ -435,10 +444,10 @@
   if (mDraining) {
     ContinueDrain();
   }
-  const Millis span = mDraining ? kDrainTick : kTick;
-  mTimer.expires_after(std::chrono::milliseconds(span.Count()));
+  const Millis interval = mDraining ? kDrainTickInterval : kTickInterval;
+  mTimer.expires_after(std::chrono::milliseconds(interval.Count()));
   mTimer.async_wait(
-    [this, due = now + span](const boost::system::error_code& aError) {
+    [this, due = now + interval](const boost::system::error_code& aError) {
       if (!aError) {
         mMetrics.OnLoopLag(std::max(Millis(0), BootNow() - due));
         Tick();
@@ -449,13 +458,13 @@
 void
 Gateway::ContinueDrain()
 {
-  const Millis span = BootNow() - mDrainingSince;
-  if (span < kOutOfRotation) {
+  const Millis elapsed = BootNow() - mDrainingSince;
+  if (elapsed < kRotationDelay) {
     return;
   }
-  mCallers.CloseIdle(kStopIdleSpan, BootNow());
+  mCallers.CloseIdle(kDrainIdleTimeout, BootNow());
   const bool done = mExchanges.empty() && mCallers.Connections() == 0;
-  if (done || span >= mOptions.mSettings.mStopTimeout) {
+  if (done || elapsed >= mOptions.mSettings.mStopTimeout) {
     mLoop.stop();
   }
 }
--- a/src/libtrefoilgate/gateway.h
+++ b/src/libtrefoilgate/gateway.h
@@ -25,45 +25,45 @@
 
 namespace trefoilgate {
 
-/** What a Gateway needs to be made. */
+/** Options of a Gateway. */
 struct GatewayOptions
 {
   GateSettings mSettings;
   Dialect mDialect;
-  /** Where the platform asks whether the process is ready. */
+  /** Path at which the platform checks readiness. */
   std::string mReadyPath = "/ready";
   uint64_t mSeed = 1;
 };
 
-/** What a Gateway's notes to other entries say of the store's tables; nothing,
- * where the hooks are not set. */
+/** The state of the store's tables in a Gateway's updates to other entries;
+ * nothing if the hooks are not set. */
 struct TableHooks
 {
-  using Notes = std::vector<trefoilarch::PeerTableCheckpoint>;
+  using Checkpoints = std::vector<trefoilarch::PeerTableCheckpoint>;
 
-  std::function<Notes()> mGetCheckpoints = [] { return Notes(); };
-  std::function<void(const Notes&)> mOnCheckpoints = [](const Notes&) {};
+  std::function<Checkpoints()> mGetCheckpoints = [] { return Checkpoints(); };
+  std::function<void(const Checkpoints&)> mOnCheckpoints =
+    [](const Checkpoints&) {};
   std::function<void(const trefoilarch::TableUpdate&)> mOnTableUpdate =
     [](const trefoilarch::TableUpdate&) {};
-  /** The list of upstreams is to be confirmed when the store's clock shows
-   * that. */
+  /** The list of upstreams has to be confirmed at this store time. */
   std::function<void(trefoilarch::Millis)> mOnListConfirmationWanted =
     [](trefoilarch::Millis) {};
 };
 
-/** What the operator port answers. */
+/** A response of the operator port. */
 struct OperatorResponse
 {
   int mStatus = 200;
-  /** Empty, or the content's type. */
+  /** The content type, or empty. */
   std::string mType{};
   std::string mText{};
 };
 
 /**
- * An entry that sends callers' requests straight to upstreams: listens,
- * binds each request by the policy, and hands it to an Exchange. Everything
- * runs on the one loop.
+ * An entry that sends callers' requests directly to upstreams: listens, binds
+ * each request by the policy, and passes it to an Exchange. Everything runs on
+ * a single event loop.
  */
 class Gateway : public trefoilio::Service
 {
@@ -71,56 +71,59 @@
   Gateway(boost::asio::io_context& aLoop, GatewayOptions aOptions);
 
   void Start(trefoilio::Kernel& aKernel) override;
-  /** Cuts what is still open. */
+  /** Aborts what is still open. */
   void Stop() override;
   std::string DumpState() const override;
 
-  /** Not ready any more; answers close their connections; what is in flight
-   * goes on. The loop ends when all is done or the time is up. */
+  /**
+   * Reports not ready, closes connections after their answers, and lets open
+   * requests continue. Stops the event loop when all are done or the timeout
+   * has elapsed.
+   */
   void Drain();
 
-  /** A policy from its source; tells whether it was newer. */
+  /** Sets a policy from the store; returns whether it is newer. */
   bool SetPolicy(std::shared_ptr<const trefoilarch::RoutePolicy> aPolicy);
   void ConfirmPolicy(trefoilarch::Millis aAt);
-  /** Changes the directory by the given action, and takes note. */
+  /** Applies a change to the directory and handles its effects. */
   void ChangeDirectory(
     const std::function<void(trefoilarch::UpstreamDirectory&)>& aChange);
-  /** The store has answered, and its clock showed that; to be told before
-   * what the answer holds. */
-  void OnStoreResponse(trefoilarch::Millis aReading);
-  /** The list has been read as a whole once. */
-  void SetListLoaded() { mListKnown = true; }
-  /** The list was the newest at that instant, when the store's clock showed
-   * aReading. */
-  void ConfirmList(trefoilarch::Millis aAt, trefoilarch::Millis aReading);
-
-  /** The other entries' addresses. */
+  /** The store has responded at this store time; to be called before the
+   * response's content is applied. */
+  void OnStoreResponse(trefoilarch::Millis aStoreTime);
+  /** The list has been read in full once. */
+  void SetListLoaded() { mListLoaded = true; }
+  /** The list was the newest at aAt, at store time aStoreTime. */
+  void ConfirmList(trefoilarch::Millis aAt, trefoilarch::Millis aStoreTime);
+
+  /** Sets the other entries' addresses. */
   void SetPeers(const std::vector<std::string>& aAddresses);
-  void SetTableHooks(TableHooks aHooks) { mTables = std::move(aHooks); }
-  void SendTableUpdate(const trefoilarch::TableUpdate& aNews)
+  void SetTableHooks(TableHooks aHooks) { mTableHooks = std::move(aHooks); }
+  void SendTableUpdate(const trefoilarch::TableUpdate& aUpdate)
   {
-    mPeers.SendUpdate(aNews);
+    mPeers.SendUpdate(aUpdate);
   }
-  /** Where other entries reach this one; empty where they can't. */
+  /** The address at which other entries reach this one; empty if there is
+   * none. */
   std::string PeerAddress() const { return mPeers.Address(); }
-  /** When that entry was last heard; 0 for never. */
+  /** When the last message of this entry was received; 0 for never. */
   trefoilarch::Millis LastReceivedAt(const std::string& aName) const;
   const std::string& EntryName() const { return mOptions.mSettings.mName; }
 
-  /** Takes over what a running process can change, and says in the log what
-   * needs a restart. */
+  /** Applies the settings that a running process can change, and logs those
+   * that need a restart. */
   void ChangeSettings(const GateSettings& aSettings);
-  /** Settings that were read again have faults: the old ones stay. */
+  /** Logs faults in reloaded settings; the old settings stay in force. */
   void RejectSettings(const std::vector<std::string>& aFaults);
 
-  /** Where callers connect, once it is started. */
+  /** The address for callers, once started. */
   std::string CallersAddress() const { return mCallers.Address(); }
   DecisionLog& Log() { return mLog; }
   trefoilarch::Quarantine& CrashQuarantine()
   {
     return mRouter.CrashQuarantine();
   }
-  /** A row of that table could not be read. */
+  /** Counts a row of this table that could not be read. */
   void CountUnreadableRow(std::string_view aTable)
   {
     mMetrics.OnUnreadableRow(aTable);
@@ -129,42 +132,43 @@
 private:
   using Millis = trefoilarch::Millis;
 
-  PeerHooks HooksForPeers();
-  CallerHooks CallersHooks();
-  CallerHooks OperatorHooks();
+  PeerHooks MakePeerHooks();
+  CallerHooks MakeCallerHooks();
+  CallerHooks MakeOperatorHooks();
   void OnRequest(const std::shared_ptr<CallerConnection>& aCaller,
                  CallerRequest aRequest);
   std::map<std::string, std::function<OperatorResponse()>, std::less<>>
-  OperatorPages();
+  MakeOperatorHandlers();
   void OnOperatorRequest(const std::shared_ptr<CallerConnection>& aCaller,
                          const CallerRequest& aRequest);
   void OnExchangeEnded(Exchange* aEnded);
-  void RefuseUnbound(const std::shared_ptr<CallerConnection>& aCaller,
+  void RefuseRequest(const std::shared_ptr<CallerConnection>& aCaller,
                      const CallerRequest& aRequest,
                      const std::string& aId,
                      const trefoilarch::Refusal& aRefusal);
-  OperatorResponse ReadyPage();
+  OperatorResponse ReadinessResponse();
   /** Requests in quarantine, as JSON text. */
   std::string QuarantineText() const;
-  /** Lets the request go; the status that tells whether it was held back. */
+  /** Releases the request; returns 404 if it was not in quarantine. */
   int Release(std::string_view aFingerprint);
-  /** Empty where requests can be served, else the reason. */
-  std::string NotReady() const;
+  /** The reason why requests can't be served; empty if they can. */
+  std::string NotReadyReason() const;
   void LogReadiness(const std::string& aReason);
   std::string MetricsText();
   /** The fleet as this gate sees it, in the form of an entry's status. */
   std::string StatusText() const;
   void OnDirectoryChanged();
-  /** Drops upstreams that are gone by what is known of the store, once the
-   * event that is being handled is over: it may list some of them again. */
+  /** Drops upstreams that are gone by the known state of the store, after the
+   * current event has been handled, as it may list some of them again. */
   void ExpireUpstreams();
-  void OnStoreReport(const trefoilarch::StoreServingInterval& aRun);
-  /** Which upstreams are kept though the list lacks them. */
+  void OnStoreReport(const trefoilarch::StoreServingInterval& aInterval);
+  /** Logs changes of the upstreams that are kept although the list lacks
+   * them. */
   void LogUnlisted();
   void LogLimit(const trefoilarch::LimitChange& aChange);
-  /** Tells and logs it once the event that is being handled is over. */
+  /** Sends and logs the update after the current event has been handled. */
   void OnCrashUpdate();
-  void TellCrashNews(bool aAgain);
+  void SendCrashUpdates(bool aRepeat);
   void LogCrashes();
   void Tick();
   void ContinueDrain();
@@ -179,22 +183,23 @@
   CallerListener mCallers;
   CallerListener mOperators;
   PeerLink mPeers;
-  TableHooks mTables;
+  TableHooks mTableHooks;
   boost::asio::steady_timer mTimer;
   /** By path. */
-  std::map<std::string, std::function<OperatorResponse()>, std::less<>> mPages;
+  std::map<std::string, std::function<OperatorResponse()>, std::less<>>
+    mOperatorHandlers;
   std::unordered_map<Exchange*, std::shared_ptr<Exchange>> mExchanges;
-  /** Of the bodies of open requests. */
+  /** Size of the bodies of open requests. */
   uint64_t mBodyBytes = 0;
   std::string mLastReason = "starting";
-  bool mListKnown = false;
-  /** As it was last logged. */
+  bool mListLoaded = false;
+  /** As last logged. */
   std::map<trefoilarch::UpstreamId, trefoilarch::UnlistedUpstream> mUnlisted;
-  /** When each other entry was last heard. */
-  std::map<std::string, Millis> mHeardAt;
-  /** This one and the others that are listed; 0 before the list is known. */
-  size_t mEntries;
-  bool mCrashNewsDue = false;
+  /** When the last message of each other entry was received. */
+  std::map<std::string, Millis> mLastReceivedAt;
+  /** This entry and the other listed ones; 0 until the list is known. */
+  size_t mEntryCount;
+  bool mCrashUpdateDue = false;
   bool mExpiryDue = false;
   bool mDraining = false;
   Millis mDrainingSince;
--- a/src/libtrefoilgate/gatewaycrashes.cpp
+++ b/src/libtrefoilgate/gatewaycrashes.cpp
@@ -4,23 +4,24 @@
 
 #include <boost/asio/post.hpp>
 
-/** What the gateway tells and logs of upstreams that crash, and of requests
- * that are not run for it. */
+/** Updates and log lines about upstreams that crash, and about requests in
+ * quarantine for it. */
 namespace trefoilgate {
 
 using namespace trefoilarch;
 
 namespace {
 
-/** Suspects that a line of the log names; it says how many there are. */
-constexpr size_t kMostNamed = 16;
+/** Maximum number of suspects named in a log line, which also gives their
+ * count. */
+constexpr size_t kMaxNamed = 16;
 
 std::vector<std::string>
-TextsOf(const std::vector<RequestFingerprint>& aRequests)
+FingerprintTexts(const std::vector<RequestFingerprint>& aRequests)
 {
   std::vector<std::string> texts;
   for (const RequestFingerprint& each : aRequests) {
-    if (texts.size() < kMostNamed) {
+    if (texts.size() < kMaxNamed) {
       texts.push_back(each.Text());
     }
   }
@@ -28,11 +29,11 @@
 }
 
 std::vector<std::string>
-NamesOf(const std::vector<UpstreamIncarnation>& aStarts)
+UpstreamNames(const std::vector<UpstreamIncarnation>& aIncarnations)
 {
   std::vector<std::string> names;
-  names.reserve(aStarts.size());
-  for (const UpstreamIncarnation& each : aStarts) {
+  names.reserve(aIncarnations.size());
+  for (const UpstreamIncarnation& each : aIncarnations) {
     names.push_back(each.mUpstream);
   }
   return names;
@@ -43,20 +44,20 @@
 void
 Gateway::OnCrashUpdate()
 {
-  if (mCrashNewsDue) {
+  if (mCrashUpdateDue) {
     return;
   }
-  mCrashNewsDue = true;
+  mCrashUpdateDue = true;
   boost::asio::post(mLoop, [this] {
-    mCrashNewsDue = false;
-    TellCrashNews(false);
+    mCrashUpdateDue = false;
+    SendCrashUpdates(false);
   });
 }
 
 void
-Gateway::TellCrashNews(bool aAgain)
+Gateway::SendCrashUpdates(bool aRepeat)
 {
-  for (const CrashUpdate& each : mRouter.TakeCrashUpdates(aAgain, BootNow())) {
+  for (const CrashUpdate& each : mRouter.TakeCrashUpdates(aRepeat, BootNow())) {
     mPeers.SendUpdate(each);
   }
   LogCrashes();
@@ -72,14 +73,14 @@
                  { "born", each.mIncarnation.mStartTime },
                  { "why", each.mReason },
                  { "suspects", each.mSuspects.size() },
-                 { "fingerprints", TextsOf(each.mSuspects) } });
+                 { "fingerprints", FingerprintTexts(each.mSuspects) } });
   }
   for (const QuarantineChange& each : mRouter.CrashQuarantine().TakeChanges()) {
     mLog.Write(LineKind::StateChange,
                each.mHeld ? "request_quarantined" : "request_let_go",
                { { "fingerprint", each.mRequest.Text() },
                  { "why", each.mReason },
-                 { "crashes", NamesOf(each.mCrashes) } });
+                 { "crashes", UpstreamNames(each.mCrashes) } });
   }
 }
 
--- a/src/libtrefoilgate/gatewayoperator.cpp
+++ b/src/libtrefoilgate/gatewayoperator.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/** A policy older than this is no ground for saying that we are ready. */
-constexpr Millis kReadySpan{ 4000 };
+/** The gateway is not ready if its policy is older than this. */
+constexpr Millis kReadyPolicyMaxAge{ 4000 };
 
-/** Before the fingerprint of a request that an operator lets go. */
+/** Followed by the fingerprint of a request to release from quarantine. */
 constexpr std::string_view kReleasePath = "/v1/quarantine/release/";
 
 constexpr int kOk = 200;
@@ -20,7 +20,7 @@
 constexpr int kUnavailable = 503;
 
 OperatorResponse
-Json(std::string aText)
+JsonResponse(std::string aText)
 {
   return { .mType = "application/json", .mText = std::move(aText) };
 }
@@ -28,21 +28,22 @@
 } // namespace
 
 std::map<std::string, std::function<OperatorResponse()>, std::less<>>
-Gateway::OperatorPages()
+Gateway::MakeOperatorHandlers()
 {
-  const auto ready = [this] { return ReadyPage(); };
-  const auto dump = [this] { return Json(DumpState()); };
-  return { { mOptions.mReadyPath, ready },
-           { "/ready", ready },
-           { "/metrics",
-             [this]() -> OperatorResponse {
-               return { .mType = "text/plain; version=0.0.4",
-                        .mText = MetricsText() };
-             } },
-           { "/v1/status", [this] { return Json(StatusText()); } },
-           { "/v1/quarantine", [this] { return Json(QuarantineText()); } },
-           { "/dump", dump },
-           { "/state", dump } };
+  const auto ready = [this] { return ReadinessResponse(); };
+  const auto dump = [this] { return JsonResponse(DumpState()); };
+  return {
+    { mOptions.mReadyPath, ready },
+    { "/ready", ready },
+    { "/metrics",
+      [this]() -> OperatorResponse {
+        return { .mType = "text/plain; version=0.0.4", .mText = MetricsText() };
+      } },
+    { "/v1/status", [this] { return JsonResponse(StatusText()); } },
+    { "/v1/quarantine", [this] { return JsonResponse(QuarantineText()); } },
+    { "/dump", dump },
+    { "/state", dump }
+  };
 }
 
 void
@@ -55,17 +56,17 @@
                     "");
     return;
   }
-  const auto place = mPages.find(target.substr(0, target.find('?')));
-  if (place == mPages.end()) {
+  const auto found = mOperatorHandlers.find(target.substr(0, target.find('?')));
+  if (found == mOperatorHandlers.end()) {
     aCaller->Answer({ .mStatus = kNotFound }, "");
     return;
   }
-  const OperatorResponse page = place->second();
-  AnswerHead head{ .mStatus = page.mStatus };
-  if (!page.mType.empty()) {
-    head.mHeaders = { { "Content-Type", page.mType } };
+  const OperatorResponse response = found->second();
+  AnswerHead head{ .mStatus = response.mStatus };
+  if (!response.mType.empty()) {
+    head.mHeaders = { { "Content-Type", response.mType } };
   }
-  aCaller->Answer(head, page.mText);
+  aCaller->Answer(head, response.mText);
 }
 
 std::string
@@ -76,9 +77,9 @@
   for (const QuarantinedRequest& each :
        mRouter.CrashQuarantine().Quarantined()) {
     auto crashes = nlohmann::json::array();
-    for (const UpstreamIncarnation& start : each.mCrashes) {
-      crashes.push_back(
-        { { "upstream", start.mUpstream }, { "born", start.mStartTime } });
+    for (const UpstreamIncarnation& incarnation : each.mCrashes) {
+      crashes.push_back({ { "upstream", incarnation.mUpstream },
+                          { "born", incarnation.mStartTime } });
     }
     requests.push_back(
       { { "fingerprint", each.mRequest.Text() },
@@ -97,20 +98,20 @@
     return kNotFound;
   }
   mRouter.CrashQuarantine().Release(request, BootNow());
-  TellCrashNews(false);
+  SendCrashUpdates(false);
   return kOk;
 }
 
 OperatorResponse
-Gateway::ReadyPage()
+Gateway::ReadinessResponse()
 {
-  const std::string reason = NotReady();
+  const std::string reason = NotReadyReason();
   LogReadiness(reason);
   return { .mStatus = reason.empty() ? kOk : kUnavailable, .mText = reason };
 }
 
 std::string
-Gateway::NotReady() const
+Gateway::NotReadyReason() const
 {
   if (mDraining) {
     return "stopping";
@@ -118,10 +119,10 @@
   if (!mRouter.Index()) {
     return "no policy yet";
   }
-  if (!mListKnown) {
+  if (!mListLoaded) {
     return "no list of upstreams yet";
   }
-  if (!mRouter.PolicyFreshness().IsWithin(kReadySpan, BootNow())) {
+  if (!mRouter.PolicyFreshness().IsWithin(kReadyPolicyMaxAge, BootNow())) {
     return "policy not confirmed";
   }
   return "";
@@ -145,23 +146,24 @@
 Gateway::MetricsText()
 {
   const Millis now = BootNow();
-  const auto count = [this](Gauge aGauge, auto aValue) {
+  const auto setGauge = [this](Gauge aGauge, auto aValue) {
     mMetrics.Set(aGauge, static_cast<double>(aValue));
   };
-  count(Gauge::OpenRequests, mExchanges.size());
-  count(Gauge::BodyBytes, mBodyBytes);
-  count(Gauge::CallerConnections, mCallers.Connections());
-  count(Gauge::IdleUpstreamConnections, mPool.IdleCount());
-  count(Gauge::UpstreamConnectionsMade, mPool.MadeCount());
-  count(Gauge::UpstreamConnectionsFailed, mPool.FailedCount());
-  count(Gauge::PolicyAgeMs, mRouter.PolicyFreshness().AgeMs(now));
-  count(Gauge::PolicyVersion, mRouter.Index() ? mRouter.Index()->Version() : 0);
-  count(Gauge::ListAgeMs, mRouter.ListFreshness().AgeMs(now));
-  count(Gauge::Ejections, mRouter.Ejections());
-  count(Gauge::UpstreamCrashes, mRouter.Crashes());
-  count(Gauge::Quarantined, mRouter.CrashQuarantine().Quarantined().size());
-  count(Gauge::LimitedUpstreams, mRouter.Limits().Limited());
-  count(Gauge::LogLinesLeftOut, mLog.LeftOut());
+  setGauge(Gauge::OpenRequests, mExchanges.size());
+  setGauge(Gauge::BodyBytes, mBodyBytes);
+  setGauge(Gauge::CallerConnections, mCallers.Connections());
+  setGauge(Gauge::IdleUpstreamConnections, mPool.IdleCount());
+  setGauge(Gauge::UpstreamConnectionsMade, mPool.MadeCount());
+  setGauge(Gauge::UpstreamConnectionsFailed, mPool.FailedCount());
+  setGauge(Gauge::PolicyAgeMs, mRouter.PolicyFreshness().AgeMs(now));
+  setGauge(Gauge::PolicyVersion,
+           mRouter.Index() ? mRouter.Index()->Version() : 0);
+  setGauge(Gauge::ListAgeMs, mRouter.ListFreshness().AgeMs(now));
+  setGauge(Gauge::Ejections, mRouter.Ejections());
+  setGauge(Gauge::UpstreamCrashes, mRouter.Crashes());
+  setGauge(Gauge::Quarantined, mRouter.CrashQuarantine().Quarantined().size());
+  setGauge(Gauge::LimitedUpstreams, mRouter.Limits().Limited());
+  setGauge(Gauge::LogLinesLeftOut, mLog.LeftOut());
   for (const auto& [service, left] : mRouter.RetriesLeft()) {
     mMetrics.Set(Gauge::RetriesLeft, service, left);
   }
--- a/src/libtrefoilgate/gatewayupstreams.cpp
+++ b/src/libtrefoilgate/gatewayupstreams.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/asio/post.hpp>
 
-/** What the gateway believes of upstreams, and logs of it. */
+/** The gateway's view of the upstreams, and its log lines. */
 namespace trefoilgate {
 
 using namespace trefoilarch;
@@ -41,30 +41,30 @@
       OnDirectoryChanged();
     }
     if (const auto wanted = mRouter.Directory().RequiredStoreTime()) {
-      mTables.mOnListConfirmationWanted(*wanted);
+      mTableHooks.mOnListConfirmationWanted(*wanted);
     }
   });
 }
 
 void
-Gateway::OnStoreResponse(Millis aReading)
+Gateway::OnStoreResponse(Millis aStoreTime)
 {
-  mRouter.Directory().OnStoreResponse(aReading);
+  mRouter.Directory().OnStoreResponse(aStoreTime);
   ExpireUpstreams();
 }
 
 void
-Gateway::ConfirmList(Millis aAt, Millis aReading)
+Gateway::ConfirmList(Millis aAt, Millis aStoreTime)
 {
   mRouter.ConfirmList(aAt);
-  mRouter.Directory().OnListConfirmed(aReading);
+  mRouter.Directory().OnListConfirmed(aStoreTime);
   ExpireUpstreams();
 }
 
 void
-Gateway::OnStoreReport(const StoreServingInterval& aRun)
+Gateway::OnStoreReport(const StoreServingInterval& aInterval)
 {
-  mRouter.Directory().OnStoreReport(aRun);
+  mRouter.Directory().OnStoreReport(aInterval);
   ExpireUpstreams();
 }
 
@@ -75,9 +75,9 @@
   const Millis now = BootNow();
   for (const auto& [id, unlisted] : mUnlisted) {
     if (!directory.Unlisted().contains(id)) {
-      const bool known = directory.Find(id) != nullptr;
+      const bool isKnown = directory.Find(id) != nullptr;
       mLog.Write(LineKind::StateChange,
-                 known ? "upstream_relisted" : "upstream_dropped",
+                 isKnown ? "upstream_relisted" : "upstream_dropped",
                  { { "upstream", id },
                    { "unlisted_ms", (now - unlisted.mSince).Count() } });
     }
--- a/src/libtrefoilgate/httpfields.cpp
+++ b/src/libtrefoilgate/httpfields.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::array kOneConnection = {
+constexpr std::array kHopByHopFields = {
   http::field::connection,       http::field::keep_alive,
   http::field::proxy_connection, http::field::te,
   http::field::trailer,          http::field::transfer_encoding,
@@ -47,25 +47,26 @@
 Headers
 EndToEndHeaders(const http::fields& aFields)
 {
-  std::vector<std::string> named;
+  std::vector<std::string> connectionOptions;
   const auto connections = aFields.equal_range(http::field::connection);
   for (auto each = connections.first; each != connections.second; ++each) {
     for (const auto& token : http::token_list{ each->value() }) {
-      named.emplace_back(token);
+      connectionOptions.emplace_back(token);
     }
   }
   Headers headers;
   for (const auto& field : aFields) {
-    const auto hop =
-      std::find(kOneConnection.begin(), kOneConnection.end(), field.name());
-    if (hop != kOneConnection.end()) {
+    const auto hopByHop =
+      std::find(kHopByHopFields.begin(), kHopByHopFields.end(), field.name());
+    if (hopByHop != kHopByHopFields.end()) {
       continue;
     }
     const std::string name(field.name_string());
-    const bool listed =
-      std::any_of(named.begin(), named.end(), [&](const std::string& aNamed) {
-        return IsSameHeaderName(aNamed, name);
-      });
+    const bool listed = std::any_of(connectionOptions.begin(),
+                                    connectionOptions.end(),
+                                    [&](const std::string& aOption) {
+                                      return IsSameHeaderName(aOption, name);
+                                    });
     if (!listed) {
       headers.emplace_back(name, std::string(field.value()));
     }
--- a/src/libtrefoilgate/httpfields.h
+++ b/src/libtrefoilgate/httpfields.h
@@ -11,22 +11,22 @@
 
 using trefoilarch::Headers;
 
-/** Whether two header names are the same, whatever their case. */
+/** Compares two header names, ignoring case. */
 bool
 IsSameHeaderName(std::string_view aLeft, std::string_view aRight);
 
-/** The first value of that name, or an empty text. */
+/** The first value of this header, or an empty text. */
 std::string_view
 HeaderValue(const Headers& aHeaders, std::string_view aName);
 
-/** Whether there is a header of that name. */
+/** Whether this header is present. */
 bool
 HasHeader(const Headers& aHeaders, std::string_view aName);
 
 /**
- * The headers that travel end to end: without those that concern only one
- * connection, the ones that `Connection` names among them. Framing headers
- * (Content-Length, Transfer-Encoding) and Expect are left out as well.
+ * The end-to-end headers: without hop-by-hop headers and those that
+ * `Connection` names. Framing headers (Content-Length, Transfer-Encoding) and
+ * Expect are left out as well.
  */
 Headers
 EndToEndHeaders(const boost::beast::http::fields& aFields);
--- a/src/libtrefoilgate/looptimer.cpp
+++ b/src/libtrefoilgate/looptimer.cpp
@@ -7,14 +7,14 @@
 
 void
 RunAfter(boost::asio::steady_timer& aTimer,
-         trefoilarch::Millis aSpan,
-         std::function<void()> aNext)
+         trefoilarch::Millis aDelay,
+         std::function<void()> aCallback)
 {
-  aTimer.expires_after(std::chrono::milliseconds(aSpan.Count()));
+  aTimer.expires_after(std::chrono::milliseconds(aDelay.Count()));
   aTimer.async_wait(
-    [next = std::move(aNext)](const boost::system::error_code& aError) {
+    [callback = std::move(aCallback)](const boost::system::error_code& aError) {
       if (!aError) {
-        next();
+        callback();
       }
     });
 }
--- a/src/libtrefoilgate/looptimer.h
+++ b/src/libtrefoilgate/looptimer.h
@@ -8,11 +8,11 @@
 
 namespace trefoilgate {
 
-/** Calls back on the timer's loop after the span; what the timer was to call
- * before is not called. */
+/** Runs the callback on the timer's loop after the delay; cancels the timer's
+ * previous callback. */
 void
 RunAfter(boost::asio::steady_timer& aTimer,
-         trefoilarch::Millis aSpan,
-         std::function<void()> aNext);
+         trefoilarch::Millis aDelay,
+         std::function<void()> aCallback);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/peerdatagram.cpp
+++ b/src/libtrefoilgate/peerdatagram.cpp
@@ -13,62 +13,62 @@
 
 namespace {
 
-/** The first element: the kind of message and its version. */
-constexpr const char* kFormat = "trefoil-notes-4";
-constexpr const char* kNewsFormat = "trefoil-news-1";
-
-/** What one datagram may hold, so that no link has to split it. */
-constexpr size_t kMostPending = 48;
-constexpr size_t kMostSent = 16;
-constexpr size_t kMostParts = 16;
-constexpr size_t kMostReports = 40;
-constexpr size_t kMostDemands = 8;
-constexpr size_t kMostAnswered = 32;
-constexpr size_t kMostSilent = 16;
-constexpr size_t kMostTables = 8;
-constexpr size_t kMostLimits = UpstreamLimits::kMaxReports;
-
-/** Requests are told in hundredths. */
+/** The first element: the message type and its version. */
+constexpr const char* kPeerUpdateFormat = "trefoil-notes-4";
+constexpr const char* kTableUpdateFormat = "trefoil-news-1";
+
+/** Maximum numbers of elements, so that a datagram is not fragmented. */
+constexpr size_t kMaxPending = 48;
+constexpr size_t kMaxSent = 16;
+constexpr size_t kMaxSegments = 16;
+constexpr size_t kMaxLoadReports = 40;
+constexpr size_t kMaxDemands = 8;
+constexpr size_t kMaxAnswered = 32;
+constexpr size_t kMaxSilent = 16;
+constexpr size_t kMaxTables = 8;
+constexpr size_t kMaxLimits = UpstreamLimits::kMaxReports;
+
+/** Numbers of requests are sent in hundredths. */
 constexpr double kHundred = 100;
 
-/** An older report says nothing any more; a longer age is a mistake. */
-constexpr uint64_t kMostAgeMs = 10000;
+/** An older report is useless; a longer age is invalid. */
+constexpr uint64_t kMaxAgeMs = 10000;
 
-/** More requests at one upstream are a mistake. */
-constexpr uint64_t kMostRequests = 1000000;
+/** More requests at one upstream are invalid. */
+constexpr uint64_t kMaxRequests = 1000000;
 
-/** A later reading of the store's clock, in milliseconds, is a mistake. */
-constexpr uint64_t kLatestReading = 1000000000000000;
+/** A later store time, in milliseconds, is invalid. */
+constexpr uint64_t kMaxStoreTime = 1000000000000000;
 
-/** How long the store has served beyond this decides nothing. */
-constexpr uint64_t kMostRunMs = 60000;
+/** A longer serving interval makes no difference. */
+constexpr uint64_t kMaxServingMs = 60000;
 
-/** More tokens than any engine holds are a mistake. */
-constexpr uint64_t kMostTokens = 1000000000;
+/** More tokens than any engine holds are invalid. */
+constexpr uint64_t kMaxTokens = 1000000000;
 
 Json
-PendingOf(const PeerUpdate& aNotes)
+PendingOf(const PeerUpdate& aUpdate)
 {
   Json pending = Json::array();
-  for (const UpstreamPendingPrefill& each : aNotes.mPending) {
-    if (pending.size() < kMostPending) {
-      Json reads = Json::array({ each.mUpstream });
+  for (const UpstreamPendingPrefill& each : aUpdate.mPending) {
+    if (pending.size() < kMaxPending) {
+      Json prefill = Json::array({ each.mUpstream });
       for (uint8_t urgency = 0; urgency < PendingPrefill::kUrgencies;
            ++urgency) {
-        reads.push_back(each.mPendingPrefill.Of(urgency));
+        prefill.push_back(each.mPendingPrefill.Of(urgency));
       }
-      pending.push_back(std::move(reads));
+      pending.push_back(std::move(prefill));
     }
   }
   return pending;
 }
 
 Json
-SentOf(const PeerUpdate& aNotes)
+SentOf(const PeerUpdate& aUpdate)
 {
   Json sent = Json::array();
-  for (const SentPrompt& each : aNotes.mSent) {
-    if (sent.size() < kMostSent) {
+  for (const SentPrompt& each : aUpdate.mSent) {
+    if (sent.size() < kMaxSent) {
       sent.push_back({ each.mUpstream, each.mSegments, each.mTokens });
     }
   }
@@ -76,69 +76,70 @@
 }
 
 Json
-ReportsOf(const PeerUpdate& aNotes)
+ReportsOf(const PeerUpdate& aUpdate)
 {
   Json reports = Json::array();
-  for (const ReceivedLoadReport& each : aNotes.mReports) {
+  for (const ReceivedLoadReport& each : aUpdate.mReports) {
     const ReportedLoad& load = each.mLoad;
-    const uint32_t most =
+    const uint32_t largest =
       std::max({ load.mRunning, load.mWaiting, load.mSlots });
-    if (reports.size() < kMostReports && most <= kMostRequests) {
+    if (reports.size() < kMaxLoadReports && largest <= kMaxRequests) {
       reports.push_back({ each.mUpstream,
                           load.mRunning,
                           load.mWaiting,
                           load.mSlots,
-                          ClampedMillis(each.mAge, kMostAgeMs) });
+                          ClampedMillis(each.mAge, kMaxAgeMs) });
     }
   }
   return reports;
 }
 
 uint64_t
-Whole(double aValue)
+ToBoundedInteger(double aValue)
 {
-  const double most = static_cast<double>(kMostTokens);
-  return static_cast<uint64_t>(std::clamp(aValue, 0.0, most));
+  const double max = static_cast<double>(kMaxTokens);
+  return static_cast<uint64_t>(std::clamp(aValue, 0.0, max));
 }
 
 Json
-DemandsOf(const PeerUpdate& aNotes)
+DemandsOf(const PeerUpdate& aUpdate)
 {
   Json demands = Json::array();
-  for (const RouteDemand& each : aNotes.mDemands) {
-    if (demands.size() < kMostDemands) {
-      demands.push_back({ each.mService,
-                          each.mRoute,
-                          Whole(each.mCount * kHundred),
-                          Whole(each.mPromptTokens),
-                          Whole(each.mOutputTokens),
-                          Whole(each.mOpen * kHundred),
-                          Whole(static_cast<double>(each.mMaxPause.Count())),
-                          each.mUrgency });
+  for (const RouteDemand& each : aUpdate.mDemands) {
+    if (demands.size() < kMaxDemands) {
+      demands.push_back(
+        { each.mService,
+          each.mRoute,
+          ToBoundedInteger(each.mCount * kHundred),
+          ToBoundedInteger(each.mPromptTokens),
+          ToBoundedInteger(each.mOutputTokens),
+          ToBoundedInteger(each.mOpen * kHundred),
+          ToBoundedInteger(static_cast<double>(each.mMaxPause.Count())),
+          each.mUrgency });
     }
   }
   return demands;
 }
 
 Json
-SilentOf(const PeerUpdate& aNotes)
+SilentOf(const PeerUpdate& aUpdate)
 {
   Json silent = Json::array();
-  for (const SilentUpstream& each : aNotes.mSilent) {
-    if (silent.size() < kMostSilent) {
+  for (const SilentUpstream& each : aUpdate.mSilent) {
+    if (silent.size() < kMaxSilent) {
       silent.push_back(
-        { each.mUpstream, ClampedMillis(each.mSilence, kMostAgeMs) });
+        { each.mUpstream, ClampedMillis(each.mSilence, kMaxAgeMs) });
     }
   }
   return silent;
 }
 
 Json
-AnsweredOf(const PeerUpdate& aNotes)
+AnsweredOf(const PeerUpdate& aUpdate)
 {
   Json answered = Json::array();
-  for (const UpstreamId& each : aNotes.mAnswered) {
-    if (answered.size() < kMostAnswered) {
+  for (const UpstreamId& each : aUpdate.mAnswered) {
+    if (answered.size() < kMaxAnswered) {
       answered.push_back(each);
     }
   }
@@ -146,38 +147,39 @@
 }
 
 Json
-TablesOf(const PeerUpdate& aNotes)
+TablesOf(const PeerUpdate& aUpdate)
 {
   Json tables = Json::array();
-  for (const PeerTableCheckpoint& each : aNotes.mTables) {
-    const int64_t reading = each.mCheckpoint.mStoreTime.Count();
-    if (tables.size() < kMostTables && reading >= 0) {
+  for (const PeerTableCheckpoint& each : aUpdate.mTables) {
+    const int64_t storeTime = each.mCheckpoint.mStoreTime.Count();
+    if (tables.size() < kMaxTables && storeTime >= 0) {
       tables.push_back({ each.mTable,
                          each.mCheckpoint.mLastChange,
-                         static_cast<uint64_t>(reading) });
+                         static_cast<uint64_t>(storeTime) });
     }
   }
   return tables;
 }
 
-/** The newest answer and the run's length; nothing where there is no run. */
+/** The store time of the last response and the interval's length; an empty
+ * array if there is no interval. */
 Json
-StoreRunOf(const PeerUpdate& aNotes)
+ServingIntervalOf(const PeerUpdate& aUpdate)
 {
-  if (!aNotes.mStoreServing || aNotes.mStoreServing->mUntil < Millis(0)) {
+  if (!aUpdate.mStoreServing || aUpdate.mStoreServing->mUntil < Millis(0)) {
     return Json::array();
   }
-  const StoreServingInterval& run = *aNotes.mStoreServing;
-  return { static_cast<uint64_t>(run.mUntil.Count()),
-           ClampedMillis(run.mUntil - run.mSince, kMostRunMs) };
+  const StoreServingInterval& interval = *aUpdate.mStoreServing;
+  return { static_cast<uint64_t>(interval.mUntil.Count()),
+           ClampedMillis(interval.mUntil - interval.mSince, kMaxServingMs) };
 }
 
 Json
-LimitsOf(const PeerUpdate& aNotes)
+LimitsOf(const PeerUpdate& aUpdate)
 {
   Json limits = Json::array();
-  for (const LimitReport& each : aNotes.mLimits) {
-    if (limits.size() < kMostLimits) {
+  for (const LimitReport& each : aUpdate.mLimits) {
+    if (limits.size() < kMaxLimits) {
       limits.push_back(LimitJson(each));
     }
   }
@@ -187,7 +189,7 @@
 bool
 IsTokens(const Json& aValue)
 {
-  return IsAtMost(aValue, kMostTokens);
+  return IsAtMost(aValue, kMaxTokens);
 }
 
 bool
@@ -202,7 +204,7 @@
 IsSent(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 3 && aValue[0].is_string() &&
-         aValue[1].is_array() && aValue[1].size() <= kMostParts &&
+         aValue[1].is_array() && aValue[1].size() <= kMaxSegments &&
          std::all_of(aValue[1].begin(), aValue[1].end(), IsUnsigned) &&
          IsTokens(aValue[2]);
 }
@@ -211,9 +213,9 @@
 IsReport(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 5 && aValue[0].is_string() &&
-         IsAtMost(aValue[1], kMostRequests) &&
-         IsAtMost(aValue[2], kMostRequests) &&
-         IsAtMost(aValue[3], kMostRequests) && IsAtMost(aValue[4], kMostAgeMs);
+         IsAtMost(aValue[1], kMaxRequests) &&
+         IsAtMost(aValue[2], kMaxRequests) &&
+         IsAtMost(aValue[3], kMaxRequests) && IsAtMost(aValue[4], kMaxAgeMs);
 }
 
 bool
@@ -229,24 +231,24 @@
 IsSilent(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 2 && aValue[0].is_string() &&
-         IsAtMost(aValue[1], kMostAgeMs);
+         IsAtMost(aValue[1], kMaxAgeMs);
 }
 
 bool
-IsTable(const Json& aValue)
+IsTableCheckpoint(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 3 &&
          IsAtMost(aValue[0], UINT8_MAX) && IsUnsigned(aValue[1]) &&
-         IsAtMost(aValue[2], kLatestReading);
+         IsAtMost(aValue[2], kMaxStoreTime);
 }
 
 bool
-IsStoreRun(const Json& aValue)
+IsServingInterval(const Json& aValue)
 {
   return aValue.is_array() &&
          (aValue.empty() ||
-          (aValue.size() == 2 && IsAtMost(aValue[0], kLatestReading) &&
-           IsAtMost(aValue[1], kMostRunMs)));
+          (aValue.size() == 2 && IsAtMost(aValue[0], kMaxStoreTime) &&
+           IsAtMost(aValue[1], kMaxServingMs)));
 }
 
 bool
@@ -258,21 +260,23 @@
 }
 
 bool
-IsNews(const Json& aValue)
+IsTableUpdate(const Json& aValue)
 {
-  return aValue.is_array() && aValue.size() == 7 && aValue[0] == kNewsFormat &&
-         IsAtMost(aValue[1], UINT8_MAX) && IsUnsigned(aValue[2]) &&
-         IsAtMost(aValue[3], kLatestReading) && IsUnsigned(aValue[4]) &&
-         IsUnsigned(aValue[5]) && aValue[6].is_array() &&
+  return aValue.is_array() && aValue.size() == 7 &&
+         aValue[0] == kTableUpdateFormat && IsAtMost(aValue[1], UINT8_MAX) &&
+         IsUnsigned(aValue[2]) && IsAtMost(aValue[3], kMaxStoreTime) &&
+         IsUnsigned(aValue[4]) && IsUnsigned(aValue[5]) &&
+         aValue[6].is_array() &&
          std::all_of(aValue[6].begin(), aValue[6].end(), IsRow);
 }
 
 bool
-AreNotes(const Json& aValue)
+IsPeerUpdate(const Json& aValue)
 {
-  return aValue.is_array() && aValue.size() == 13 && aValue[0] == kFormat &&
-         aValue[1].is_string() && IsUnsigned(aValue[2]) &&
-         IsUnsigned(aValue[3]) && aValue[4].is_array() &&
+  return aValue.is_array() && aValue.size() == 13 &&
+         aValue[0] == kPeerUpdateFormat && aValue[1].is_string() &&
+         IsUnsigned(aValue[2]) && IsUnsigned(aValue[3]) &&
+         aValue[4].is_array() &&
          std::all_of(aValue[4].begin(), aValue[4].end(), IsPending) &&
          aValue[5].is_array() &&
          std::all_of(aValue[5].begin(), aValue[5].end(), IsSent) &&
@@ -287,62 +291,62 @@
          aValue[9].is_array() &&
          std::all_of(aValue[9].begin(), aValue[9].end(), IsSilent) &&
          aValue[10].is_array() &&
-         std::all_of(aValue[10].begin(), aValue[10].end(), IsTable) &&
-         IsStoreRun(aValue[11]) && aValue[12].is_array() &&
+         std::all_of(aValue[10].begin(), aValue[10].end(), IsTableCheckpoint) &&
+         IsServingInterval(aValue[11]) && aValue[12].is_array() &&
          std::all_of(aValue[12].begin(), aValue[12].end(), IsLimitJson);
 }
 
 } // namespace
 
 std::vector<uint8_t>
-EncodePeerUpdate(const PeerUpdate& aNotes)
+EncodePeerUpdate(const PeerUpdate& aUpdate)
 {
-  return Json::to_msgpack(Json::array({ kFormat,
-                                        aNotes.mFrom,
-                                        aNotes.mProcess,
-                                        aNotes.mSequence,
-                                        PendingOf(aNotes),
-                                        SentOf(aNotes),
-                                        ReportsOf(aNotes),
-                                        DemandsOf(aNotes),
-                                        AnsweredOf(aNotes),
-                                        SilentOf(aNotes),
-                                        TablesOf(aNotes),
-                                        StoreRunOf(aNotes),
-                                        LimitsOf(aNotes) }));
+  return Json::to_msgpack(Json::array({ kPeerUpdateFormat,
+                                        aUpdate.mFrom,
+                                        aUpdate.mProcess,
+                                        aUpdate.mSequence,
+                                        PendingOf(aUpdate),
+                                        SentOf(aUpdate),
+                                        ReportsOf(aUpdate),
+                                        DemandsOf(aUpdate),
+                                        AnsweredOf(aUpdate),
+                                        SilentOf(aUpdate),
+                                        TablesOf(aUpdate),
+                                        ServingIntervalOf(aUpdate),
+                                        LimitsOf(aUpdate) }));
 }
 
 std::optional<PeerUpdate>
 DecodePeerUpdate(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
-  if (!AreNotes(json)) {
+  if (!IsPeerUpdate(json)) {
     return std::nullopt;
   }
-  PeerUpdate notes{ .mFrom = json[1].get<std::string>(),
-                    .mProcess = json[2].get<uint64_t>(),
-                    .mSequence = json[3].get<uint64_t>() };
+  PeerUpdate update{ .mFrom = json[1].get<std::string>(),
+                     .mProcess = json[2].get<uint64_t>(),
+                     .mSequence = json[3].get<uint64_t>() };
   for (const Json& each : json[4]) {
     UpstreamPendingPrefill pending{ .mUpstream = each[0].get<std::string>() };
     for (uint8_t urgency = 0; urgency < PendingPrefill::kUrgencies; ++urgency) {
       pending.mPendingPrefill.Add(urgency, each[1 + urgency].get<uint64_t>());
     }
-    notes.mPending.push_back(std::move(pending));
+    update.mPending.push_back(std::move(pending));
   }
   for (const Json& each : json[5]) {
-    notes.mSent.push_back({ .mUpstream = each[0].get<std::string>(),
-                            .mSegments = each[1].get<std::vector<uint64_t>>(),
-                            .mTokens = each[2].get<uint32_t>() });
+    update.mSent.push_back({ .mUpstream = each[0].get<std::string>(),
+                             .mSegments = each[1].get<std::vector<uint64_t>>(),
+                             .mTokens = each[2].get<uint32_t>() });
   }
   for (const Json& each : json[6]) {
-    notes.mReports.push_back({ .mUpstream = each[0].get<std::string>(),
-                               .mLoad = { .mRunning = each[1].get<uint32_t>(),
-                                          .mWaiting = each[2].get<uint32_t>(),
-                                          .mSlots = each[3].get<uint32_t>() },
-                               .mAge = Millis(each[4].get<int64_t>()) });
+    update.mReports.push_back({ .mUpstream = each[0].get<std::string>(),
+                                .mLoad = { .mRunning = each[1].get<uint32_t>(),
+                                           .mWaiting = each[2].get<uint32_t>(),
+                                           .mSlots = each[3].get<uint32_t>() },
+                                .mAge = Millis(each[4].get<int64_t>()) });
   }
   for (const Json& each : json[7]) {
-    notes.mDemands.push_back(
+    update.mDemands.push_back(
       { .mService = each[0].get<std::string>(),
         .mRoute = each[1].get<std::string>(),
         .mCount = static_cast<double>(each[2].get<uint64_t>()) / kHundred,
@@ -353,53 +357,53 @@
         .mUrgency = each[7].get<uint8_t>() });
   }
   for (const Json& each : json[8]) {
-    notes.mAnswered.push_back(each.get<std::string>());
+    update.mAnswered.push_back(each.get<std::string>());
   }
   for (const Json& each : json[9]) {
-    notes.mSilent.push_back({ .mUpstream = each[0].get<std::string>(),
-                              .mSilence = Millis(each[1].get<int64_t>()) });
+    update.mSilent.push_back({ .mUpstream = each[0].get<std::string>(),
+                               .mSilence = Millis(each[1].get<int64_t>()) });
   }
   for (const Json& each : json[10]) {
-    notes.mTables.push_back(
+    update.mTables.push_back(
       { .mTable = each[0].get<uint8_t>(),
         .mCheckpoint = { .mLastChange = each[1].get<uint64_t>(),
                          .mStoreTime = Millis(each[2].get<int64_t>()) } });
   }
   if (!json[11].empty()) {
     const Millis until(json[11][0].get<int64_t>());
-    notes.mStoreServing = { .mSince =
-                              until - Millis(json[11][1].get<int64_t>()),
-                            .mUntil = until };
+    update.mStoreServing = { .mSince =
+                               until - Millis(json[11][1].get<int64_t>()),
+                             .mUntil = until };
   }
   for (const Json& each : json[12]) {
-    notes.mLimits.push_back(LimitFromJson(each));
+    update.mLimits.push_back(LimitFromJson(each));
   }
-  return notes;
+  return update;
 }
 
 std::vector<uint8_t>
-EncodeTableUpdate(const TableUpdate& aNews)
+EncodeTableUpdate(const TableUpdate& aUpdate)
 {
   Json rows = Json::array();
-  for (const TableRow& row : aNews.mRows) {
+  for (const TableRow& row : aUpdate.mRows) {
     rows.push_back({ row.mKey,
                      Json::binary({ row.mValue.begin(), row.mValue.end() }),
                      row.mRemoved,
                      row.mVersion });
   }
-  const int64_t reading = aNews.mCheckpoint.mStoreTime.Count();
-  Json news =
-    Json::array({ kNewsFormat,
-                  aNews.mTable,
-                  aNews.mCheckpoint.mLastChange,
-                  static_cast<uint64_t>(std::max<int64_t>(0, reading)),
-                  aNews.mAfter,
-                  aNews.mUpTo,
+  const int64_t storeTime = aUpdate.mCheckpoint.mStoreTime.Count();
+  Json update =
+    Json::array({ kTableUpdateFormat,
+                  aUpdate.mTable,
+                  aUpdate.mCheckpoint.mLastChange,
+                  static_cast<uint64_t>(std::max<int64_t>(0, storeTime)),
+                  aUpdate.mAfter,
+                  aUpdate.mUpTo,
                   std::move(rows) });
-  std::vector<uint8_t> bytes = Json::to_msgpack(news);
-  if (bytes.size() > kMaxDatagramBytes && !aNews.mRows.empty()) {
+  std::vector<uint8_t> bytes = Json::to_msgpack(update);
+  if (bytes.size() > kMaxDatagramBytes && !aUpdate.mRows.empty()) {
     return EncodeTableUpdate(
-      { .mTable = aNews.mTable, .mCheckpoint = aNews.mCheckpoint });
+      { .mTable = aUpdate.mTable, .mCheckpoint = aUpdate.mCheckpoint });
   }
   return bytes;
 }
@@ -408,23 +412,23 @@
 DecodeTableUpdate(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
-  if (!IsNews(json)) {
+  if (!IsTableUpdate(json)) {
     return std::nullopt;
   }
-  TableUpdate news{ .mTable = json[1].get<uint8_t>(),
-                    .mCheckpoint = { .mLastChange = json[2].get<uint64_t>(),
-                                     .mStoreTime =
-                                       Millis(json[3].get<int64_t>()) },
-                    .mAfter = json[4].get<uint64_t>(),
-                    .mUpTo = json[5].get<uint64_t>() };
+  TableUpdate update{ .mTable = json[1].get<uint8_t>(),
+                      .mCheckpoint = { .mLastChange = json[2].get<uint64_t>(),
+                                       .mStoreTime =
+                                         Millis(json[3].get<int64_t>()) },
+                      .mAfter = json[4].get<uint64_t>(),
+                      .mUpTo = json[5].get<uint64_t>() };
   for (const Json& each : json[6]) {
     const Json::binary_t& value = each[1].get_binary();
-    news.mRows.push_back({ .mKey = each[0].get<std::string>(),
-                           .mValue = std::string(value.begin(), value.end()),
-                           .mRemoved = each[2].get<bool>(),
-                           .mVersion = each[3].get<uint64_t>() });
+    update.mRows.push_back({ .mKey = each[0].get<std::string>(),
+                             .mValue = std::string(value.begin(), value.end()),
+                             .mRemoved = each[2].get<bool>(),
+                             .mVersion = each[3].get<uint64_t>() });
   }
-  return news;
+  return update;
 }
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/peerdatagram.h
+++ b/src/libtrefoilgate/peerdatagram.h
@@ -10,24 +10,24 @@
 
 namespace trefoilgate {
 
-/** What an entry reads of one datagram. */
+/** Maximum size of a datagram between entries. */
 constexpr size_t kMaxDatagramBytes = 4096;
 
-/** Notes as one datagram between entries: MessagePack, arrays without names.
- * Prompts that find no room in it are left out. */
+/** Encodes an update as one datagram: MessagePack, arrays without names.
+ * Prompts that exceed the limits are left out. */
 std::vector<uint8_t>
-EncodePeerUpdate(const trefoilarch::PeerUpdate& aNotes);
+EncodePeerUpdate(const trefoilarch::PeerUpdate& aUpdate);
 
-/** News of a table as one datagram, without its rows where they find no room
- * in it: whoever lacks them asks the store. */
+/** Encodes an update as one datagram, without its rows if they exceed the
+ * maximum size: entries that lack them query the store. */
 std::vector<uint8_t>
-EncodeTableUpdate(const trefoilarch::TableUpdate& aNews);
+EncodeTableUpdate(const trefoilarch::TableUpdate& aUpdate);
 
-/** Empty where the bytes are no news. */
+/** Empty if the bytes are not a TableUpdate. */
 std::optional<trefoilarch::TableUpdate>
 DecodeTableUpdate(const std::vector<uint8_t>& aBytes);
 
-/** Empty where the bytes are no notes. */
+/** Empty if the bytes are not a PeerUpdate. */
 std::optional<trefoilarch::PeerUpdate>
 DecodePeerUpdate(const std::vector<uint8_t>& aBytes);
 
--- a/src/libtrefoilgate/peerlink.cpp
+++ b/src/libtrefoilgate/peerlink.cpp
@@ -16,21 +16,22 @@
 
 namespace {
 
-/** An entry that has nothing new says so this often: others take what it said
- * last for true no longer than a few of these. */
-constexpr Millis kHeartbeat{ 500 };
+/** Interval between updates of an entry without changes. Others consider its
+ * last update valid for only a few of these intervals. */
+constexpr Millis kHeartbeatInterval{ 500 };
 
-/** Between two messages to few entries; a request is placed in far less than
- * an engine takes to begin it. */
-constexpr Millis kLeastPause{ 20 };
+/** Interval between two messages in a small fleet; an engine takes far longer
+ * to start a request than this. */
+constexpr Millis kMinInterval{ 20 };
 
-/** Each further entry stretches the pause by so much, so that what an entry
- * sends and hears stays below some 700 messages a second together. */
-constexpr Millis kPausePerPeer{ 3 };
+/** Added for each further entry, so that an entry sends and receives less than
+ * some 700 messages per second in total. */
+constexpr Millis kIntervalPerPeer{ 3 };
 
-/** In a larger fleet each entry tells some of the others, more slowly. */
+/** In a larger fleet each entry sends to some of the others only, and less
+ * often. */
 constexpr size_t kMaxReceivers = trefoilarch::PeerRing::kMaxReceivers;
-constexpr Millis kLongPause{ 640 };
+constexpr Millis kLargeFleetInterval{ 640 };
 
 std::string
 TextOf(const boost::asio::ip::udp::endpoint& aEndpoint)
@@ -58,9 +59,9 @@
     return;
   }
   const auto endpoint = ParseEndpoint(mAddress);
-  const Udp::endpoint own(endpoint.address(), endpoint.port());
-  mSocket.open(own.protocol());
-  mSocket.bind(own);
+  const Udp::endpoint ownEndpoint(endpoint.address(), endpoint.port());
+  mSocket.open(ownEndpoint.protocol());
+  mSocket.bind(ownEndpoint);
   mSocket.non_blocking(true);
   Listen();
   Tick();
@@ -77,17 +78,17 @@
 void
 PeerLink::SetPeers(const std::vector<std::string>& aAddresses)
 {
-  mListed.clear();
-  mTold.clear();
+  mPeers.clear();
+  mReceivers.clear();
   for (const std::string& each : aAddresses) {
     const auto endpoint = ParseEndpoint(each);
     if (endpoint.port() == 0 || each == Address()) {
       continue;
     }
     const Udp::endpoint peer(endpoint.address(), endpoint.port());
-    mListed.insert(peer);
-    if (mTold.size() < kMaxReceivers) {
-      mTold.push_back(peer);
+    mPeers.insert(peer);
+    if (mReceivers.size() < kMaxReceivers) {
+      mReceivers.push_back(peer);
     }
   }
 }
@@ -112,7 +113,7 @@
           !mSocket.is_open()) {
         return;
       }
-      // Any other error tells of a datagram that reached nobody.
+      // Other errors report that an earlier datagram was not delivered.
       if (!aError) {
         OnDatagram(aBytes);
       }
@@ -123,18 +124,18 @@
 void
 PeerLink::OnDatagram(size_t aBytes)
 {
-  if (!mListed.contains(mSender)) {
+  if (!mPeers.contains(mSender)) {
     return;
   }
   const std::vector<uint8_t> bytes(
     mBuffer.begin(), mBuffer.begin() + static_cast<std::ptrdiff_t>(aBytes));
-  if (const auto notes = DecodePeerUpdate(bytes)) {
-    mHeard++;
-    mHooks.mOnPeerUpdate(*notes);
-  } else if (const auto news = DecodeTableUpdate(bytes)) {
-    mHooks.mOnTableUpdate(*news);
-  } else if (const auto crashNews = DecodeCrashUpdate(bytes)) {
-    mHooks.mOnCrashUpdate(*crashNews);
+  if (const auto peerUpdate = DecodePeerUpdate(bytes)) {
+    mReceivedCount++;
+    mHooks.mOnPeerUpdate(*peerUpdate);
+  } else if (const auto tableUpdate = DecodeTableUpdate(bytes)) {
+    mHooks.mOnTableUpdate(*tableUpdate);
+  } else if (const auto crashUpdate = DecodeCrashUpdate(bytes)) {
+    mHooks.mOnCrashUpdate(*crashUpdate);
   } else if (const auto ask = DecodePermitRequest(bytes)) {
     OnPermitRequest(*ask);
   } else if (const auto reply = DecodePermitReply(bytes)) {
@@ -143,56 +144,58 @@
 }
 
 void
-PeerLink::OnPermitRequest(const trefoilarch::PermitRequest& aAsk)
+PeerLink::OnPermitRequest(const trefoilarch::PermitRequest& aRequest)
 {
   const Udp::endpoint from = mSender;
-  if (const auto reply = mHooks.mOnPermitRequest(TextOf(from), aAsk)) {
+  if (const auto reply = mHooks.mOnPermitRequest(TextOf(from), aRequest)) {
     SendTo(from, EncodePermitReply(*reply));
   }
 }
 
 void
 PeerLink::RequestPermit(const std::string& aAddress,
-                        const trefoilarch::PermitRequest& aAsk)
+                        const trefoilarch::PermitRequest& aRequest)
 {
   const auto endpoint = ParseEndpoint(aAddress);
-  SendTo({ endpoint.address(), endpoint.port() }, EncodePermitRequest(aAsk));
+  SendTo({ endpoint.address(), endpoint.port() },
+         EncodePermitRequest(aRequest));
 }
 
 void
 PeerLink::Tick()
 {
   const Millis now = BootNow();
-  const bool due = mHooks.mHasPeerUpdate() || now - mToldAt >= kHeartbeat;
-  if (due && !mTold.empty()) {
-    TellNotes();
-    mToldAt = now;
+  const bool due =
+    mHooks.mHasPeerUpdate() || now - mLastSentAt >= kHeartbeatInterval;
+  if (due && !mReceivers.empty()) {
+    SendPeerUpdate();
+    mLastSentAt = now;
   }
-  RunAfter(mTimer, Pause(), [this] { Tick(); });
+  RunAfter(mTimer, SendInterval(), [this] { Tick(); });
 }
 
 void
-PeerLink::TellNotes()
+PeerLink::SendPeerUpdate()
 {
   Send(EncodePeerUpdate(mHooks.mTakePeerUpdate()));
 }
 
 void
-PeerLink::SendUpdate(const trefoilarch::TableUpdate& aNews)
+PeerLink::SendUpdate(const trefoilarch::TableUpdate& aUpdate)
 {
-  Send(EncodeTableUpdate(aNews));
+  Send(EncodeTableUpdate(aUpdate));
 }
 
 void
-PeerLink::SendUpdate(const trefoilarch::CrashUpdate& aNews)
+PeerLink::SendUpdate(const trefoilarch::CrashUpdate& aUpdate)
 {
-  Send(EncodeCrashUpdate(aNews));
+  Send(EncodeCrashUpdate(aUpdate));
 }
 
 void
 PeerLink::Send(const std::vector<uint8_t>& aBytes)
 {
-  for (const Udp::endpoint& each : mTold) {
+  for (const Udp::endpoint& each : mReceivers) {
     SendTo(each, aBytes);
   }
 }
@@ -200,20 +203,21 @@
 void
 PeerLink::SendTo(const Udp::endpoint& aPeer, const std::vector<uint8_t>& aBytes)
 {
-  // What finds no room in the kernel's buffer is lost: the next one tells it.
+  // A datagram that does not fit the kernel's buffer is lost; the next one
+  // makes up for it.
   boost::system::error_code ignored;
   mSocket.send_to(boost::asio::buffer(aBytes), aPeer, 0, ignored);
-  mSent++;
+  mSentCount++;
 }
 
 Millis
-PeerLink::Pause() const
+PeerLink::SendInterval() const
 {
-  if (mListed.size() > kMaxReceivers) {
-    return kLongPause;
+  if (mPeers.size() > kMaxReceivers) {
+    return kLargeFleetInterval;
   }
-  return std::max(kLeastPause,
-                  kPausePerPeer * static_cast<int64_t>(mTold.size()));
+  return std::max(kMinInterval,
+                  kIntervalPerPeer * static_cast<int64_t>(mReceivers.size()));
 }
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/peerlink.h
+++ b/src/libtrefoilgate/peerlink.h
@@ -20,16 +20,17 @@
 
 namespace trefoilgate {
 
-/** What a PeerLink asks and tells. */
+/** Callbacks of a PeerLink. */
 struct PeerHooks
 {
-  /** Whether there is something new to be told. */
+  /** Whether there are changes to send. */
   std::function<bool()> mHasPeerUpdate;
   std::function<trefoilarch::PeerUpdate()> mTakePeerUpdate;
   std::function<void(const trefoilarch::PeerUpdate&)> mOnPeerUpdate;
   std::function<void(const trefoilarch::TableUpdate&)> mOnTableUpdate;
   std::function<void(const trefoilarch::CrashUpdate&)> mOnCrashUpdate;
-  /** Another entry, at that address, asks for a permit; empty: no answer. */
+  /** The entry at this address requests a permit; no reply is sent if the
+   * result is empty. */
   std::function<std::optional<trefoilarch::PermitReply>(
     const std::string&,
     const trefoilarch::PermitRequest&)>
@@ -38,9 +39,10 @@
 };
 
 /**
- * Tells the other entries what this one sends where, and hears them: small
- * datagrams, none of which is waited for or sent again, as each one tells the
- * whole of what is pending. Addresses that aren't listed are not listened to.
+ * Sends updates about this entry's requests to the other entries, and receives
+ * theirs. Datagrams are small and neither acknowledged nor sent again, as each
+ * one contains the complete pending state. Datagrams from unlisted addresses
+ * are dropped.
  */
 class PeerLink
 {
@@ -52,24 +54,25 @@
   /** Opens the port; without an address it does nothing. */
   void Open();
   void Close();
-  /** Every other entry's address; the first ones are told, all are heard. */
+  /** Sets every other entry's address; updates are sent to the first ones and
+   * received from all. */
   void SetPeers(const std::vector<std::string>& aAddresses);
 
-  /** Tells what can't wait for the next notes. */
-  void SendUpdate(const trefoilarch::TableUpdate& aNews);
-  void SendUpdate(const trefoilarch::CrashUpdate& aNews);
-  /** Asks the entry at that address. */
+  /** Sends an update that can't wait for the next PeerUpdate. */
+  void SendUpdate(const trefoilarch::TableUpdate& aUpdate);
+  void SendUpdate(const trefoilarch::CrashUpdate& aUpdate);
+  /** Sends a permit request to the entry at this address. */
   void RequestPermit(const std::string& aAddress,
-                     const trefoilarch::PermitRequest& aAsk);
+                     const trefoilarch::PermitRequest& aRequest);
 
-  /** Where it listens; empty where it does not. */
+  /** The address it listens on; empty if it doesn't. */
   std::string Address() const;
-  /** Other entries that are known. */
-  size_t ListedCount() const { return mListed.size(); }
-  /** Some of them are not told by this one. */
-  bool SendsToSubset() const { return mTold.size() < mListed.size(); }
-  uint64_t SentCount() const { return mSent; }
-  uint64_t ReceivedCount() const { return mHeard; }
+  /** Number of other entries that are listed. */
+  size_t ListedCount() const { return mPeers.size(); }
+  /** Whether updates are sent to only some of the other entries. */
+  bool SendsToSubset() const { return mReceivers.size() < mPeers.size(); }
+  uint64_t SentCount() const { return mSentCount; }
+  uint64_t ReceivedCount() const { return mReceivedCount; }
 
 private:
   using Udp = boost::asio::ip::udp;
@@ -78,24 +81,24 @@
   void Listen();
   void OnDatagram(size_t aBytes);
   void Tick();
-  void TellNotes();
+  void SendPeerUpdate();
   void Send(const std::vector<uint8_t>& aBytes);
   void SendTo(const Udp::endpoint& aPeer, const std::vector<uint8_t>& aBytes);
-  void OnPermitRequest(const trefoilarch::PermitRequest& aAsk);
-  /** Between two messages: the fewer the more there are to tell it to. */
-  Millis Pause() const;
+  void OnPermitRequest(const trefoilarch::PermitRequest& aRequest);
+  /** Interval between two messages; longer the more receivers there are. */
+  Millis SendInterval() const;
 
   std::string mAddress;
   PeerHooks mHooks;
   Udp::socket mSocket;
   boost::asio::steady_timer mTimer;
-  std::set<Udp::endpoint> mListed;
-  std::vector<Udp::endpoint> mTold;
+  std::set<Udp::endpoint> mPeers;
+  std::vector<Udp::endpoint> mReceivers;
   std::array<uint8_t, kMaxDatagramBytes> mBuffer{};
   Udp::endpoint mSender;
-  Millis mToldAt;
-  uint64_t mSent = 0;
-  uint64_t mHeard = 0;
+  Millis mLastSentAt;
+  uint64_t mSentCount = 0;
+  uint64_t mReceivedCount = 0;
 };
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/permitdatagram.cpp
+++ b/src/libtrefoilgate/permitdatagram.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/** The first element: the kind of message and its version. */
-constexpr const char* kAskFormat = "trefoil-permit-ask-1";
+/** The first element: the message type and its version. */
+constexpr const char* kRequestFormat = "trefoil-permit-ask-1";
 constexpr const char* kReplyFormat = "trefoil-permit-reply-1";
 
-/** A longer age or wait is a mistake, in milliseconds. */
-constexpr uint64_t kMostMillis = 600000;
+/** A longer age or wait, in milliseconds, is invalid. */
+constexpr uint64_t kMaxMillis = 600000;
 
-/** More permits at a time are a mistake. */
-constexpr uint64_t kMostPermits = 1000;
+/** A larger number of permits is invalid. */
+constexpr uint64_t kMaxPermits = 1000;
 
-/** Stands for an upstream without a limit. */
+/** Represents an upstream without a limit. */
 constexpr double kNoLimit = -1;
 
 bool
@@ -42,14 +42,14 @@
 {
   return { aLimit.mUpstream,
            aLimit.mPerSecond.value_or(kNoLimit),
-           ClampedMillis(aLimit.mAge, kMostMillis) };
+           ClampedMillis(aLimit.mAge, kMaxMillis) };
 }
 
 bool
 IsLimitJson(const Json& aValue)
 {
   return aValue.is_array() && aValue.size() == 3 && aValue[0].is_string() &&
-         IsPerSecond(aValue[1]) && IsAtMost(aValue[2], kMostMillis);
+         IsPerSecond(aValue[1]) && IsAtMost(aValue[2], kMaxMillis);
 }
 
 LimitReport
@@ -65,37 +65,36 @@
 }
 
 std::vector<uint8_t>
-EncodePermitRequest(const PermitRequest& aAsk)
+EncodePermitRequest(const PermitRequest& aRequest)
 {
-  return Json::to_msgpack(Json::array({ kAskFormat,
-                                        aAsk.mNumber,
-                                        LimitJson(aAsk.mLimit),
-                                        aAsk.mCount,
-                                        aAsk.mUrgency,
-                                        aAsk.mRank }));
+  return Json::to_msgpack(Json::array({ kRequestFormat,
+                                        aRequest.mNumber,
+                                        LimitJson(aRequest.mLimit),
+                                        aRequest.mCount,
+                                        aRequest.mUrgency,
+                                        aRequest.mRank }));
 }
 
 std::vector<uint8_t>
 EncodePermitReply(const PermitReply& aReply)
 {
-  return Json::to_msgpack(
-    Json::array({ kReplyFormat,
-                  aReply.mNumber,
-                  aReply.mGranted,
-                  ClampedMillis(aReply.mWait, kMostMillis),
-                  aReply.mFromUrgency }));
+  return Json::to_msgpack(Json::array({ kReplyFormat,
+                                        aReply.mNumber,
+                                        aReply.mGranted,
+                                        ClampedMillis(aReply.mWait, kMaxMillis),
+                                        aReply.mFromUrgency }));
 }
 
 std::optional<PermitRequest>
 DecodePermitRequest(const std::vector<uint8_t>& aBytes)
 {
   const Json json = Json::from_msgpack(aBytes, true, false);
-  const bool isAsk = json.is_array() && json.size() == 6 &&
-                     json[0] == kAskFormat && IsUnsigned(json[1]) &&
-                     IsLimitJson(json[2]) && IsAtMost(json[3], kMostPermits) &&
-                     IsAtMost(json[4], UINT8_MAX) &&
-                     IsAtMost(json[5], UINT16_MAX);
-  if (!isAsk) {
+  const bool isRequest =
+    json.is_array() && json.size() == 6 && json[0] == kRequestFormat &&
+    IsUnsigned(json[1]) && IsLimitJson(json[2]) &&
+    IsAtMost(json[3], kMaxPermits) && IsAtMost(json[4], UINT8_MAX) &&
+    IsAtMost(json[5], UINT16_MAX);
+  if (!isRequest) {
     return std::nullopt;
   }
   return PermitRequest{ .mNumber = json[1].get<uint64_t>(),
@@ -111,8 +110,8 @@
   const Json json = Json::from_msgpack(aBytes, true, false);
   const bool isReply =
     json.is_array() && json.size() == 5 && json[0] == kReplyFormat &&
-    IsUnsigned(json[1]) && IsAtMost(json[2], kMostPermits) &&
-    IsAtMost(json[3], kMostMillis) && IsAtMost(json[4], UINT8_MAX);
+    IsUnsigned(json[1]) && IsAtMost(json[2], kMaxPermits) &&
+    IsAtMost(json[3], kMaxMillis) && IsAtMost(json[4], UINT8_MAX);
   if (!isReply) {
     return std::nullopt;
   }
--- a/src/libtrefoilgate/permitdatagram.h
+++ b/src/libtrefoilgate/permitdatagram.h
@@ -9,24 +9,24 @@
 
 namespace trefoilgate {
 
-/** An upstream's limit as messages between entries hold it. */
+/** An upstream's limit in messages between entries. */
 nlohmann::json
 LimitJson(const trefoilarch::LimitReport& aLimit);
 bool
 IsLimitJson(const nlohmann::json& aValue);
-/** Of a value that IsLimitJson(). */
+/** Requires IsLimitJson(). */
 trefoilarch::LimitReport
 LimitFromJson(const nlohmann::json& aValue);
 
 std::vector<uint8_t>
-EncodePermitRequest(const trefoilarch::PermitRequest& aAsk);
+EncodePermitRequest(const trefoilarch::PermitRequest& aRequest);
 std::vector<uint8_t>
 EncodePermitReply(const trefoilarch::PermitReply& aReply);
 
-/** Empty where the bytes are no ask. */
+/** Empty if the bytes are not a permit request. */
 std::optional<trefoilarch::PermitRequest>
 DecodePermitRequest(const std::vector<uint8_t>& aBytes);
-/** Empty where the bytes are no reply. */
+/** Empty if the bytes are not a permit reply. */
 std::optional<trefoilarch::PermitReply>
 DecodePermitReply(const std::vector<uint8_t>& aBytes);
 
--- a/src/libtrefoilgate/refusalanswer.cpp
+++ b/src/libtrefoilgate/refusalanswer.cpp
@@ -10,15 +10,15 @@
 
 constexpr double kMillisPerSecond = 1000;
 
-/** Digits behind the point of a time to return. */
-constexpr size_t kDigits = 3;
+/** Decimal places of Retry-After. */
+constexpr size_t kDecimalPlaces = 3;
 
 std::string
-SecondsText(Millis aSpan)
+SecondsText(Millis aDuration)
 {
   std::string text =
-    std::to_string(static_cast<double>(aSpan.Count()) / kMillisPerSecond);
-  text.resize(text.find('.') + 1 + kDigits);
+    std::to_string(static_cast<double>(aDuration.Count()) / kMillisPerSecond);
+  text.resize(text.find('.') + 1 + kDecimalPlaces);
   return text;
 }
 
--- a/src/libtrefoilgate/refusalanswer.h
+++ b/src/libtrefoilgate/refusalanswer.h
@@ -8,11 +8,11 @@
 
 namespace trefoilgate {
 
-/** The head of an answer that refuses: status, and when to come back. */
+/** The head of the answer to a refused request: status and Retry-After. */
 AnswerHead
 RefusalHead(const trefoilarch::Refusal& aRefusal);
 
-/** Its body: the error's kind, and whether the request may have run. */
+/** The body: the kind of error, and whether the request may have run. */
 std::string
 RefusalBody(const trefoilarch::Refusal& aRefusal);
 
--- a/src/libtrefoilgate/socketoptions.cpp
+++ b/src/libtrefoilgate/socketoptions.cpp
@@ -10,8 +10,8 @@
 void
 SetNumber(int aSocket, int aLevel, int aName, int aValue)
 {
-  // A kernel without the option serves without it; the timers of the
-  // requests still bound every wait.
+  // A kernel without the option is acceptable; request timers still bound every
+  // wait.
   setsockopt(aSocket, aLevel, aName, &aValue, sizeof(aValue));
 }
 
@@ -19,18 +19,19 @@
 
 void
 SetSocketOptions(boost::asio::ip::tcp::socket& aSocket,
-                 const KeepaliveOptions& aSilence)
+                 const KeepaliveOptions& aKeepalive)
 {
   const int handle = aSocket.native_handle();
   SetNumber(handle, IPPROTO_TCP, TCP_NODELAY, 1);
   SetNumber(handle,
             IPPROTO_TCP,
             TCP_USER_TIMEOUT,
-            static_cast<int>(aSilence.mUserTimeout.Count()));
+            static_cast<int>(aKeepalive.mUserTimeout.Count()));
   SetNumber(handle, SOL_SOCKET, SO_KEEPALIVE, 1);
-  SetNumber(handle, IPPROTO_TCP, TCP_KEEPIDLE, aSilence.mKeepaliveIdleSeconds);
+  SetNumber(
+    handle, IPPROTO_TCP, TCP_KEEPIDLE, aKeepalive.mKeepaliveIdleSeconds);
   SetNumber(handle, IPPROTO_TCP, TCP_KEEPINTVL, 1);
-  SetNumber(handle, IPPROTO_TCP, TCP_KEEPCNT, aSilence.mKeepaliveProbes);
+  SetNumber(handle, IPPROTO_TCP, TCP_KEEPCNT, aKeepalive.mKeepaliveProbes);
 }
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/socketoptions.h
+++ b/src/libtrefoilgate/socketoptions.h
@@ -6,20 +6,22 @@
 
 namespace trefoilgate {
 
-/** How soon a peer that has gone silent is noticed by the kernel. */
+/** How soon the kernel detects an unresponsive peer. */
 struct KeepaliveOptions
 {
   /** Unacknowledged bytes for this long break the connection. */
   trefoilarch::Millis mUserTimeout{ 2000 };
-  /** Nothing heard for this long: the kernel asks... */
+  /** Keepalive probes start after this time without received data. */
   int mKeepaliveIdleSeconds = 1;
-  /** ...once a second, this many times, and then breaks it. */
+  /** Probes are sent once a second; the connection breaks after this many
+   * unanswered ones. */
   int mKeepaliveProbes = 3;
 };
 
-/** Sends small writes at once and watches for silence. */
+/** Disables Nagle's algorithm and sets up the detection of unresponsive
+ * peers. */
 void
 SetSocketOptions(boost::asio::ip::tcp::socket& aSocket,
-                 const KeepaliveOptions& aSilence);
+                 const KeepaliveOptions& aKeepalive);
 
 } // namespace trefoilgate
--- a/src/libtrefoilgate/upstreamanswer.h
+++ b/src/libtrefoilgate/upstreamanswer.h
@@ -8,17 +8,17 @@
 
 namespace trefoilgate {
 
-/** The head of an upstream's answer. */
+/** The status line and headers of an upstream's answer. */
 struct UpstreamAnswer
 {
   int mStatus = 0;
   std::string mReason;
-  /** End-to-end headers alone. */
+  /** Only end-to-end headers. */
   Headers mHeaders;
   std::optional<uint64_t> mLength;
-  /** Nothing but the end of the connection tells that it is whole. */
+  /** Only the end of the connection marks the end of the body. */
   bool mEndsWithConnection = false;
-  /** How long the upstream keeps an idle connection, if it says so. */
+  /** The upstream's idle timeout for connections, if announced. */
   std::optional<trefoilarch::Millis> mIdleTimeout;
 };
 
--- a/tests/platform/costtest.cpp
+++ b/tests/platform/costtest.cpp
@@ -130,8 +130,9 @@
   const pid_t self = getpid();
   const double before = ProcessorMicros(self);
   {
-    trefoilgate::DecisionLog log(
-      { .mProcess = "g", .mRing = kLines, .mOthersPerSecond = kLines * 10 });
+    trefoilgate::DecisionLog log({ .mProcess = "g",
+                                   .mRingCapacity = kLines,
+                                   .mOthersPerSecond = kLines * 10 });
     for (int each = 0; each < kLines; ++each) {
       log.Write(trefoilgate::LineKind::Failure,
                 "request_ended",
