--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -50,11 +50,11 @@
 
 } // namespace
 
-Test(adapter, a_policy_row_is_read_whole)
+Test(adapter, a_policy_row_is_parsed)
 {
-  std::string why;
-  const auto policy = ReadPolicy(kPolicy, why);
-  cr_assert(policy.has_value(), "%s", why.c_str());
+  std::string reason;
+  const auto policy = ReadPolicy(kPolicy, reason);
+  cr_assert(policy.has_value(), "%s", reason.c_str());
   cr_expect(policy->mVersion == 7);
   cr_expect(policy->mRoutes.at(0).mRetryMode == RetryMode::Resumable);
   cr_expect(policy->mRoutes.at(0).mGapTarget == Millis(300));
@@ -71,23 +71,23 @@
   cr_expect(policy->mWorkspaces.at(1).mKeys.empty());
 }
 
-Test(adapter, an_unreadable_policy_is_refused_with_a_reason)
+Test(adapter, an_invalid_policy_is_rejected_with_a_reason)
 {
-  std::string why;
+  std::string reason;
   for (const char* text : { "",
                             "[]",
                             "{}",
                             R"({"version":1})",
                             R"({"version":1,"routes":[{}],"services":[]})" }) {
-    why.clear();
-    cr_expect(!ReadPolicy(text, why).has_value(), "%s", text);
-    cr_expect(!why.empty());
+    reason.clear();
+    cr_expect(!ReadPolicy(text, reason).has_value(), "%s", text);
+    cr_expect(!reason.empty());
   }
 }
 
 namespace {
 
-/** An upstream's own row. */
+/** A valid row of an upstream. */
 nlohmann::json
 OwnRow()
 {
@@ -100,9 +100,9 @@
 std::optional<ListedUpstream>
 ReadRow(const nlohmann::json& aRow)
 {
-  std::string why;
-  auto upstream = ReadUpstream("i-1", aRow.dump(), why);
-  cr_expect(upstream.has_value() == why.empty());
+  std::string reason;
+  auto upstream = ReadUpstream("i-1", aRow.dump(), reason);
+  cr_expect(upstream.has_value() == reason.empty());
   return upstream;
 }
 
@@ -120,7 +120,7 @@
   cr_expect(upstream->mSequence == 4U);
 }
 
-Test(adapter, a_row_without_a_birth_is_read_all_the_same)
+Test(adapter, a_row_without_a_start_time_is_valid)
 {
   nlohmann::json row = OwnRow();
   row.erase("born");
@@ -129,8 +129,8 @@
   cr_expect(!upstream->mStartTime.has_value());
 }
 
-/** Whatever another writer may leave there names no upstream. */
-Test(adapter, rows_of_other_writers_name_no_upstream)
+/** Invalid rows of other writers describe no upstream. */
+Test(adapter, invalid_rows_describe_no_upstream)
 {
   for (const char* name : { "service", "address", "zone", "slots", "state" }) {
     nlohmann::json row = OwnRow();
@@ -154,9 +154,9 @@
     row[name] = value;
     cr_expect(!ReadRow(row), "%s: %s", name, value.dump().c_str());
   }
-  std::string why;
+  std::string reason;
   for (const char* text : { "", "{", "[]", "7", "null", "\xff\xfe{}" }) {
-    cr_expect(!ReadUpstream("i-1", text, why), "%s", text);
+    cr_expect(!ReadUpstream("i-1", text, reason), "%s", text);
   }
 }
 
@@ -174,8 +174,8 @@
 
 } // namespace
 
-/** One bad row takes no other with it. */
-Test(adapter, an_answer_with_bad_rows_brings_the_others)
+/** An invalid row must not affect the others. */
+Test(adapter, invalid_rows_do_not_affect_the_others)
 {
   const std::string large(3000000, 'x');
   nlohmann::json rows = nlohmann::json::array();
@@ -205,7 +205,7 @@
   cr_expect(read->mStoreTime == Millis(99));
 }
 
-Test(adapter, what_is_no_answer_is_told_as_such)
+Test(adapter, an_invalid_response_is_rejected)
 {
   for (const char* text : { "",
                             "{",
@@ -218,9 +218,9 @@
   }
 }
 
-/** Rows and answers that are sound but for some bytes: nothing is thrown, and
- * whatever is read keeps to its bounds. */
-Test(adapter, spoilt_rows_and_answers_do_no_harm)
+/** Randomly corrupted rows and responses must not cause exceptions, and all
+ * values read stay within their bounds. */
+Test(adapter, corrupted_rows_and_responses_do_no_harm)
 {
   std::mt19937_64 random(20261203);
   const std::string row = OwnRow().dump();
@@ -248,23 +248,23 @@
           text[place] = "{}[]\",:0-9e"[random() % 12];
       }
     }
-    std::string why;
-    if (const auto upstream = ReadUpstream("i-1", text, why)) {
+    std::string reason;
+    if (const auto upstream = ReadUpstream("i-1", text, reason)) {
       cr_assert(ParseEndpoint(upstream->mAddress).port() != 0);
       cr_assert(!upstream->mService.empty());
       cr_assert(upstream->mColdFor >= Millis(0));
     }
-    ReadPolicy(text, why);
+    ReadPolicy(text, reason);
     ReadStoreRows(text);
   }
 }
 
-Test(adapter, what_entries_tell_each_other_comes_through_whole)
+Test(adapter, a_peer_update_survives_encoding)
 {
   PendingPrefill reads;
   reads.Add(0, 10);
   reads.Add(2, 3000);
-  const PeerUpdate notes{
+  const PeerUpdate update{
     .mFrom = "gate-1",
     .mProcess = UINT64_MAX,
     .mSequence = 7,
@@ -293,22 +293,23 @@
     .mStoreServing =
       StoreServingInterval{ .mSince = Millis(90000), .mUntil = Millis(98765) }
   };
-  const std::vector<uint8_t> bytes = EncodePeerUpdate(notes);
+  const std::vector<uint8_t> bytes = EncodePeerUpdate(update);
   const auto read = DecodePeerUpdate(bytes);
   cr_assert(read.has_value());
-  cr_expect(*read == notes);
+  cr_expect(*read == update);
   std::mt19937_64 random(7);
   for (size_t each = 0; each < 20000; ++each) {
-    std::vector<uint8_t> spoilt = bytes;
-    spoilt[random() % spoilt.size()] = static_cast<uint8_t>(random());
-    spoilt.resize(random() % 3 == 0 ? random() % bytes.size() : bytes.size());
-    DecodePeerUpdate(spoilt);
+    std::vector<uint8_t> corrupted = bytes;
+    corrupted[random() % corrupted.size()] = static_cast<uint8_t>(random());
+    corrupted.resize(random() % 3 == 0 ? random() % bytes.size()
+                                       : bytes.size());
+    DecodePeerUpdate(corrupted);
   }
 }
 
-Test(adapter, news_of_a_table_come_through_whole)
+Test(adapter, a_table_update_survives_encoding)
 {
-  const TableUpdate news{
+  const TableUpdate update{
     .mTable = 1,
     .mCheckpoint = { .mLastChange = 12, .mStoreTime = Millis(98765) },
     .mAfter = 9,
@@ -316,76 +317,78 @@
     .mRows = { { .mKey = "i-1", .mValue = "{\"a\":\xff}", .mVersion = 11 },
                { .mKey = "i-2", .mRemoved = true, .mVersion = 12 } }
   };
-  const std::vector<uint8_t> bytes = EncodeTableUpdate(news);
+  const std::vector<uint8_t> bytes = EncodeTableUpdate(update);
   const auto read = DecodeTableUpdate(bytes);
   cr_assert(read.has_value());
-  cr_expect(*read == news);
+  cr_expect(*read == update);
   cr_expect(!DecodePeerUpdate(bytes).has_value());
   std::mt19937_64 random(7);
   for (size_t each = 0; each < 20000; ++each) {
-    std::vector<uint8_t> spoilt = bytes;
-    spoilt[random() % spoilt.size()] = static_cast<uint8_t>(random());
-    spoilt.resize(random() % 3 == 0 ? random() % bytes.size() : bytes.size());
-    DecodeTableUpdate(spoilt);
+    std::vector<uint8_t> corrupted = bytes;
+    corrupted[random() % corrupted.size()] = static_cast<uint8_t>(random());
+    corrupted.resize(random() % 3 == 0 ? random() % bytes.size()
+                                       : bytes.size());
+    DecodeTableUpdate(corrupted);
   }
 }
 
-Test(adapter, news_that_find_no_room_are_a_word_alone)
+Test(adapter, a_table_update_that_is_too_long_loses_its_rows)
 {
-  TableUpdate news{ .mCheckpoint = { .mLastChange = 300,
-                                     .mStoreTime = Millis(5) },
-                    .mAfter = 1,
-                    .mUpTo = 300 };
+  TableUpdate update{ .mCheckpoint = { .mLastChange = 300,
+                                       .mStoreTime = Millis(5) },
+                      .mAfter = 1,
+                      .mUpTo = 300 };
   for (uint64_t each = 2; each <= 300; ++each) {
-    news.mRows.push_back({ .mKey = "i-" + std::to_string(each),
-                           .mValue = std::string(100, 'v'),
-                           .mVersion = each });
+    update.mRows.push_back({ .mKey = "i-" + std::to_string(each),
+                             .mValue = std::string(100, 'v'),
+                             .mVersion = each });
   }
-  const std::vector<uint8_t> bytes = EncodeTableUpdate(news);
+  const std::vector<uint8_t> bytes = EncodeTableUpdate(update);
   cr_expect(bytes.size() <= kMaxDatagramBytes);
   const auto read = DecodeTableUpdate(bytes);
   cr_assert(read.has_value());
-  cr_expect(read->mCheckpoint == news.mCheckpoint);
+  cr_expect(read->mCheckpoint == update.mCheckpoint);
   cr_expect(read->mRows.empty());
 }
 
-Test(adapter, many_notes_make_one_datagram)
+Test(adapter, a_large_peer_update_fits_one_datagram)
 {
-  PeerUpdate notes{ .mFrom = "gate-1" };
+  PeerUpdate update{ .mFrom = "gate-1" };
   for (int each = 0; each < 500; ++each) {
-    notes.mPending.push_back({ .mUpstream = "i-" + std::to_string(each) });
-    notes.mSent.push_back(
+    update.mPending.push_back({ .mUpstream = "i-" + std::to_string(each) });
+    update.mSent.push_back(
       { .mUpstream = "i-" + std::to_string(each), .mSegments = { 1, 2, 3 } });
-    notes.mReports.push_back({ .mUpstream = "i-" + std::to_string(each),
-                               .mLoad = { .mRunning = 16, .mSlots = 16 },
-                               .mAge = Millis(640) });
-    notes.mSilent.push_back(
+    update.mReports.push_back({ .mUpstream = "i-" + std::to_string(each),
+                                .mLoad = { .mRunning = 16, .mSlots = 16 },
+                                .mAge = Millis(640) });
+    update.mSilent.push_back(
       { .mUpstream = "i-" + std::to_string(each), .mSilence = Millis(900) });
-    notes.mAnswered.push_back("i-" + std::to_string(each));
-    notes.mDemands.push_back(
+    update.mAnswered.push_back("i-" + std::to_string(each));
+    update.mDemands.push_back(
       { .mService = "llm", .mRoute = "route-" + std::to_string(each) });
   }
-  cr_expect(EncodePeerUpdate(notes).size() < 2000);
+  cr_expect(EncodePeerUpdate(update).size() < 2000);
 }
 
-/** One upstream's word must not make others drop all that an entry tells. */
-Test(adapter, an_upstream_that_reports_nonsense_spoils_no_message)
+/** One upstream's report must not make others drop an entry's whole update. */
+Test(adapter, an_invalid_load_report_is_left_out)
 {
-  const PeerUpdate notes{ .mFrom = "gate-1",
-                          .mReports = { { .mUpstream = "i-1",
-                                          .mLoad = { .mRunning = UINT32_MAX } },
-                                        { .mUpstream = "i-2",
-                                          .mLoad = { .mRunning = 3 },
-                                          .mAge = Millis(-5) } } };
-  const auto read = DecodePeerUpdate(EncodePeerUpdate(notes));
+  const PeerUpdate update{
+    .mFrom = "gate-1",
+    .mReports = { { .mUpstream = "i-1", .mLoad = { .mRunning = UINT32_MAX } },
+                  { .mUpstream = "i-2",
+                    .mLoad = { .mRunning = 3 },
+                    .mAge = Millis(-5) } }
+  };
+  const auto read = DecodePeerUpdate(EncodePeerUpdate(update));
   cr_assert(read.has_value());
   cr_assert(read->mReports.size() == 1);
   cr_expect(read->mReports[0].mUpstream == "i-2");
   cr_expect(read->mReports[0].mAge == Millis(0));
 }
 
-/** An engine preempts by rank: the route's goes first, as in admission. */
-Test(adapter, a_workspaces_rank_decides_between_requests_of_one_route_alone)
+/** Engines preempt by priority: the route's comes first, as in admission. */
+Test(adapter, the_route_priority_precedes_the_workspace_priority)
 {
   const Dialect dialect = PlatformDialect();
   const auto rankOf = [&](uint8_t aWorkspace, uint8_t aRoute) {
@@ -399,7 +402,7 @@
   cr_expect(rankOf(9, 9) <= 9);
 }
 
-Test(adapter, facts_are_read_from_the_headers)
+Test(adapter, request_attributes_are_read_from_the_headers)
 {
   const Dialect dialect = PlatformDialect();
   const CallerRequest request{
@@ -411,27 +414,27 @@
                   { "X-Token-Usage", "1460,80" },
                   { "X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4:250" } }
   };
-  const RequestAttributes facts = dialect.mRequestAttributes(request);
-  cr_expect(facts.mCallerTimeout == Millis(1200));
-  cr_expect(facts.mKey == "a");
-  cr_expect(facts.mPrompt.mPromptTokens == 1460);
-  cr_expect(facts.mPrompt.mMaxOutput == 80);
-  cr_expect(facts.mPrompt.mSegments.size() == 3);
-  cr_expect(facts.mPrompt.mSegments.at(2).mId == 0xe4);
-  cr_expect(facts.mPrompt.mSegments.at(0).mTokens == 800);
+  const RequestAttributes attributes = dialect.mRequestAttributes(request);
+  cr_expect(attributes.mCallerTimeout == Millis(1200));
+  cr_expect(attributes.mKey == "a");
+  cr_expect(attributes.mPrompt.mPromptTokens == 1460);
+  cr_expect(attributes.mPrompt.mMaxOutput == 80);
+  cr_expect(attributes.mPrompt.mSegments.size() == 3);
+  cr_expect(attributes.mPrompt.mSegments.at(2).mId == 0xe4);
+  cr_expect(attributes.mPrompt.mSegments.at(0).mTokens == 800);
 }
 
-Test(adapter, odd_headers_do_no_harm)
+Test(adapter, invalid_headers_do_no_harm)
 {
   const Dialect dialect = PlatformDialect();
   const CallerRequest request{ .mHeaders = {
                                  { "X-Deadline-Ms", "soon" },
                                  { "X-Token-Usage", "a,b,c" },
                                  { "X-Prompt-Prefix", ",:,x:y" } } };
-  const RequestAttributes facts = dialect.mRequestAttributes(request);
-  cr_expect(!facts.mCallerTimeout.has_value());
-  cr_expect(facts.mPrompt.mPromptTokens == 0);
-  cr_expect(facts.mPrompt.mSegments.size() == 3);
+  const RequestAttributes attributes = dialect.mRequestAttributes(request);
+  cr_expect(!attributes.mCallerTimeout.has_value());
+  cr_expect(attributes.mPrompt.mPromptTokens == 0);
+  cr_expect(attributes.mPrompt.mSegments.size() == 3);
 }
 
 Test(adapter, the_system_sets_its_own_headers_and_passes_others)
@@ -462,20 +465,20 @@
   }
 }
 
-Test(adapter, answers_mean_what_they_say)
+Test(adapter, answers_are_classified)
 {
   const Dialect dialect = PlatformDialect();
-  const auto meaning = [&](const UpstreamAnswer& aAnswer) {
+  const auto validity = [&](const UpstreamAnswer& aAnswer) {
     return dialect.mClassify(aAnswer, "id");
   };
-  cr_expect(meaning(Answer(200, { { "X-Response-Seal", "s" } })) ==
+  cr_expect(validity(Answer(200, { { "X-Response-Seal", "s" } })) ==
             AnswerValidity::Genuine);
-  cr_expect(meaning(Answer(200, {})) == AnswerValidity::Unsealed);
-  cr_expect(meaning(Answer(503, { { "X-Not-Executed", "1" } })) ==
+  cr_expect(validity(Answer(200, {})) == AnswerValidity::Unsealed);
+  cr_expect(validity(Answer(503, { { "X-Not-Executed", "1" } })) ==
             AnswerValidity::NotRun);
-  cr_expect(meaning(Answer(503, {})) == AnswerValidity::Genuine);
-  cr_expect(meaning(Answer(421, {})) == AnswerValidity::NotRun);
-  cr_expect(meaning(Answer(200, { { "X-Request-Id", "x" } })) ==
+  cr_expect(validity(Answer(503, {})) == AnswerValidity::Genuine);
+  cr_expect(validity(Answer(421, {})) == AnswerValidity::NotRun);
+  cr_expect(validity(Answer(200, { { "X-Request-Id", "x" } })) ==
             AnswerValidity::Mismatched);
 }
 
@@ -501,7 +504,7 @@
   cr_expect(!trefoilio::FromBase64("a===").has_value());
 }
 
-Test(eventtracker, events_are_passed_on_whole)
+Test(eventtracker, only_complete_events_are_forwarded)
 {
   EventTracker events;
   cr_expect(events.Add("id: 1\ndata: a\n").empty());
@@ -512,7 +515,7 @@
   cr_expect(events.Events() == 2);
 }
 
-Test(eventtracker, a_next_run_neither_repeats_nor_leaves_out)
+Test(eventtracker, a_next_run_neither_repeats_nor_skips_events)
 {
   EventTracker events;
   events.Add("id: 1\n\nid: 2\n\nid: 3\nhalf");
@@ -539,16 +542,16 @@
     cr_assert(integration::Await([&] { return tool->HasEnded(); }));
     return tool;
   };
-  const auto fine = check(kPolicy, false);
-  cr_expect(WEXITSTATUS(fine->Status()) == 0);
+  const auto valid = check(kPolicy, false);
+  cr_expect(WEXITSTATUS(valid->Status()) == 0);
   cr_expect(integration::Await(
-    [&] { return !fine->LinesWith("version 7 is valid: 3 routes").empty(); }));
+    [&] { return !valid->LinesWith("version 7 is valid: 3 routes").empty(); }));
   std::string wrong = kPolicy;
   wrong.replace(wrong.find("\"s2\",\"maxAttempts\""), 4, "\"s9\"");
-  const auto faulty = check(wrong, true);
-  cr_expect(WEXITSTATUS(faulty->Status()) == 1);
+  const auto invalid = check(wrong, true);
+  cr_expect(WEXITSTATUS(invalid->Status()) == 1);
   cr_expect(integration::Await(
-    [&] { return !faulty->LinesWith("no service").empty(); }));
+    [&] { return !invalid->LinesWith("no service").empty(); }));
   const auto unreadable = check("{", false);
   cr_expect(WEXITSTATUS(unreadable->Status()) == 1);
   integration::ChildProcess usage("trefoilarch-gate", { "check-policy" });
--- a/tests/platform/answerintegritytest.cpp
+++ b/tests/platform/answerintegritytest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 std::string
-Seal(const HttpReply& aReply)
+SealOf(const HttpReply& aReply)
 {
   return std::string(FindHeader(aReply.mHeaders, "X-Response-Seal"));
 }
@@ -23,10 +23,10 @@
 {
   cr_expect(aReply.mStatus == 200, "status %d", aReply.mStatus);
   cr_expect(aReply.mBody == std::string(100, 'b'));
-  cr_expect(!Seal(aReply).empty());
+  cr_expect(!SealOf(aReply).empty());
 }
 
-/** A chunked stream has events 1 to aCount, each once, and its end. */
+/** Expects a complete chunked stream with events 1 to aCount, each once. */
 void
 ExpectEachEventOnce(const std::string& aText, int aCount)
 {
@@ -41,7 +41,7 @@
 
 } // namespace
 
-Test(truth, a_good_answer_is_passed_on_unchanged)
+Test(answerintegrity, a_good_answer_is_forwarded_unchanged)
 {
   const PlatformFleet fleet;
   const HttpReply reply = fleet.Call({ .mId = "a",
@@ -58,22 +58,22 @@
   cr_expect(std::stoi(headers.at("X-Deadline-Ms").get<std::string>()) <= 3000);
 }
 
-Test(truth, a_failure_of_the_upstream_keeps_its_status_and_seal)
+Test(answerintegrity, a_failure_of_the_upstream_keeps_its_status_and_seal)
 {
   const PlatformFleet fleet;
   const HttpReply reply =
     fleet.Call({ .mMethod = "POST", .mPath = "/once/x", .mPlan = "error" });
   cr_expect(reply.mStatus == 500);
-  cr_expect(Seal(reply) == "seal-i-0");
+  cr_expect(SealOf(reply) == "seal-i-0");
 }
 
-Test(truth, idempotent_requests_are_repeated_elsewhere)
+Test(answerintegrity, idempotent_requests_are_retried_elsewhere)
 {
   const PlatformFleet fleet({ .mWorkers = 2, .mRetrySlack = 200 });
   for (const char* plan : { "error", "cut_head", "cut_body", "garbage" }) {
     fleet.SetPlan(0, plan, 1);
     fleet.SetPlan(1, plan, 0);
-    // Either the first worker serves, or the second after the first failed.
+    // Either the first worker serves, or the second after the first has failed.
     for (int each = 0; each < 4; ++each) {
       const std::string id = std::string(plan) + std::to_string(each);
       ExpectServed(fleet.Call({ .mId = id }));
@@ -82,7 +82,8 @@
   }
 }
 
-Test(truth, what_may_run_once_runs_once_and_is_never_called_not_run)
+Test(answerintegrity,
+     a_request_that_may_run_once_does_so_and_is_never_reported_as_not_run)
 {
   const PlatformFleet fleet({ .mWorkers = 3 });
   for (const char* plan :
@@ -93,12 +94,12 @@
                                          .mPlan = plan,
                                          .mBody = "booking" });
     cr_expect(reply.mStatus == 502, "%s: %d", plan, reply.mStatus);
-    cr_expect(Seal(reply).empty());
+    cr_expect(SealOf(reply).empty());
     cr_expect(fleet.RunsOf(plan).size() == 1, "%s", plan);
   }
 }
 
-Test(truth, a_refusal_by_the_upstream_is_passed_on_as_not_run)
+Test(answerintegrity, a_refusal_by_the_upstream_is_forwarded_as_not_run)
 {
   const PlatformFleet fleet;
   const HttpReply reply =
@@ -108,13 +109,13 @@
   cr_expect(fleet.RunsOf("1").empty());
 }
 
-Test(truth, an_answer_to_another_request_is_skipped)
+Test(answerintegrity, an_answer_to_another_request_is_skipped)
 {
   const PlatformFleet fleet;
   ExpectServed(fleet.Call({ .mId = "own", .mPlan = "stray" }));
 }
 
-Test(truth, a_second_answer_reaches_nobody)
+Test(answerintegrity, a_second_answer_is_discarded)
 {
   const PlatformFleet fleet;
   for (int each = 0; each < 5; ++each) {
@@ -123,13 +124,13 @@
   }
 }
 
-Test(truth, an_answer_without_a_length_ends_with_its_connection)
+Test(answerintegrity, an_answer_without_a_length_ends_with_its_connection)
 {
   const PlatformFleet fleet;
   ExpectServed(fleet.Call({ .mPlan = "no_length" }));
 }
 
-Test(truth, an_address_that_another_upstream_has_got_runs_nothing)
+Test(answerintegrity, an_address_reused_by_another_upstream_runs_nothing)
 {
   const PlatformFleet fleet;
   fleet.Unlist("i-0");
@@ -145,7 +146,7 @@
   cr_expect(fleet.Runs(0).size() == before);
 }
 
-Test(truth, a_stream_that_breaks_off_never_looks_whole)
+Test(answerintegrity, an_interrupted_stream_never_looks_complete)
 {
   const PlatformFleet fleet;
   const integration::RawCaller caller(fleet.GateAddress(0));
@@ -159,7 +160,7 @@
   cr_expect(fleet.RunsOf("1").size() == 1);
 }
 
-Test(truth, a_resumable_stream_goes_on_without_gap_or_repetition)
+Test(answerintegrity, a_resumable_stream_continues_without_gap_or_repetition)
 {
   const PlatformFleet fleet({ .mWorkers = 3 });
   const integration::RawCaller caller(fleet.GateAddress(0));
@@ -176,7 +177,7 @@
     runs.size() == 3);
 }
 
-Test(truth, smuggled_requests_are_refused)
+Test(answerintegrity, smuggled_requests_are_refused)
 {
   const PlatformFleet fleet;
   const std::string start = "POST /safe/x HTTP/1.1\r\nHost: svc.example\r\n"
@@ -205,7 +206,7 @@
   cr_expect(fleet.RunsOf("s").empty());
 }
 
-Test(truth, chunked_and_expected_bodies_arrive_whole)
+Test(answerintegrity, chunked_and_expected_bodies_arrive_complete)
 {
   const PlatformFleet fleet;
   const integration::RawCaller caller(fleet.GateAddress(0));
@@ -222,7 +223,7 @@
   cr_expect(!run.at("headers").contains("Expect"));
 }
 
-Test(truth, an_early_answer_leaves_no_bytes_for_the_next_request)
+Test(answerintegrity, an_early_answer_leaves_no_bytes_for_the_next_request)
 {
   const PlatformFleet fleet;
   const std::string body(400000, 'x');
@@ -240,7 +241,7 @@
   }
 }
 
-Test(truth, a_stream_that_may_not_be_repeated_goes_on_from_its_copy)
+Test(answerintegrity, a_stream_that_may_not_be_retried_resumes_from_its_copy)
 {
   const PlatformFleet fleet({ .mWorkers = 3 });
   const integration::RawCaller caller(fleet.GateAddress(0));
@@ -265,7 +266,7 @@
   cr_expect(next->at("headers").at("Last-Event-Id") == "3");
 }
 
-Test(truth, a_stream_whose_copy_is_lost_too_is_cut)
+Test(answerintegrity, a_stream_whose_copy_is_lost_is_aborted)
 {
   const PlatformFleet fleet({ .mWorkers = 2 });
   const integration::RawCaller caller(fleet.GateAddress(0));
@@ -280,7 +281,7 @@
   cr_expect(!text.ends_with("0\r\n\r\n"));
 }
 
-Test(truth, a_stream_routes_answer_without_events_is_passed_on_whole)
+Test(answerintegrity, an_answer_without_events_on_a_stream_route_is_forwarded)
 {
   const PlatformFleet fleet;
   for (const char* path : { "/stream/x", "/resume/x" }) {
@@ -288,7 +289,7 @@
       fleet.Call({ .mMethod = "POST", .mPath = path, .mPlan = "denied" });
     cr_expect(denied.mStatus == 403, "%s: %d", path, denied.mStatus);
     cr_expect(denied.mBody == std::string(100, 'b'));
-    cr_expect(Seal(denied) == "seal-i-0");
+    cr_expect(SealOf(denied) == "seal-i-0");
     const HttpReply odd =
       fleet.Call({ .mMethod = "POST", .mPath = path, .mPlan = "unfinished" });
     cr_expect(odd.mStatus == 200, "%s: %d", path, odd.mStatus);
--- a/tests/platform/callcounter.h
+++ b/tests/platform/callcounter.h
@@ -4,7 +4,7 @@
 
 namespace platformtest {
 
-/** What a thread asked of the kernel and of the heap. */
+/** System calls and allocations of a thread. */
 struct CallCounts
 {
   uint64_t mSystemCalls = 0;
@@ -12,9 +12,9 @@
 };
 
 /**
- * Counts of the calling thread since its start. The program's own definitions
- * of the calls that an event loop makes, and of operator new, stand before the
- * libraries' and count; link callcounter.cpp to have them.
+ * Counts of the calling thread since its start. The program's definitions of
+ * the system calls that an event loop makes, and of operator new, replace those
+ * of the libraries; link callcounter.cpp to use them.
  */
 CallCounts
 ThreadCallCounts();
--- a/tests/platform/costtest.cpp
+++ b/tests/platform/costtest.cpp
@@ -19,7 +19,7 @@
 using integration::RawCaller;
 using nlohmann::json;
 
-/** What the data path costs, by the kernel's own count for the process. */
+/** Cost of the data path, as counted by the kernel for the process. */
 namespace {
 
 /** Processor time of the process so far, in microseconds. */
@@ -52,7 +52,8 @@
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / 1048576;
 }
 
-/** A policy that lets one gate open as many connections as a test wants. */
+/** Sets a policy that lets a gate open as many connections as the test
+ * needs. */
 void
 AllowConnections(const PlatformFleet& aFleet)
 {
@@ -80,8 +81,8 @@
 
 } // namespace
 
-/** Measured 19.5 MB at 1,000 open streams on a release build; 88 MB is what
- * the smallest host of the grown fleets gives a gate. */
+/** Measured: 19.5 MB with 1,000 open streams in a release build; on the
+ * smallest host of the enlarged fleets a gate has 88 MB. */
 Test(cost, open_streams_fit_the_smallest_host, .timeout = 60)
 {
   PlatformFleet fleet;
@@ -94,14 +95,14 @@
   cr_expect(status.at("open_requests") == kStreams);
   const double resident = ResidentMb(fleet.Gate(0).Id());
   cr_expect(resident < 44, "%.1f MB", resident);
-  int whole = 0;
+  int complete = 0;
   for (const auto& caller : callers) {
-    whole += caller->ReadAll(4000).find("event 25\n") != std::string::npos;
+    complete += caller->ReadAll(4000).find("event 25\n") != std::string::npos;
   }
-  cr_expect(whole == kStreams, "%d", whole);
+  cr_expect(complete == kStreams, "%d", complete);
 }
 
-/** Measured 10 to 11.2 microseconds on a release build. */
+/** Measured: 10 to 11.2 microseconds in a release build. */
 Test(cost, an_event_costs_tens_of_microseconds, .timeout = 60)
 {
   PlatformFleet fleet;
@@ -117,12 +118,13 @@
   }
   const double took = ProcessorMicros(fleet.Gate(0).Id()) - before;
   const double each = took / (kStreams * kEvents);
-  // 0.19 of a core and 800 events a second at the peak of today leave 237.
+  // 0.19 of a core for the 800 events per second of the current peak leaves
+  // 237.
   cr_expect(each < 120, "%.1f microseconds an event", each);
 }
 
-/** Measured 11 to 16 microseconds beside a busy bench, formatting and writing
- * together; 23 while the fields were merged into one object. */
+/** Measured: 11 to 16 microseconds for formatting and writing, beside a busy
+ * benchmark; 23 when the fields were merged into one object. */
 Test(cost, a_log_line_costs_microseconds, .timeout = 30)
 {
   dup2(open("/dev/null", O_WRONLY | O_CLOEXEC), STDOUT_FILENO);
@@ -164,7 +166,7 @@
 
 namespace {
 
-/** Bytes of log for each request, at so many requests a second. */
+/** Bytes of log per request at this rate of requests. */
 double
 LogBytesFor(PlatformFleet& aFleet, int aPerSecond, const std::string& aId)
 {
@@ -186,12 +188,13 @@
 
 } // namespace
 
-/** Measured: 379 bytes a request at rest, and 192 at three times the load. */
+/** Measured: 379 bytes per request at the normal rate, and 192 at three times
+ * the rate. */
 Test(cost, log_volume_is_bounded_under_load, .timeout = 60)
 {
   PlatformFleet fleet;
   AllowConnections(fleet);
-  // A gate of today's four takes 33 requests a second.
+  // Each of the current four gates receives 33 requests per second.
   const double rest = LogBytesFor(fleet, 33, "rest-");
   const double load = LogBytesFor(fleet, 99, "load-");
   cr_expect(rest < 500, "%.0f bytes a request at rest", rest);
--- a/tests/platform/crashdatagramtest.cpp
+++ b/tests/platform/crashdatagramtest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 CrashUpdate
-SomeNews()
+SampleUpdate()
 {
   return {
     .mReports = { { .mIncarnation = { .mUpstream = "i-1", .mStartTime = 1700 },
@@ -28,49 +28,49 @@
 
 } // namespace
 
-Test(crashdatagram, is_read_back_as_it_was_written)
+Test(crashdatagram, survives_encoding)
 {
-  const auto news = DecodeCrashUpdate(EncodeCrashUpdate(SomeNews()));
-  cr_assert(news.has_value());
-  cr_expect(*news == SomeNews());
+  const auto update = DecodeCrashUpdate(EncodeCrashUpdate(SampleUpdate()));
+  cr_assert(update.has_value());
+  cr_expect(*update == SampleUpdate());
 }
 
 /** Entries of two versions run side by side while a fleet is upgraded. */
-Test(crashdatagram, is_nothing_else_to_an_entry_that_does_not_know_it)
+Test(crashdatagram, is_not_decoded_as_another_message)
 {
-  const auto bytes = EncodeCrashUpdate(SomeNews());
+  const auto bytes = EncodeCrashUpdate(SampleUpdate());
   cr_expect(!DecodePeerUpdate(bytes).has_value());
   cr_expect(!DecodeTableUpdate(bytes).has_value());
 }
 
-Test(crashdatagram, other_bytes_are_none)
+Test(crashdatagram, invalid_bytes_are_handled)
 {
-  const auto bytes = EncodeCrashUpdate(SomeNews());
+  const auto bytes = EncodeCrashUpdate(SampleUpdate());
   std::mt19937 random(1);
   for (int each = 0; each < 20000; ++each) {
-    auto wrong = bytes;
-    wrong.resize(random() % (bytes.size() + 1));
-    if (!wrong.empty()) {
-      wrong[random() % wrong.size()] = static_cast<uint8_t>(random());
+    auto corrupted = bytes;
+    corrupted.resize(random() % (bytes.size() + 1));
+    if (!corrupted.empty()) {
+      corrupted[random() % corrupted.size()] = static_cast<uint8_t>(random());
     }
-    const auto news = DecodeCrashUpdate(wrong);
-    if (news) {
-      cr_expect(news->mReports.size() <= 256);
+    const auto update = DecodeCrashUpdate(corrupted);
+    if (update) {
+      cr_expect(update->mReports.size() <= 256);
     }
   }
   cr_expect(!DecodeCrashUpdate({}).has_value());
 }
 
-/** The longest message that is made finds room in what is read. */
+/** The longest update that is sent must fit the receive buffer. */
 Test(crashdatagram, fits_a_datagram)
 {
-  CrashUpdate news;
+  CrashUpdate update;
   CrashReport report{ .mIncarnation = { .mUpstream = std::string(60, 'u'),
                                         .mStartTime = INT64_MAX },
                       .mAge = Millis(1000000) };
   for (uint64_t each = 0; each < 40; ++each) {
     report.mSuspects.push_back({ UINT64_MAX - each, UINT64_MAX });
   }
-  news.mReports.push_back(report);
-  cr_expect(EncodeCrashUpdate(news).size() < 1400);
+  update.mReports.push_back(report);
+  cr_expect(EncodeCrashUpdate(update).size() < 1400);
 }
--- a/tests/platform/crashingupstreams.cpp
+++ b/tests/platform/crashingupstreams.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /** Three heartbeats of the platform. */
-constexpr int64_t kLapseMs = 3600;
+constexpr int64_t kRowTimeoutMs = 3600;
 
-constexpr int64_t kFirstBornMs = 1000;
+constexpr int64_t kFirstStartTimeMs = 1000;
 
 int64_t
 NowMs()
@@ -22,9 +22,9 @@
   return trefoilio::MonotonicNow().Count();
 }
 
-/** Reads `crashed PATH AT_MS`. */
+/** Parses `crashed PATH AT_MS`. */
 UpstreamCrash
-CrashOf(const std::string& aLine)
+ParseCrash(const std::string& aLine)
 {
   const size_t path = aLine.find(' ') + 1;
   const size_t time = aLine.rfind(' ') + 1;
@@ -85,13 +85,13 @@
       for (size_t each = 0; each < mSlots.size(); ++each) {
         Slot& slot = mSlots[each];
         if (slot.mProcess && slot.mProcess->HasEnded()) {
-          TakeEnd(slot);
-        } else if (!slot.mProcess && NowMs() >= slot.mBackAtMs) {
+          OnEnded(slot);
+        } else if (!slot.mProcess && NowMs() >= slot.mRestartAtMs) {
           Start(slot, each);
         }
       }
     }
-    RemoveLapsed();
+    RemoveExpiredRows();
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
 }
@@ -99,7 +99,7 @@
 void
 CrashingUpstreams::Start(Slot& aSlot, size_t aNumber)
 {
-  const int start = aSlot.mStarts++;
+  const int start = aSlot.mStartCount++;
   const std::string name = "i-" + std::to_string(aNumber);
   aSlot.mId = mOptions.mSameId ? name : name + "-" + std::to_string(start);
   const std::string place =
@@ -107,33 +107,35 @@
   aSlot.mProcess = std::make_unique<ChildProcess>(
     "trefoilarch-worker", std::vector<std::string>{ aSlot.mId, place });
   aSlot.mAddress = aSlot.mProcess->Address("worker");
-  mFleet.PutRow("servers",
-                aSlot.mId,
-                PlatformFleet::EntryOf(aSlot.mAddress, kFirstBornMs + NowMs()));
+  mFleet.PutRow(
+    "servers",
+    aSlot.mId,
+    PlatformFleet::EntryOf(aSlot.mAddress, kFirstStartTimeMs + NowMs()));
 }
 
 void
-CrashingUpstreams::TakeEnd(Slot& aSlot)
+CrashingUpstreams::OnEnded(Slot& aSlot)
 {
   for (const std::string& line : aSlot.mProcess->LinesWith("crashed ")) {
-    mCrashes.push_back(CrashOf(line));
+    mCrashes.push_back(ParseCrash(line));
   }
   aSlot.mProcess.reset();
-  std::uniform_int_distribution<int> away(mOptions.mMinDownMs,
-                                          mOptions.mMaxDownMs);
-  aSlot.mBackAtMs = NowMs() + away(mRandom);
+  std::uniform_int_distribution<int> downTime(mOptions.mMinDownMs,
+                                              mOptions.mMaxDownMs);
+  aSlot.mRestartAtMs = NowMs() + downTime(mRandom);
   if (!mOptions.mSameId) {
-    mLapses.push_back({ .mId = aSlot.mId, .mAtMs = NowMs() + kLapseMs });
+    mPendingRemovals.push_back(
+      { .mId = aSlot.mId, .mAtMs = NowMs() + kRowTimeoutMs });
   }
 }
 
 void
-CrashingUpstreams::RemoveLapsed()
+CrashingUpstreams::RemoveExpiredRows()
 {
-  std::erase_if(mLapses, [this](const Lapse& aLapse) {
-    const bool due = NowMs() >= aLapse.mAtMs;
+  std::erase_if(mPendingRemovals, [this](const PendingRemoval& aRemoval) {
+    const bool due = NowMs() >= aRemoval.mAtMs;
     if (due) {
-      mFleet.Unlist(aLapse.mId);
+      mFleet.Unlist(aRemoval.mId);
     }
     return due;
   });
--- a/tests/platform/crashingupstreams.h
+++ b/tests/platform/crashingupstreams.h
@@ -13,19 +13,19 @@
 
 namespace platformtest {
 
-/** How CrashingUpstreams behave. */
+/** Options of CrashingUpstreams. */
 struct CrashOptions
 {
   size_t mUpstreams = 12;
   uint64_t mSeed = 1;
-  /** An upstream that has ended is back after a drawn time between these. */
+  /** A crashed upstream restarts after a random time between these. */
   int mMinDownMs = 600;
   int mMaxDownMs = 1800;
-  /** Whether one that is back has the id that it had. */
+  /** Whether a restarted upstream keeps its id. */
   bool mSameId = false;
 };
 
-/** A request that ended the upstream that ran it. */
+/** A request that crashed the upstream that ran it. */
 struct UpstreamCrash
 {
   std::string mPath;
@@ -33,10 +33,10 @@
 };
 
 /**
- * Upstreams that end as processes do and come back: a thread starts each one
- * again after a while and keeps its row in the store as the platform would.
- * The row of one that is back under another id lapses some seconds after its
- * end.
+ * Upstream processes that crash and restart: a thread restarts each one after a
+ * while and maintains its row in the store as the platform would. The row of an
+ * upstream that restarts under another id is removed some seconds after the
+ * crash.
  */
 class CrashingUpstreams
 {
@@ -46,9 +46,9 @@
   CrashingUpstreams(const CrashingUpstreams&) = delete;
   CrashingUpstreams& operator=(const CrashingUpstreams&) = delete;
 
-  /** Ends some upstreams at once, as a rack that loses power does. */
+  /** Kills several upstreams at once, as when a rack loses power. */
   void KillAtOnce(size_t aFrom, size_t aCount);
-  /** Crashes by requests so far, in the order of their times. */
+  /** Crashes caused by requests so far, ordered by time. */
   std::vector<UpstreamCrash> Crashes() const;
 
 private:
@@ -57,10 +57,10 @@
     std::unique_ptr<integration::ChildProcess> mProcess;
     std::string mId;
     std::string mAddress;
-    int64_t mBackAtMs = 0;
-    int mStarts = 0;
+    int64_t mRestartAtMs = 0;
+    int mStartCount = 0;
   };
-  struct Lapse
+  struct PendingRemoval
   {
     std::string mId;
     int64_t mAtMs = 0;
@@ -68,15 +68,15 @@
 
   void Run();
   void Start(Slot& aSlot, size_t aNumber);
-  void TakeEnd(Slot& aSlot);
-  void RemoveLapsed();
+  void OnEnded(Slot& aSlot);
+  void RemoveExpiredRows();
 
   const PlatformFleet& mFleet;
   CrashOptions mOptions;
   std::mt19937_64 mRandom;
   mutable std::mutex mMutex;
   std::vector<Slot> mSlots;
-  std::vector<Lapse> mLapses;
+  std::vector<PendingRemoval> mPendingRemovals;
   std::vector<UpstreamCrash> mCrashes;
   std::atomic<bool> mStop = false;
   std::thread mThread;
--- a/tests/platform/enginetest.cpp
+++ b/tests/platform/enginetest.cpp
@@ -14,14 +14,15 @@
 using integration::RawCaller;
 using nlohmann::json;
 
-/** Gates before engines with batches, prompt memory, ranks and preemption. */
+/** Gates with engines that have batches, prefix caches, priorities and
+ * preemption. */
 namespace {
 
 constexpr const char* kLastChunk = "0\r\n\r\n";
 
 /** `/stream/` is the most urgent route, `/resume/` the least. */
 void
-RankRoutes(const PlatformFleet& aFleet)
+SetRoutePriorities(const PlatformFleet& aFleet)
 {
   json policy = PlatformFleet::MakePolicy(2, { "key-1" });
   for (json& route : policy["routes"]) {
@@ -37,11 +38,11 @@
 }
 
 std::unique_ptr<RawCaller>
-Ask(const PlatformFleet& aFleet,
-    const std::string& aPath,
-    const std::string& aId,
-    const std::string& aParts,
-    int aOutput)
+SendRequest(const PlatformFleet& aFleet,
+            const std::string& aPath,
+            const std::string& aId,
+            const std::string& aSegments,
+            int aOutput)
 {
   auto caller = std::make_unique<RawCaller>(aFleet.GateAddress(0));
   caller->Send(PlatformFleet::Text(
@@ -52,11 +53,11 @@
       .mDeadlineMs = 20000,
       .mHeaders = { { "X-Model", "m" },
                     { "X-Token-Usage", "1000," + std::to_string(aOutput) },
-                    { "X-Prompt-Prefix", aParts } } }));
+                    { "X-Prompt-Prefix", aSegments } } }));
   return caller;
 }
 
-/** Sum of a count over all engines. */
+/** Sum of a counter over all engines. */
 int
 CountOf(const PlatformFleet& aFleet, size_t aWorkers, const char* aName)
 {
@@ -71,34 +72,35 @@
 
 } // namespace
 
-Test(engine, the_more_urgent_starts_before_those_that_wait, .timeout = 60)
+Test(engine, an_urgent_request_starts_before_waiting_ones, .timeout = 60)
 {
   const PlatformFleet fleet;
-  RankRoutes(fleet);
+  SetRoutePriorities(fleet);
   std::vector<std::unique_ptr<RawCaller>> callers;
   for (int each = 0; each < 14; ++each) {
     const std::string id = "low" + std::to_string(each);
-    callers.push_back(Ask(
+    callers.push_back(SendRequest(
       fleet, "/resume/x", id, "1:400,a" + std::to_string(each) + ":600", 80));
   }
   cr_assert(Await([&] { return CountOf(fleet, 1, "waiting") >= 9; }));
-  const auto urgent = Ask(fleet, "/stream/x", "high", "2:400,b:100", 8);
+  const auto urgent = SendRequest(fleet, "/stream/x", "high", "2:400,b:100", 8);
   cr_expect(urgent->ReadUntil(kLastChunk).find("event 2\n") !=
             std::string::npos);
-  cr_expect(CountOf(fleet, 1, "waiting") >= 1, "it came last of all");
+  cr_expect(CountOf(fleet, 1, "waiting") >= 1, "it started last");
   for (const auto& caller : callers) {
     cr_expect(caller->ReadUntil(kLastChunk).ends_with(kLastChunk));
   }
 }
 
-Test(engine, a_preempted_stream_reaches_its_caller_whole, .timeout = 60)
+Test(engine, a_preempted_stream_is_complete, .timeout = 60)
 {
   const PlatformFleet fleet;
-  RankRoutes(fleet);
-  const auto low = Ask(fleet, "/resume/x", "low", "1:400,a:6400", 400);
+  SetRoutePriorities(fleet);
+  const auto low = SendRequest(fleet, "/resume/x", "low", "1:400,a:6400", 400);
   cr_assert(Await([&] { return CountOf(fleet, 1, "running") == 1; }));
-  // Together they outgrow the engine's 12,000 tokens while they run.
-  const auto high = Ask(fleet, "/stream/x", "high", "2:400,b:4600", 300);
+  // Together they exceed the engine's 12,000 tokens while they run.
+  const auto high =
+    SendRequest(fleet, "/stream/x", "high", "2:400,b:4600", 300);
   const std::string lowText = low->ReadUntil(kLastChunk);
   const std::string highText = high->ReadUntil(kLastChunk);
   cr_expect(CountOf(fleet, 1, "preempted") >= 1);
@@ -111,21 +113,22 @@
   cr_expect(lowText.ends_with(kLastChunk) && highText.ends_with(kLastChunk));
 }
 
-/** Measured: 3,160 tokens read for six requests of 2,100 tokens each. */
-Test(engine, a_sessions_parts_are_read_by_one_engine, .timeout = 60)
+/** Measured: 3,160 tokens prefilled for six requests of 2,100 tokens each. */
+Test(engine, a_session_is_prefilled_by_one_engine, .timeout = 60)
 {
   constexpr size_t kWorkers = 4;
   const PlatformFleet fleet({ .mWorkers = kWorkers });
-  RankRoutes(fleet);
+  SetRoutePriorities(fleet);
   constexpr int kRequests = 6;
   for (int each = 0; each < kRequests; ++each) {
-    const std::string own = std::to_string(each + 1);
-    const auto caller =
-      Ask(fleet, "/resume/x", "s" + own, "1:800,77:1100,f" + own + ":200", 8);
+    const std::string number = std::to_string(each + 1);
+    const auto caller = SendRequest(
+      fleet, "/resume/x", "s" + number, "1:800,77:1100,f" + number + ":200", 8);
     cr_assert(caller->ReadUntil(kLastChunk).ends_with(kLastChunk));
   }
-  const int read = CountOf(fleet, kWorkers, "prefilled");
-  // The first two requests may go anywhere: that the middle part is a
-  // session's shows when it comes again.
-  cr_expect(read < 2 * 2100 + (kRequests - 2) * 300, "%d tokens", read);
+  const int prefilled = CountOf(fleet, kWorkers, "prefilled");
+  // The first two requests may go to any engine: only a repeated middle segment
+  // shows that it belongs to a session.
+  cr_expect(
+    prefilled < 2 * 2100 + (kRequests - 2) * 300, "%d tokens", prefilled);
 }
--- a/tests/platform/entriestest.cpp
+++ b/tests/platform/entriestest.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/** The gate has said so of that upstream. */
+/** Whether the gate has logged this event for this upstream. */
 bool
-HasSaid(const PlatformFleet& aFleet,
-        const std::string& aEvent,
-        const std::string& aUpstream)
+HasLogged(const PlatformFleet& aFleet,
+          const std::string& aEvent,
+          const std::string& aUpstream)
 {
   for (const json& line : aFleet.LogOf(0, aEvent)) {
     if (line.at("upstream") == aUpstream) {
@@ -24,7 +24,7 @@
   return false;
 }
 
-/** The addresses that the gate's last word on the others counts. */
+/** The number of addresses in the gate's latest log line about its peers. */
 size_t
 PeersOf(const PlatformFleet& aFleet, size_t aGate)
 {
@@ -34,18 +34,18 @@
 
 } // namespace
 
-/** A worker that crashed is back under the id that it had, at its address:
- * kept connections lead nowhere, and what ran there is not known. */
-Test(entries, a_worker_that_starts_again_under_its_id_serves_at_once)
+/** A crashed worker restarts under the same id at the same address: kept
+ * connections are stale, and the fate of its requests is unknown. */
+Test(entries, a_restarted_worker_serves_at_once)
 {
   PlatformFleet fleet({ .mWorkers = 2 });
   const std::string address = fleet.WorkerAddress(0);
   fleet.PutRow("servers", "i-0", PlatformFleet::EntryOf(address, 1000, 9));
-  cr_assert(Await([&] { return HasSaid(fleet, "upstream_listed", "i-0"); }));
+  cr_assert(Await([&] { return HasLogged(fleet, "upstream_listed", "i-0"); }));
   cr_expect(fleet.Call({ .mId = "before" }).mStatus == 200);
   fleet.PutRow("servers", "i-0", PlatformFleet::EntryOf(address, 5000, 1));
   cr_assert(
-    Await([&] { return HasSaid(fleet, "upstream_started_again", "i-0"); }));
+    Await([&] { return HasLogged(fleet, "upstream_started_again", "i-0"); }));
   for (int each = 0; each < 10; ++each) {
     const std::string id = "after" + std::to_string(each);
     cr_expect(fleet.Call({ .mId = id, .mMethod = "POST", .mPath = "/once/x" })
@@ -54,7 +54,7 @@
   }
 }
 
-Test(entries, what_other_writers_leave_in_the_store_stops_nothing)
+Test(entries, invalid_rows_stop_nothing)
 {
   const PlatformFleet fleet({ .mWorkers = 2 });
   const json broken[] = { json("no object"),
@@ -68,8 +68,8 @@
     fleet.PutRow("servers", "foreign-" + std::to_string(next++), each);
     fleet.PutRow("op", "config", each);
   }
-  cr_assert(
-    Await([&] { return HasSaid(fleet, "upstream_unreadable", "foreign-5"); }));
+  cr_assert(Await(
+    [&] { return HasLogged(fleet, "upstream_unreadable", "foreign-5"); }));
   for (int each = 0; each < 10; ++each) {
     cr_expect(fleet.Call({ .mId = std::to_string(each) }).mStatus == 200);
   }
@@ -80,13 +80,14 @@
             std::string::npos);
 }
 
-/** An entry that is overwritten names no worker, until its worker writes. */
-Test(entries, an_overwritten_entry_names_no_worker_until_it_is_mended)
+/** An overwritten entry describes no worker until its worker writes it
+ * again. */
+Test(entries, an_overwritten_entry_is_ignored_until_it_is_restored)
 {
   const PlatformFleet fleet({ .mWorkers = 2 });
   fleet.PutRow("servers", "i-0", json("scribble"));
   cr_assert(
-    Await([&] { return HasSaid(fleet, "upstream_unreadable", "i-0"); }));
+    Await([&] { return HasLogged(fleet, "upstream_unreadable", "i-0"); }));
   for (int each = 0; each < 10; ++each) {
     const std::string id = "gone" + std::to_string(each);
     cr_expect(fleet.Call({ .mId = id }).mStatus == 200);
@@ -100,7 +101,7 @@
   }));
 }
 
-/** Gates find each other in the store, and again after one starts anew. */
+/** Gates find each other through the store, also after a restart of one. */
 Test(entries, gates_find_each_other)
 {
   PlatformFleet fleet({ .mGates = 3, .mPeers = true });
@@ -109,13 +110,13 @@
   }
   fleet.RestartGate(1);
   cr_expect(Await([&] { return PeersOf(fleet, 1) == 2; }));
-  // The row that it has written since leads to its new port.
+  // Its rewritten row contains its new port.
   cr_expect(Await([&] { return PeersOf(fleet, 0) == 2; }));
 }
 
-/** What one gate was sent makes the other send the session's next request to
- * the same engine, in a service of many. */
-Test(entries, a_session_is_known_to_the_gate_that_did_not_serve_it)
+/** A gate sends a session's next request to the engine that another gate used
+ * for the session, in a service with many. */
+Test(entries, a_session_is_known_to_other_gates)
 {
   PlatformFleet fleet({ .mWorkers = 6, .mGates = 2, .mPeers = true });
   for (size_t each = 0; each < 2; ++each) {
--- a/tests/platform/failurestest.cpp
+++ b/tests/platform/failurestest.cpp
@@ -6,16 +6,18 @@
 
 using namespace platformtest;
 
-/** Upstreams that fail part of what they are asked. */
+/** Upstreams that fail some of their requests. */
 namespace {
 
-/** Requests of that route through a gate, one after another; each failure of
- * the upstream is passed on to the caller. */
+/** Sends requests of this route through a gate one after another; each failure
+ * of the upstream is forwarded to the caller. */
 void
-CallOften(const PlatformFleet& aFleet, const std::string& aStart, int aTimes)
+SendRequests(const PlatformFleet& aFleet,
+             const std::string& aIdPrefix,
+             int aTimes)
 {
   for (int each = 0; each < aTimes; ++each) {
-    aFleet.Call({ .mId = aStart + std::to_string(each),
+    aFleet.Call({ .mId = aIdPrefix + std::to_string(each),
                   .mMethod = "POST",
                   .mPath = "/once/x" });
   }
@@ -31,7 +33,7 @@
 
 } // namespace
 
-/** Its failures come with a body, as answers do, but are none. */
+/** The failures have a body, as successful answers do. */
 Test(failures,
      three_failures_in_a_row_of_what_may_run_once_eject,
      .timeout = 30)
@@ -39,7 +41,7 @@
   const PlatformFleet fleet({ .mWorkers = 2 });
   fleet.SetPlan(0, "error", 3);
   for (int each = 0; each < 12 && !HasEjected(fleet, 0); ++each) {
-    CallOften(fleet, "a" + std::to_string(each) + "-", 1);
+    SendRequests(fleet, "a" + std::to_string(each) + "-", 1);
   }
   cr_expect(HasEjected(fleet, 0));
 }
--- a/tests/platform/gatenetworklosstest.cpp
+++ b/tests/platform/gatenetworklosstest.cpp
@@ -21,21 +21,21 @@
 }
 
 json
-Lost(const std::string& aHow)
+StoreLoss(const std::string& aKind)
 {
-  return aHow == "refused"
+  return aKind == "refused"
            ? json{ { "cut", true }, { "refuse_new", true } }
            : json{ { "silence", "both" }, { "silence_new", true } };
 }
 
 json
-Found(const std::string& aHow)
+StoreRecovery(const std::string& aKind)
 {
-  return aHow == "refused" ? json{ { "refuse_new", false } }
-                           : json{ { "cut", true }, { "silence_new", false } };
+  return aKind == "refused" ? json{ { "refuse_new", false } }
+                            : json{ { "cut", true }, { "silence_new", false } };
 }
 
-/** Requests that reached the worker in so many calls of the first gate. */
+/** Requests received by the worker during aCalls calls of the first gate. */
 size_t
 RunsIn(const PlatformFleet& aFleet, int aCalls, size_t aWorker)
 {
@@ -48,40 +48,40 @@
 
 } // namespace
 
-Test(ownloss,
-     an_upstream_that_left_during_a_gates_own_loss_gets_no_request,
+Test(gatenetworkloss,
+     an_upstream_that_left_during_a_gates_loss_of_the_store_gets_no_request,
      .timeout = 60)
 {
-  for (const std::string how : { "refused", "silent" }) {
+  for (const std::string kind : { "refused", "silent" }) {
     PlatformFleet fleet(
       { .mWorkers = 2, .mGates = 2, .mProxied = true, .mPeers = true });
     cr_assert(fleet.AwaitPeers());
-    fleet.StoreProxy(0).Order(Lost(how));
+    fleet.StoreProxy(0).Order(StoreLoss(kind));
     cr_assert(Await([&] { return !fleet.LogOf(0, "dependency_lost").empty(); },
                     Millis(4000)));
     fleet.Unlist("i-0");
     Pause(2500);
-    fleet.StoreProxy(0).Order(Found(how));
+    fleet.StoreProxy(0).Order(StoreRecovery(kind));
     cr_assert(
       Await([&] { return !fleet.LogOf(0, "upstream_unlisted").empty(); },
             Millis(4000)));
     Pause(300);
-    cr_expect(RunsIn(fleet, 20, 0) == 0, "%s", how.c_str());
+    cr_expect(RunsIn(fleet, 20, 0) == 0, "%s", kind.c_str());
   }
 }
 
-Test(ownloss, losses_in_series_keep_no_upstream_that_left, .timeout = 60)
+Test(gatenetworkloss, repeated_losses_keep_no_upstream_that_left, .timeout = 60)
 {
   PlatformFleet fleet(
     { .mWorkers = 2, .mGates = 2, .mProxied = true, .mPeers = true });
   cr_assert(fleet.AwaitPeers());
   for (int each = 0; each < 3; ++each) {
-    fleet.StoreProxy(0).Order(Lost("refused"));
+    fleet.StoreProxy(0).Order(StoreLoss("refused"));
     if (each == 0) {
       fleet.Unlist("i-0");
     }
     Pause(2300);
-    fleet.StoreProxy(0).Order(Found("refused"));
+    fleet.StoreProxy(0).Order(StoreRecovery("refused"));
     const size_t lost = fleet.LogOf(0, "dependency_lost").size();
     cr_assert(
       Await([&] { return fleet.LogOf(0, "dependency_back").size() == lost; },
@@ -91,8 +91,8 @@
   }
 }
 
-Test(ownloss,
-     upstreams_that_lapse_with_the_store_are_kept_by_all,
+Test(gatenetworkloss,
+     upstreams_that_lapse_in_a_store_outage_are_kept_by_all_gates,
      .timeout = 60)
 {
   PlatformFleet fleet(
--- a/tests/platform/gatesettingstest.cpp
+++ b/tests/platform/gatesettingstest.cpp
@@ -12,14 +12,14 @@
 using platformtest::PlatformFleet;
 using trefoilarch::Millis;
 
-/** The settings that a platform fills in, whatever numbers it has. */
+/** The settings that a platform fills in, with any numbers. */
 namespace {
 
 using Variables = std::map<std::string, std::string>;
 
-/** As deploy/gate.env names them, with plain figures. */
+/** The names are those in deploy/gate.env, the numbers are integers. */
 Variables
-Filled()
+DefaultVariables()
 {
   return { { "TREFOILARCH_NAME", "gate-1" },
            { "TREFOILARCH_LISTEN", "10.0.0.3:8080" },
@@ -53,34 +53,35 @@
 trefoilio::SettingsOutcome
 ReadWith(const std::string& aName, const std::string& aText)
 {
-  Variables variables = Filled();
+  Variables variables = DefaultVariables();
   variables[aName] = aText;
   return Read(variables);
 }
 
-/** The settings with one of them set to that. */
+/** The settings with one of them changed. */
 GateSettings
 SettingsWith(const std::string& aName, const std::string& aText)
 {
   const auto outcome = ReadWith(aName, aText);
   cr_assert(
-    outcome.mSettings, "%s=%s is refused", aName.c_str(), aText.c_str());
+    outcome.mSettings, "%s=%s is rejected", aName.c_str(), aText.c_str());
   return ReadGateSettings(*outcome.mSettings);
 }
 
-/** Refused, in one fault that names the flag and the variable. */
+/** Whether the value is rejected with one fault that names the flag and the
+ * variable. */
 bool
-IsRefused(const std::string& aName,
-          const std::string& aFlag,
-          const std::string& aText)
+IsRejected(const std::string& aName,
+           const std::string& aFlag,
+           const std::string& aText)
 {
   const auto outcome = ReadWith(aName, aText);
   return !outcome.mSettings && outcome.mFaults.size() == 1 &&
          outcome.mFaults.front().starts_with("--" + aFlag + " (" + aName + ")");
 }
 
-/** A figure that the platform fills in, and what is beyond its range. */
-struct Figure
+/** A number that the platform fills in, and values outside its range. */
+struct NumericSetting
 {
   std::string mName;
   std::string mFlag;
@@ -89,8 +90,8 @@
   std::string mTooLarge;
 };
 
-std::vector<Figure>
-Figures()
+std::vector<NumericSetting>
+NumericSettings()
 {
   return {
     { "TREFOILARCH_REVOKE_MS", "revoke-ms", "5000.9", "0", "3600000.5" },
@@ -115,18 +116,18 @@
 
 } // namespace
 
-Test(gatesettings, each_figure_may_have_a_fraction)
+Test(gatesettings, each_number_may_have_a_fraction)
 {
-  for (const Figure& each : Figures()) {
+  for (const NumericSetting& each : NumericSettings()) {
     cr_expect(ReadWith(each.mName, each.mWithFraction).mSettings,
               "%s",
               each.mFlag.c_str());
   }
 }
 
-Test(gatesettings, what_is_out_of_range_or_no_number_is_refused_by_its_flag)
+Test(gatesettings, an_invalid_number_is_rejected_with_its_flag)
 {
-  for (const Figure& each : Figures()) {
+  for (const NumericSetting& each : NumericSettings()) {
     for (const std::string& text : { each.mTooSmall,
                                      each.mTooLarge,
                                      std::string("nan"),
@@ -134,7 +135,7 @@
                                      std::string("five"),
                                      std::string("8 "),
                                      std::string() }) {
-      cr_expect(IsRefused(each.mName, each.mFlag, text),
+      cr_expect(IsRejected(each.mName, each.mFlag, text),
                 "%s=%s",
                 each.mFlag.c_str(),
                 text.c_str());
@@ -142,13 +143,13 @@
   }
 }
 
-Test(gatesettings, zero_retries_are_a_choice)
+Test(gatesettings, zero_retries_are_allowed)
 {
   cr_expect(SettingsWith("TREFOILARCH_RETRY_SLACK", "0").mRetrySlack == 0);
   cr_expect(SettingsWith("TREFOILARCH_RETRY_SHARE", "0").mRetryPercent == 0);
 }
 
-Test(gatesettings, what_must_be_whole_is_rounded_down)
+Test(gatesettings, integers_are_rounded_down)
 {
   const GateSettings plain = SettingsWith("TREFOILARCH_REVOKE_MS", "5000");
   cr_expect(SettingsWith("TREFOILARCH_REVOKE_MS", "5000.9") == plain,
@@ -158,7 +159,7 @@
   cr_expect(SettingsWith("TREFOILARCH_HEARTBEAT_MS", "1200.9") == plain,
             "an outage is seen no later");
   cr_expect(SettingsWith("TREFOILARCH_MOST_DESCRIPTORS", "4100.9") == plain,
-            "no descriptor more");
+            "no more descriptors");
   cr_expect(SettingsWith("TREFOILARCH_STOP_SECONDS", "8.0009").mStopTimeout ==
             plain.mStopTimeout);
   cr_expect(SettingsWith("TREFOILARCH_STOP_SECONDS", "8.5").mStopTimeout ==
--- a/tests/platform/loopcosttest.cpp
+++ b/tests/platform/loopcosttest.cpp
@@ -23,7 +23,8 @@
 using namespace trefoilarch;
 using namespace trefoilgate;
 
-/** What the gateway's loop asks of kernel and heap, in this process. */
+/** System calls and allocations of the gateway's event loop, in this
+ * process. */
 namespace {
 
 constexpr const char* kListen = "127.0.0.1:0";
@@ -31,7 +32,7 @@
 constexpr const char* kOk = "HTTP/1.1 200 OK";
 
 std::shared_ptr<const RoutePolicy>
-OpenPolicy()
+PublicPolicy()
 {
   RoutePolicy policy{ .mVersion = 1 };
   policy.mRoutes = { { .mName = "r",
@@ -44,7 +45,7 @@
   return std::make_shared<const RoutePolicy>(std::move(policy));
 }
 
-/** A gateway with one worker behind it; its log goes nowhere. */
+/** A gateway with one worker; its log is discarded. */
 class LoopUnderTest
 {
 public:
@@ -63,7 +64,7 @@
                                      .mMaxDescriptors = 4096,
                                      .mMaxBodyBytes = 1 << 24 },
                       .mDialect = trefoilplatform::PlatformDialect() });
-    mGateway->SetPolicy(OpenPolicy());
+    mGateway->SetPolicy(PublicPolicy());
     mGateway->ConfirmPolicy(BootNow());
     mGateway->ChangeDirectory([this](UpstreamDirectory& aAll) {
       aAll.Put({ .mId = "i-0",
@@ -112,16 +113,16 @@
          aPlan + "\r\n\r\n";
 }
 
-/** Calls in two counts' difference, for each of so many things. */
+/** The difference of two counts, divided by the number of things. */
 double
-Each(uint64_t aBefore, uint64_t aAfter, int aThings)
+PerItem(uint64_t aBefore, uint64_t aAfter, int aCount)
 {
-  return static_cast<double>(aAfter - aBefore) / aThings;
+  return static_cast<double>(aAfter - aBefore) / aCount;
 }
 
 } // namespace
 
-/** Measured: 5.1 system calls and 6.6 allocations for each event. */
+/** Measured: 5.1 system calls and 6.6 allocations per event. */
 Test(loopcost, an_event_costs_few_calls, .timeout = 30)
 {
   LoopUnderTest loop;
@@ -134,14 +135,15 @@
   const std::string answer = caller.ReadUntil(kLastChunk);
   cr_assert(answer.find("event 400\n") != std::string::npos);
   const CallCounts after = loop.Counts();
-  const double calls = Each(before.mSystemCalls, after.mSystemCalls, kEvents);
+  const double calls =
+    PerItem(before.mSystemCalls, after.mSystemCalls, kEvents);
   const double allocations =
-    Each(before.mAllocations, after.mAllocations, kEvents);
+    PerItem(before.mAllocations, after.mAllocations, kEvents);
   cr_expect(calls < 6, "%.2f system calls an event", calls);
   cr_expect(allocations < 8, "%.2f allocations an event", allocations);
 }
 
-/** Measured on kept connections: 9.3 system calls and 220 allocations. */
+/** Measured on kept-alive connections: 9.3 system calls and 220 allocations. */
 Test(loopcost, a_request_costs_few_calls, .timeout = 30)
 {
   LoopUnderTest loop;
@@ -155,9 +157,10 @@
     cr_assert(caller.ReadUntil(std::string(100, 'b')).starts_with(kOk));
   }
   const CallCounts after = loop.Counts();
-  const double calls = Each(before.mSystemCalls, after.mSystemCalls, kRequests);
+  const double calls =
+    PerItem(before.mSystemCalls, after.mSystemCalls, kRequests);
   const double allocations =
-    Each(before.mAllocations, after.mAllocations, kRequests);
+    PerItem(before.mAllocations, after.mAllocations, kRequests);
   cr_expect(calls < 12, "%.2f system calls a request", calls);
   cr_expect(allocations < 270, "%.2f allocations a request", allocations);
 }
--- a/tests/platform/metricstexttest.cpp
+++ b/tests/platform/metricstexttest.cpp
@@ -14,13 +14,13 @@
 using namespace platformtest;
 using integration::Await;
 
-/** What a scraper gets from a gate. */
+/** The metrics of a gate in text form. */
 namespace {
 
-/** The text by the rules of the Prometheus format: each sample belongs to the
- * type declared before it, and each metric has a type and a meaning. */
+/** Checks the text against the Prometheus format: each sample follows the type
+ * of its metric, and each metric has a type and a help text. */
 void
-CheckFormat(const std::string& aText)
+ExpectValidFormat(const std::string& aText)
 {
   const std::regex sample(
     R"re(([a-z_0-9]+)(\{([a-z_]+="([^"\\]|\\.)*",?)+\})? (-?[0-9.e+]+|\+Inf|NaN))re");
@@ -34,13 +34,14 @@
     std::string kind;
     if (line.starts_with("# HELP ")) {
       words >> hash >> kind >> name;
-      cr_expect(described.insert(name).second, "%s twice", name.c_str());
+      cr_expect(
+        described.insert(name).second, "%s is described twice", name.c_str());
       continue;
     }
     if (line.starts_with("# TYPE ")) {
       std::string typed;
       words >> hash >> kind >> typed;
-      cr_expect(typed == name, "%s without a meaning", typed.c_str());
+      cr_expect(typed == name, "%s has no help text", typed.c_str());
       continue;
     }
     std::smatch match;
@@ -50,7 +51,7 @@
   cr_expect(described.size() >= 15, "%zu metrics", described.size());
 }
 
-/** The value of the sample that begins so, or -1. */
+/** The value of the sample with this name and labels, or -1. */
 double
 ValueOf(const std::string& aText, const std::string& aSample)
 {
@@ -67,7 +68,7 @@
   const PlatformFleet fleet;
   fleet.Call({ .mPlan = "ok,delay=20" });
   fleet.Call({ .mKey = "unknown" });
-  CheckFormat(fleet.Metrics());
+  ExpectValidFormat(fleet.Metrics());
 }
 
 Test(metricstext, requests_count_by_route_priority_and_outcome)
@@ -89,7 +90,7 @@
     ValueOf(text, "trefoilarch_gate_first_byte_ms_count{route=\"safe\"}") == 1);
 }
 
-Test(metricstext, beliefs_show_their_age_and_upstreams_their_state)
+Test(metricstext, policy_and_list_ages_and_upstream_states_are_reported)
 {
   const PlatformFleet fleet({ .mWorkers = 3 });
   fleet.List(2, "draining");
@@ -110,7 +111,7 @@
   cr_expect(ValueOf(text, "trefoilarch_gate_policy_version") == 1);
 }
 
-Test(metricstext, the_loop_tells_how_late_it_is)
+Test(metricstext, the_lag_of_the_event_loop_is_reported)
 {
   const PlatformFleet fleet;
   cr_expect(Await([&] {
--- a/tests/platform/operationstest.cpp
+++ b/tests/platform/operationstest.cpp
@@ -18,12 +18,12 @@
 using nlohmann::json;
 
 /**
- * Each case of docs/OPERATIONS.md, walked with what the page says: the lines
- * that hold the request's id, then the lines that those point to.
+ * The cases of docs/OPERATIONS.md, checked as the page describes: the lines
+ * that contain the request's id, then the lines that those refer to.
  */
 namespace {
 
-/** What `grep '"id":"ID"'` over the gate's log gives. */
+/** The result of `grep '"id":"ID"'` over the gate's log. */
 std::vector<json>
 LinesOf(PlatformFleet& aFleet, const std::string& aId)
 {
@@ -36,7 +36,9 @@
 }
 
 json
-LineOf(PlatformFleet& aFleet, const std::string& aId, const std::string& aEvent)
+AwaitLine(PlatformFleet& aFleet,
+          const std::string& aId,
+          const std::string& aEvent)
 {
   json found;
   const bool came = Await([&] {
@@ -78,7 +80,7 @@
     each.join();
   }
   cr_assert(refused > 0, "an overloaded route refuses");
-  const json line = LineOf(fleet, id, "request_refused");
+  const json line = AwaitLine(fleet, id, "request_refused");
   cr_expect(line.at("kind") == "shed");
   cr_expect(line.at("why") == "would start too late");
   cr_expect(fleet.RunsOf(id).empty());
@@ -88,7 +90,7 @@
 {
   PlatformFleet fleet;
   fleet.Call({ .mId = "slow", .mPlan = "hang", .mDeadlineMs = 500 });
-  const json line = LineOf(fleet, "slow", "request_ended");
+  const json line = AwaitLine(fleet, "slow", "request_ended");
   cr_expect(line.at("outcome") == "deadline_exceeded");
   cr_expect(line.at("status") == 504);
   cr_expect(line.at("first_byte_ms") == 0);
@@ -108,15 +110,15 @@
   cr_assert(Await([&] { return fleet.RunsOf("cut").size() == 1; }));
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   fleet.Worker(0).Kill();
-  const json ended = LineOf(fleet, "cut", "request_ended");
+  const json ended = AwaitLine(fleet, "cut", "request_ended");
   cr_expect(ended.at("outcome") == "answer_cut");
   cr_expect(ended.at("events") > 0);
   cr_expect(ended.at("attempts") == 1);
-  const json attempt = LineOf(fleet, "cut", "attempt_ended");
+  const json attempt = AwaitLine(fleet, "cut", "attempt_ended");
   cr_expect(attempt.at("outcome") == "broken");
   cr_expect(attempt.at("upstream") == "i-0");
   cr_expect(attempt.at("started") == true);
-  // The page: a crash shows by the upstream's leaving the list.
+  // As the page says, a crashed upstream leaves the list.
   fleet.Unlist("i-0");
   cr_expect(Await([&] {
     const auto lines = fleet.LogOf(0, "upstream_unlisted");
@@ -130,7 +132,7 @@
   fleet.Control({ { "fault", "down" } });
   std::this_thread::sleep_for(std::chrono::milliseconds(3000));
   fleet.Call({ .mId = "stale" });
-  const json line = LineOf(fleet, "stale", "request_refused");
+  const json line = AwaitLine(fleet, "stale", "request_refused");
   cr_expect(line.at("kind") == "policy_stale");
   cr_expect(line.at("policy_age_ms") >= 2000);
   const auto lost = fleet.LogOf(0, "dependency_lost");
@@ -140,14 +142,14 @@
   }));
 }
 
-/** What tells a list that is old from a leaving upstream that was ignored. */
+/** Distinguishes an outdated list from ignoring that an upstream leaves. */
 Test(operations, how_old_the_list_was_when_a_request_was_sent)
 {
   PlatformFleet fleet;
   fleet.Control({ { "fault", "down" } });
   std::this_thread::sleep_for(std::chrono::milliseconds(1500));
   fleet.Call({ .mId = "old" });
-  cr_expect(LineOf(fleet, "old", "request_ended").at("list_age_ms") >= 1500);
+  cr_expect(AwaitLine(fleet, "old", "request_ended").at("list_age_ms") >= 1500);
   cr_assert(Await([&] { return !fleet.LogOf(0, "dependency_lost").empty(); }));
   const json lost = fleet.LogOf(0, "dependency_lost").front();
   cr_expect(lost.at("waited_ms") >= 0);
@@ -160,7 +162,7 @@
   cr_assert(
     Await([&] { return fleet.Call({ .mKey = "key-2" }).mStatus == 401; }));
   fleet.Call({ .mId = "gone", .mKey = "key-2" });
-  const json line = LineOf(fleet, "gone", "request_refused");
+  const json line = AwaitLine(fleet, "gone", "request_refused");
   cr_expect(line.at("kind") == "bad_token");
   cr_expect(line.at("policy_version") == 8);
   const auto taken = fleet.LogOf(0, "policy_taken");
@@ -178,7 +180,7 @@
                .mKey = "key-1",
                .mBody = "a private story" });
   fleet.Call({ .mId = "wrong", .mKey = "another-secret" });
-  LineOf(fleet, "wrong", "request_refused");
+  AwaitLine(fleet, "wrong", "request_refused");
   cr_expect(fleet.Gate(0).LinesWith("key-1").empty());
   cr_expect(fleet.Gate(0).LinesWith("another-secret").empty());
   cr_expect(fleet.Gate(0).LinesWith("private story").empty());
@@ -188,9 +190,9 @@
 {
   PlatformFleet fleet;
   fleet.Call({ .mId = "before" });
-  LineOf(fleet, "before", "request_ended");
+  AwaitLine(fleet, "before", "request_ended");
   fleet.Gate(0).HoldOutput(true);
-  // Refusals of unknown keys, each with a line: far more than a pipe holds.
+  // Refusals of unknown keys, each with a line: far more than a pipe can hold.
   constexpr int kRequests = 1500;
   int64_t slowest = 0;
   for (int each = 0; each < kRequests; ++each) {
@@ -204,12 +206,12 @@
   }
   cr_expect(slowest < 300, "%d ms", static_cast<int>(slowest));
   const size_t seen = LinesOf(fleet, "held").size();
-  cr_expect(seen < kRequests / 2, "the reader did hold");
+  cr_expect(seen < kRequests / 2, "the log is still being read");
   fleet.Gate(0).HoldOutput(false);
   cr_expect(Await([&] { return LinesOf(fleet, "held").size() > seen; }));
 }
 
-/** Measured: 1 ms the slowest answer. */
+/** Measured: 1 ms for the slowest answer. */
 Test(operations,
      a_pipe_that_stays_full_for_30_seconds_makes_no_answer_late,
      .timeout = 60)
@@ -255,7 +257,7 @@
                .mMethod = "POST",
                .mPath = "/once/x",
                .mPlan = "cut_head" });
-  LineOf(fleet, "lost", "request_ended");
+  AwaitLine(fleet, "lost", "request_ended");
   fleet.Unlist("i-0");
   cr_assert(
     Await([&] { return !fleet.LogOf(0, "upstream_unlisted").empty(); }));
--- a/tests/platform/peertabletest.cpp
+++ b/tests/platform/peertabletest.cpp
@@ -23,7 +23,7 @@
   return "gate-" + std::to_string(100 + aEntry);
 }
 
-/** A store with the rows of so many entries. */
+/** A store with the rows of aEntries entries. */
 class Store
 {
 public:
@@ -57,9 +57,10 @@
   ChildProcess mProcess{ "trefoilarch-rowstore", {} };
 };
 
-/** Runs the table of the first entry, which hears only those given. */
+/** Runs the table of the first entry, which receives messages of only these
+ * entries. */
 void
-RunFirst(Store& aStore, const std::set<std::string>& aHeard)
+RunFirstEntry(Store& aStore, const std::set<std::string>& aReceivedFrom)
 {
   boost::asio::io_context loop(1);
   PeerTable table(
@@ -70,7 +71,7 @@
       .mSilenceTimeout = Millis(300) },
     [](const std::vector<std::string>&) {},
     [&](const std::string& aName) {
-      return aHeard.contains(aName) ? BootNow() : Millis(0);
+      return aReceivedFrom.contains(aName) ? BootNow() : Millis(0);
     },
     { .mOnCheckpoint = [](const trefoilarch::TableCheckpoint&) {},
       .mOnTableUpdate = [](const trefoilarch::TableUpdate&) {} });
@@ -80,27 +81,27 @@
 
 } // namespace
 
-Test(peertable, the_row_of_an_entry_that_fell_silent_is_removed, .timeout = 30)
+Test(peertable, the_row_of_a_silent_entry_is_removed, .timeout = 30)
 {
   Store store(4);
-  RunFirst(store, { NameOf(1), NameOf(2) });
+  RunFirstEntry(store, { NameOf(1), NameOf(2) });
   const std::set<std::string> left = { NameOf(0), NameOf(1), NameOf(2) };
   cr_expect(store.Names() == left);
 }
 
-/** In a large fleet each entry is told by some of the others alone: the rest
- * are silent here, and alive. */
+/** In a large fleet each entry receives updates of only some of the others: the
+ * rest are silent here, but alive. */
 Test(peertable,
-     entries_that_need_not_tell_this_one_keep_their_rows,
+     entries_that_do_not_send_to_this_one_keep_their_rows,
      .timeout = 30)
 {
   constexpr int kEntries = 60;
-  constexpr int kTellers = 40;
+  constexpr int kSenders = 40;
   Store store(kEntries);
-  std::set<std::string> heard;
-  for (int each = kEntries - kTellers; each < kEntries; ++each) {
-    heard.insert(NameOf(each));
+  std::set<std::string> receivedFrom;
+  for (int each = kEntries - kSenders; each < kEntries; ++each) {
+    receivedFrom.insert(NameOf(each));
   }
-  RunFirst(store, heard);
+  RunFirstEntry(store, receivedFrom);
   cr_expect(store.Names().size() == kEntries, "%zu", store.Names().size());
 }
--- a/tests/platform/permitdatagramtest.cpp
+++ b/tests/platform/permitdatagramtest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 PermitRequest
-SomeAsk()
+SampleRequest()
 {
   return {
     .mNumber = UINT64_MAX,
@@ -24,47 +24,50 @@
 }
 
 PermitReply
-SomeReply()
+SampleReply()
 {
   return { .mNumber = 12, .mWait = Millis(640), .mFromUrgency = 1 };
 }
 
 } // namespace
 
-Test(permitdatagram, is_read_back_as_it_was_written)
+Test(permitdatagram, survives_encoding)
 {
-  cr_expect(DecodePermitRequest(EncodePermitRequest(SomeAsk())) == SomeAsk());
-  cr_expect(DecodePermitReply(EncodePermitReply(SomeReply())) == SomeReply());
-  PermitRequest ended = SomeAsk();
+  cr_expect(DecodePermitRequest(EncodePermitRequest(SampleRequest())) ==
+            SampleRequest());
+  cr_expect(DecodePermitReply(EncodePermitReply(SampleReply())) ==
+            SampleReply());
+  PermitRequest ended = SampleRequest();
   ended.mLimit.mPerSecond.reset();
   cr_expect(DecodePermitRequest(EncodePermitRequest(ended)) == ended);
 }
 
-Test(permitdatagram, is_nothing_else_to_an_entry_that_does_not_know_it)
+Test(permitdatagram, is_not_decoded_as_another_message)
 {
-  for (const auto& bytes :
-       { EncodePermitRequest(SomeAsk()), EncodePermitReply(SomeReply()) }) {
+  for (const auto& bytes : { EncodePermitRequest(SampleRequest()),
+                             EncodePermitReply(SampleReply()) }) {
     cr_expect(!DecodePeerUpdate(bytes).has_value());
     cr_expect(!DecodeTableUpdate(bytes).has_value());
     cr_expect(!DecodeCrashUpdate(bytes).has_value());
   }
-  cr_expect(!DecodePermitReply(EncodePermitRequest(SomeAsk())).has_value());
+  cr_expect(
+    !DecodePermitReply(EncodePermitRequest(SampleRequest())).has_value());
 }
 
-Test(permitdatagram, other_bytes_are_none)
+Test(permitdatagram, invalid_bytes_are_handled)
 {
   std::mt19937 random(1);
-  for (const auto& bytes :
-       { EncodePermitRequest(SomeAsk()), EncodePermitReply(SomeReply()) }) {
+  for (const auto& bytes : { EncodePermitRequest(SampleRequest()),
+                             EncodePermitReply(SampleReply()) }) {
     for (int each = 0; each < 20000; ++each) {
-      auto wrong = bytes;
-      wrong.resize(random() % (bytes.size() + 1));
-      if (!wrong.empty()) {
-        wrong[random() % wrong.size()] = static_cast<uint8_t>(random());
+      auto corrupted = bytes;
+      corrupted.resize(random() % (bytes.size() + 1));
+      if (!corrupted.empty()) {
+        corrupted[random() % corrupted.size()] = static_cast<uint8_t>(random());
       }
-      const auto ask = DecodePermitRequest(wrong);
-      cr_expect(!ask || ask->mCount <= 1000);
-      const auto reply = DecodePermitReply(wrong);
+      const auto request = DecodePermitRequest(corrupted);
+      cr_expect(!request || request->mCount <= 1000);
+      const auto reply = DecodePermitReply(corrupted);
       cr_expect(!reply || reply->mGranted <= 1000);
     }
   }
--- a/tests/platform/platformfleet.cpp
+++ b/tests/platform/platformfleet.cpp
@@ -91,14 +91,14 @@
                                      "127.0.0.1:0",
                                      "--platform",
                                      store };
-  const std::vector<std::string> bounds = {
+  const std::vector<std::string> limits = {
     "--revoke-ms",    std::to_string(mOptions.mRevokeMs),
     "--memory-mb",    std::to_string(mOptions.mMemoryMb),
     "--retry-slack",  std::to_string(mOptions.mRetrySlack),
     "--stop-seconds", std::to_string(mOptions.mStopSeconds)
   };
   if (!mOptions.mSettingsFromFile) {
-    flags.insert(flags.end(), bounds.begin(), bounds.end());
+    flags.insert(flags.end(), limits.begin(), limits.end());
   }
   if (mOptions.mPeers) {
     flags.insert(flags.end(), { "--peer-listen", "127.0.0.1:0" });
@@ -120,11 +120,11 @@
 PlatformFleet::AwaitPeers() const
 {
   for (size_t gate = 0; gate < mGates.size(); ++gate) {
-    const bool knows = Await([&] {
+    const bool knowsPeers = Await([&] {
       const auto lines = LogOf(gate, "peers");
       return !lines.empty() && lines.back().at("listed") == mGates.size() - 1;
     });
-    if (!knows) {
+    if (!knowsPeers) {
       return false;
     }
   }
@@ -273,13 +273,13 @@
 
 json
 PlatformFleet::EntryOf(const std::string& aAddress,
-                       int64_t aBorn,
+                       int64_t aStartTime,
                        uint64_t aSequence)
 {
-  return { { "service", "svc" }, { "address", aAddress },
-           { "zone", "here" },   { "slots", 8 },
-           { "state", "ready" }, { "coldRemainingMs", 0 },
-           { "born", aBorn },    { "sequence", aSequence } };
+  return { { "service", "svc" },   { "address", aAddress },
+           { "zone", "here" },     { "slots", 8 },
+           { "state", "ready" },   { "coldRemainingMs", 0 },
+           { "born", aStartTime }, { "sequence", aSequence } };
 }
 
 void
--- a/tests/platform/platformfleet.h
+++ b/tests/platform/platformfleet.h
@@ -11,7 +11,7 @@
 
 namespace platformtest {
 
-/** What a PlatformFleet starts with. */
+/** Options of a PlatformFleet. */
 struct FleetOptions
 {
   size_t mWorkers = 1;
@@ -19,15 +19,15 @@
   /** A revoked key is honoured no longer than this. */
   int mRevokeMs = 5000;
   int mStopSeconds = 8;
-  /** Retries of all gates together besides the share of requests. */
+  /** Retries of all gates together in addition to the share of requests. */
   double mRetrySlack = 50;
   double mMemoryMb = 512;
-  /** Whether a fault proxy stands before each worker, and before the store
-   * for each gate. */
+  /** Whether a fault proxy is used for each worker, and for the store of each
+   * gate. */
   bool mProxied = false;
-  /** Whether gates read spans and budgets from the settings file alone. */
+  /** Whether gates read timeouts and budgets from the settings file only. */
   bool mSettingsFromFile = false;
-  /** Whether gates tell each other what they send. */
+  /** Whether gates exchange updates. */
   bool mPeers = false;
 };
 
@@ -36,7 +36,7 @@
 {
   std::string mId = "1";
   std::string mMethod = "GET";
-  /** `/safe/`, `/once/`, `/stream/` and `/resume/` are routes. */
+  /** The routes are `/safe/`, `/once/`, `/stream/` and `/resume/`. */
   std::string mPath = "/safe/x";
   /** What the worker does; see the worker's plans. */
   std::string mPlan = "ok";
@@ -57,25 +57,24 @@
 
   /** Waits until every gate is ready. */
   void AwaitReady();
-  /** Waits until every gate knows of all others; false where that takes too
-   * long. */
+  /** Waits until every gate knows all others; returns false on timeout. */
   bool AwaitPeers() const;
 
   trefoilio::HttpReply Call(const GateCall& aCall, size_t aGate = 0) const;
-  /** The request as it goes over the wire, for raw callers. */
+  /** The request in HTTP format, for raw callers. */
   static std::string Text(const GateCall& aCall);
 
-  /** All runs of a worker, as it wrote them down. */
+  /** All runs that a worker has recorded. */
   nlohmann::json Runs(size_t aWorker) const;
-  /** The runs of that request at all workers. */
+  /** The runs of this request at all workers. */
   std::vector<nlohmann::json> RunsOf(const std::string& aId) const;
-  /** What the worker does with its next requests. */
+  /** Sets what the worker does with its next requests. */
   void SetPlan(size_t aWorker, const std::string& aPlan, int aTimes) const;
 
-  /** The rate limit that the worker's answers name; empty: none. */
+  /** Sets the rate limit in the worker's answers; empty for none. */
   void SetLimit(size_t aWorker, const std::string& aLimit) const;
 
-  /** Makes the policy of the fleet with another version or keys. */
+  /** Returns the fleet's policy with this version and these keys. */
   static nlohmann::json MakePolicy(uint64_t aVersion,
                                    const std::vector<std::string>& aKeys);
   void PutPolicy(const nlohmann::json& aPolicy) const;
@@ -83,20 +82,21 @@
   void ListAs(const std::string& aId,
               const std::string& aAddress,
               const std::string& aState = "ready") const;
-  /** Puts whatever that is into the store, past its rules. */
+  /** Puts any value into the store, bypassing its rules. */
   void PutRow(const std::string& aTable,
               const std::string& aKey,
               const nlohmann::json& aValue) const;
-  /** The entry of a worker that started at that Unix millisecond. */
+  /** The entry of a worker with this start time in Unix milliseconds. */
   static nlohmann::json EntryOf(const std::string& aAddress,
-                                int64_t aBorn,
+                                int64_t aStartTime,
                                 uint64_t aSequence = 1);
   void Unlist(const std::string& aId) const;
-  /** `{"fault":...}` and so on; returns the store's counts. */
+  /** Sends a control command such as `{"fault":...}`; returns the store's
+   * counters. */
   nlohmann::json Control(const nlohmann::json& aOrder) const;
 
   void StartGate();
-  /** Puts a fresh process in the gate's place. */
+  /** Replaces the gate's process by a new one. */
   void RestartGate(size_t aGate);
   /** Proxies of a proxied fleet. */
   integration::Proxy& StoreProxy(size_t aGate) { return *mStoreProxies[aGate]; }
@@ -113,9 +113,9 @@
   std::string OperatorAddress(size_t aGate) const;
   std::string WorkerAddress(size_t aWorker) const;
   int ReadyStatus(size_t aGate) const;
-  /** What a scraper gets from the gate. */
+  /** The gate's metrics in text form. */
   std::string Metrics(size_t aGate = 0) const;
-  /** The gate's log lines of that event, parsed. */
+  /** The gate's log lines of this event, parsed. */
   std::vector<nlohmann::json> LogOf(size_t aGate,
                                     const std::string& aEvent) const;
 
--- a/tests/platform/poisonrequesttest.cpp
+++ b/tests/platform/poisonrequesttest.cpp
@@ -18,25 +18,24 @@
 using integration::ChildProcess;
 
 /**
- * Callers saw drafts and answers fail for a third of a minute at a time: all
- * engines ended one after the other, came back, and ended again. The same few
- * requests came again and again, with the same path, caller and body, and each
- * ended the engine that ran it. The cause: nothing told that two requests were
- * the same, so every arrival at every entry began from nothing. The evidence:
- * each end broke all connections to an engine at the same moment, at all
- * entries, and its address refused from then on; ends went on at two or three a
- * second for as long as a wave lasted, and here, where the requests are known,
- * at the rate at which they come.
+ * Guards against requests that crash one engine after the other. A few
+ * identical requests came again and again, with the same path, caller and body,
+ * and each crashed the engine that ran it, so that all drafts and answers
+ * failed for a third of a minute at a time. Requests were not recognised as
+ * identical, so that no arrival at any entry learned from earlier ones. Each
+ * crash broke all connections to an engine at once, at all entries, and its
+ * address refused connections from then on; the crashes went on at two or three
+ * per second during such a wave, and at the rate of the requests in this test.
  */
 namespace {
 
 constexpr size_t kGates = 4;
 
-/** Upstreams that one request may end. */
-constexpr size_t kMostCrashes = 3;
+/** Maximum number of upstreams that one request may crash. */
+constexpr size_t kMaxCrashes = 3;
 
-/** Retries that may reach an upstream after the last of these. */
-constexpr size_t kMostRetries = 3;
+/** Retries that may still reach an upstream after the last of these crashes. */
+constexpr size_t kMaxRetries = 3;
 
 void
 Pause(int aSeconds)
@@ -59,9 +58,9 @@
                               "/v1/quarantine");
 }
 
-/** Whether every gate holds back so many requests. */
+/** Whether every gate has this many requests in quarantine. */
 bool
-AllHold(const PlatformFleet& aFleet, size_t aRequests)
+AllQuarantine(const PlatformFleet& aFleet, size_t aRequests)
 {
   for (size_t gate = 0; gate < kGates; ++gate) {
     if (QuarantineOf(aFleet, gate).at("quarantined").size() != aRequests) {
@@ -72,13 +71,13 @@
 }
 
 bool
-IsNowhereHeld(const PlatformFleet& aFleet)
+IsNowhereQuarantined(const PlatformFleet& aFleet)
 {
-  return AllHold(aFleet, 0);
+  return AllQuarantine(aFleet, 0);
 }
 
 bool
-TellsWhenToReturn(const trefoilio::HttpReply& aReply)
+HasRetryAfter(const trefoilio::HttpReply& aReply)
 {
   return std::any_of(
     aReply.mHeaders.begin(), aReply.mHeaders.end(), [](const auto& aHeader) {
@@ -88,9 +87,7 @@
 
 } // namespace
 
-Test(poisonrequests,
-     one_that_crashes_upstreams_is_soon_run_no_more,
-     .timeout = 90)
+Test(poisonrequests, a_crashing_request_is_soon_quarantined, .timeout = 90)
 {
   const PlatformFleet fleet(FourGates());
   cr_assert(fleet.AwaitPeers());
@@ -108,8 +105,8 @@
   Pause(6);
   load.Stop();
   for (const auto& [path, crashes] : CrashesByPath(upstreams)) {
-    cr_expect(crashes <= kMostCrashes + kMostRetries,
-              "%s ended %zu upstreams",
+    cr_expect(crashes <= kMaxCrashes + kMaxRetries,
+              "%s crashed %zu upstreams",
               path.c_str(),
               crashes);
   }
@@ -120,13 +117,13 @@
             others.size());
   const auto often = load.OutcomesOf("/safe/often", settled);
   cr_expect(CountServed(often) == often.size(),
-            "%zu of %zu alike served",
+            "%zu of %zu frequent ones served",
             CountServed(often),
             often.size());
 }
 
 Test(poisonrequests,
-     upstreams_that_come_back_under_their_ids_count_alike,
+     crashes_of_upstreams_that_keep_their_ids_count,
      .timeout = 90)
 {
   const PlatformFleet fleet(FourGates());
@@ -137,12 +134,12 @@
   Pause(12);
   load.Stop();
   const size_t crashes = CrashesByPath(upstreams)["/safe/poison"];
-  cr_expect(crashes >= kMostCrashes, "%zu", crashes);
-  cr_expect(crashes <= kMostCrashes + kMostRetries, "%zu", crashes);
+  cr_expect(crashes >= kMaxCrashes, "%zu", crashes);
+  cr_expect(crashes <= kMaxCrashes + kMaxRetries, "%zu", crashes);
 }
 
-/** Racks fall, and a request that many ask alike is at each that does. */
-Test(poisonrequests, a_request_beside_falling_racks_is_served_on, .timeout = 90)
+/** Racks lose power, and a frequent request runs at each of them. */
+Test(poisonrequests, a_request_is_served_while_racks_lose_power, .timeout = 90)
 {
   const PlatformFleet fleet(FourGates());
   cr_assert(fleet.AwaitPeers());
@@ -167,9 +164,8 @@
   }
 }
 
-/** A gate that starts when the others know already learns it from them. */
 Test(poisonrequests,
-     one_that_crashes_upstreams_in_an_answer_without_a_length_is_run_no_more,
+     a_crash_during_an_answer_without_a_length_counts,
      .timeout = 90)
 {
   const PlatformFleet fleet(FourGates());
@@ -181,11 +177,12 @@
   Pause(14);
   load.Stop();
   const size_t crashes = CrashesByPath(upstreams)["/safe/poison"];
-  cr_expect(crashes >= kMostCrashes, "%zu", crashes);
-  cr_expect(crashes <= kMostCrashes + kMostRetries, "%zu", crashes);
+  cr_expect(crashes >= kMaxCrashes, "%zu", crashes);
+  cr_expect(crashes <= kMaxCrashes + kMaxRetries, "%zu", crashes);
 }
 
-Test(poisonrequests, a_gate_that_starts_later_runs_it_no_more, .timeout = 90)
+/** A gate that starts later learns the quarantine from the others. */
+Test(poisonrequests, a_restarted_gate_does_not_run_it, .timeout = 90)
 {
   PlatformFleet fleet(FourGates());
   cr_assert(fleet.AwaitPeers());
@@ -204,36 +201,36 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
   const size_t after = CrashesByPath(upstreams)["/safe/poison"];
-  cr_expect(after <= kMostCrashes + kMostRetries, "%zu", after);
+  cr_expect(after <= kMaxCrashes + kMaxRetries, "%zu", after);
   cr_expect(after == before, "%zu more", after - before);
 }
 
-/** Operators see what is held back and let it go, at all gates. */
-Test(poisonrequests, an_operator_lets_one_go, .timeout = 90)
+/** Operators see the quarantined requests and release them, at all gates. */
+Test(poisonrequests, an_operator_releases_a_request, .timeout = 90)
 {
   const PlatformFleet fleet(FourGates());
   cr_assert(fleet.AwaitPeers());
   CrashingUpstreams upstreams(fleet, { .mUpstreams = 10, .mSeed = 23 });
   GateCall call = PoisonAt("/safe/poison", 1).mCall;
-  for (int each = 0; each < 30 && IsNowhereHeld(fleet); ++each) {
+  for (int each = 0; each < 30 && IsNowhereQuarantined(fleet); ++each) {
     fleet.Call(call, each % kGates);
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
   }
-  cr_assert(Await([&] { return AllHold(fleet, 1); }));
-  const auto held = QuarantineOf(fleet, 1).at("quarantined").at(0);
-  const std::string fingerprint = held.at("fingerprint");
+  cr_assert(Await([&] { return AllQuarantine(fleet, 1); }));
+  const auto quarantined = QuarantineOf(fleet, 1).at("quarantined").at(0);
+  const std::string fingerprint = quarantined.at("fingerprint");
   cr_expect(fleet.Metrics(1).find("trefoilarch_gate_quarantined_requests 1") !=
             std::string::npos);
   const auto refused = fleet.Call(call, 1);
   cr_expect(refused.mStatus == 503);
-  cr_expect(TellsWhenToReturn(refused));
-  const auto told =
+  cr_expect(HasRetryAfter(refused));
+  const auto released =
     integration::PostJson("http://" + fleet.OperatorAddress(1) +
                             "/v1/quarantine/release/" + fingerprint,
                           {});
-  cr_expect(told["status"] == 200);
-  cr_expect(Await([&] { return AllHold(fleet, 0); }));
-  // It is another request's turn now: what crashed is mended.
+  cr_expect(released["status"] == 200);
+  cr_expect(Await([&] { return AllQuarantine(fleet, 0); }));
+  // Run with a plan that succeeds, as if the fault had been fixed.
   call.mPlan = "ok";
   for (size_t gate = 0; gate < kGates; ++gate) {
     cr_expect(fleet.Call(call, gate).mStatus == 200);
--- a/tests/platform/ratelimittest.cpp
+++ b/tests/platform/ratelimittest.cpp
@@ -19,11 +19,11 @@
 namespace {
 
 constexpr int64_t kWindowMs = 4000;
-/** Entries know the limit, and share it, so long after it was first named. */
+/** Time after the first mention of a limit until entries know and share it. */
 constexpr int64_t kSettleMs = 3000;
 constexpr int64_t kLoadMs = 11000;
 
-/** Callers that ask gates without a pause of more than a few milliseconds. */
+/** Callers that send requests with a pause of kPauseMs in between. */
 class Load
 {
 public:
@@ -74,30 +74,30 @@
   return arrivals;
 }
 
-/** The most arrivals in some window, once the limit is settled. */
+/** The maximum number of arrivals in any window after the limit has settled. */
 int64_t
-MostInWindow(const std::vector<int64_t>& aArrivals)
+MaxInWindow(const std::vector<int64_t>& aArrivals)
 {
-  int64_t most = 0;
+  int64_t maxInWindow = 0;
   for (const int64_t begin : aArrivals) {
     if (begin >= aArrivals.front() + kSettleMs) {
       const auto count =
         std::count_if(aArrivals.begin(), aArrivals.end(), [begin](int64_t aAt) {
           return aAt >= begin && aAt < begin + kWindowMs;
         });
-      most = std::max<int64_t>(most, count);
+      maxInWindow = std::max<int64_t>(maxInWindow, count);
     }
   }
-  return most;
+  return maxInWindow;
 }
 
-/** Half more than the limit, and five. */
+/** 1.5 times the limit, plus five. */
 int64_t
 Allowed(double aLimit)
 {
-  constexpr double kOver = 1.5;
+  constexpr double kTolerance = 1.5;
   constexpr double kWindowSeconds = 4;
-  return static_cast<int64_t>(kOver * kWindowSeconds * aLimit) + 5;
+  return static_cast<int64_t>(kTolerance * kWindowSeconds * aLimit) + 5;
 }
 
 int64_t
@@ -108,7 +108,7 @@
   });
 }
 
-struct Limited
+struct LimitedUpstream
 {
   size_t mWorker = 0;
   std::string mText;
@@ -116,17 +116,18 @@
 };
 
 void
-CheckLimits(const PlatformFleet& aFleet, const std::vector<Limited>& aLimited)
+CheckLimits(const PlatformFleet& aFleet,
+            const std::vector<LimitedUpstream>& aLimited)
 {
   constexpr double kSettledSeconds = (kLoadMs - kSettleMs) / 1000.0;
-  for (const Limited& each : aLimited) {
+  for (const LimitedUpstream& each : aLimited) {
     const auto arrivals = ArrivalsAt(aFleet, each.mWorker);
     cr_assert(!arrivals.empty());
-    const int64_t most = MostInWindow(arrivals);
-    cr_expect(most <= Allowed(each.mPerSecond),
+    const int64_t maxInWindow = MaxInWindow(arrivals);
+    cr_expect(maxInWindow <= Allowed(each.mPerSecond),
               "%s a second: %d in 4 s",
               each.mText.c_str(),
-              static_cast<int>(most));
+              static_cast<int>(maxInWindow));
     const auto used = static_cast<double>(SettledArrivals(arrivals));
     cr_expect(used >= each.mPerSecond * kSettledSeconds / 2 - 1,
               "%s a second: %d in 8 s",
@@ -141,12 +142,12 @@
      gates_together_send_no_more_than_an_upstream_names,
      .timeout = 60)
 {
-  const std::vector<Limited> limited = { { 0, "0.7", 0.7 },
-                                         { 1, "1.6", 1.6 },
-                                         { 2, "3", 3 } };
+  const std::vector<LimitedUpstream> limited = { { 0, "0.7", 0.7 },
+                                                 { 1, "1.6", 1.6 },
+                                                 { 2, "3", 3 } };
   const PlatformFleet fleet({ .mWorkers = 8, .mGates = 4, .mPeers = true });
   cr_assert(fleet.AwaitPeers());
-  for (const Limited& each : limited) {
+  for (const LimitedUpstream& each : limited) {
     fleet.SetLimit(each.mWorker, each.mText);
   }
   {
@@ -155,14 +156,13 @@
   CheckLimits(fleet, limited);
 }
 
-Test(ratelimit,
-     one_gate_that_has_all_the_load_uses_the_whole_limit,
-     .timeout = 60)
+Test(ratelimit, one_gate_with_all_the_load_uses_the_full_limit, .timeout = 60)
 {
-  const std::vector<Limited> limited = { { 0, "1.6", 1.6 }, { 1, "8", 8 } };
+  const std::vector<LimitedUpstream> limited = { { 0, "1.6", 1.6 },
+                                                 { 1, "8", 8 } };
   const PlatformFleet fleet({ .mWorkers = 4, .mGates = 4, .mPeers = true });
   cr_assert(fleet.AwaitPeers());
-  for (const Limited& each : limited) {
+  for (const LimitedUpstream& each : limited) {
     fleet.SetLimit(each.mWorker, each.mText);
   }
   {
@@ -171,7 +171,7 @@
   CheckLimits(fleet, limited);
 }
 
-Test(ratelimit, a_limit_that_ends_binds_no_gate_any_more, .timeout = 60)
+Test(ratelimit, an_ended_limit_binds_no_gate, .timeout = 60)
 {
   const PlatformFleet fleet({ .mWorkers = 2, .mGates = 2, .mPeers = true });
   cr_assert(fleet.AwaitPeers());
@@ -199,7 +199,7 @@
   cr_expect(fleet.Runs(0).size() >= before + 10);
 }
 
-Test(ratelimit, what_is_no_number_limits_nothing_and_is_logged, .timeout = 60)
+Test(ratelimit, an_invalid_limit_is_ignored_and_logged, .timeout = 60)
 {
   const PlatformFleet fleet;
   fleet.SetLimit(0, "soon");
@@ -210,21 +210,19 @@
   cr_expect(fleet.LogOf(0, "upstream_limited").empty());
 }
 
-Test(ratelimit,
-     what_finds_no_room_is_told_at_once_when_to_come_back,
-     .timeout = 60)
+Test(ratelimit, excess_requests_get_retry_after_at_once, .timeout = 60)
 {
   const PlatformFleet fleet;
   fleet.SetLimit(0, "1");
   int refused = 0;
   for (int each = 0; each < 30; ++each) {
-    const Millis asked = MonotonicNow();
+    const Millis sentAt = MonotonicNow();
     const auto reply = fleet.Call({});
     if (reply.mStatus != 200) {
       refused++;
       cr_expect(reply.mStatus == 503 || reply.mStatus == 429);
       cr_expect(!trefoilio::FindHeader(reply.mHeaders, "Retry-After").empty());
-      cr_expect(MonotonicNow() - asked < Millis(400));
+      cr_expect(MonotonicNow() - sentAt < Millis(400));
     }
   }
   cr_expect(refused >= 20, "%d", refused);
@@ -239,9 +237,7 @@
             status.c_str());
 }
 
-Test(ratelimit,
-     an_upstream_that_takes_none_is_asked_now_and_then,
-     .timeout = 60)
+Test(ratelimit, an_upstream_with_limit_zero_is_probed, .timeout = 60)
 {
   const PlatformFleet fleet({ .mWorkers = 2 });
   fleet.SetLimit(0, "0");
@@ -249,6 +245,7 @@
     const Load load(fleet, 1, 4);
   }
   const auto arrivals = ArrivalsAt(fleet, 0);
-  cr_expect(MostInWindow(arrivals) <= Allowed(0));
-  cr_expect(SettledArrivals(arrivals) >= 1, "its end would never be learnt");
+  cr_expect(MaxInWindow(arrivals) <= Allowed(0));
+  cr_expect(SettledArrivals(arrivals) >= 1,
+            "the end of the limit would not be noticed");
 }
--- a/tests/platform/reloadtest.cpp
+++ b/tests/platform/reloadtest.cpp
@@ -17,11 +17,11 @@
 /** Settings that change while a gate runs. */
 namespace {
 
-/** A settings file that gates of this test read. */
-class SettingsOnFile
+/** The settings file of the gates in this test. */
+class SettingsFileFixture
 {
 public:
-  SettingsOnFile()
+  SettingsFileFixture()
   {
     setenv("TREFOILARCH_BOOT", Path().c_str(), 1);
     Write(5000, "0.2");
@@ -41,9 +41,9 @@
   TemporaryFolder mFolder;
 };
 
-/** The status of a keyed request once the store has been away for 3 s. */
+/** The status of a request with a key after the store has been down for 3 s. */
 int
-StatusAfterAnOutage(const PlatformFleet& aFleet)
+StatusAfterOutage(const PlatformFleet& aFleet)
 {
   aFleet.Control({ { "fault", "down" } });
   const bool refused =
@@ -53,9 +53,11 @@
 
 } // namespace
 
-Test(reload, a_hangup_puts_changed_bounds_in_force_and_serves_on, .timeout = 30)
+Test(reload,
+     a_hangup_applies_changed_limits_without_interruption,
+     .timeout = 30)
 {
-  const SettingsOnFile settings;
+  const SettingsFileFixture settings;
   PlatformFleet fleet({ .mSettingsFromFile = true });
   settings.Write(2500, "0.1");
   fleet.Gate(0).Signal(SIGHUP);
@@ -64,12 +66,13 @@
   cr_expect(line.at("changed") == json::array({ "revoke-ms", "retry-share" }));
   cr_expect(line.at("needs_restart") == json::array({ "most-descriptors" }));
   cr_expect(fleet.Call({}).mStatus == 200);
-  cr_expect(StatusAfterAnOutage(fleet) == 503, "keys by the new span");
+  cr_expect(StatusAfterOutage(fleet) == 503,
+            "keys are checked by the new limit");
 }
 
-Test(reload, settings_with_a_fault_leave_the_old_in_force, .timeout = 30)
+Test(reload, invalid_settings_leave_the_old_in_force, .timeout = 30)
 {
-  const SettingsOnFile settings;
+  const SettingsFileFixture settings;
   PlatformFleet fleet({ .mSettingsFromFile = true });
   settings.Write(2500, "three");
   fleet.Gate(0).Signal(SIGHUP);
@@ -81,12 +84,13 @@
   cr_expect(fleet.Metrics().find(
               "trefoilarch_gate_reloads_total{result=\"refused\"} 1\n") !=
             std::string::npos);
-  cr_expect(StatusAfterAnOutage(fleet) == 200, "keys by the old span");
+  cr_expect(StatusAfterOutage(fleet) == 200,
+            "keys are checked by the old limit");
 }
 
 Test(reload, a_file_that_changes_without_a_signal_is_noticed, .timeout = 30)
 {
-  const SettingsOnFile settings;
+  const SettingsFileFixture settings;
   PlatformFleet fleet({ .mSettingsFromFile = true });
   settings.Write(2500, "0.2");
   cr_expect(
--- a/tests/platform/repeatload.cpp
+++ b/tests/platform/repeatload.cpp
@@ -9,11 +9,11 @@
 namespace platformtest {
 
 Repeater
-PoisonAt(const std::string& aPath, double aPerSecond, int aFuseMs)
+PoisonAt(const std::string& aPath, double aPerSecond, int aCrashDelayMs)
 {
   return { .mCall = { .mMethod = "POST",
                       .mPath = aPath,
-                      .mPlan = "crash,delay=" + std::to_string(aFuseMs),
+                      .mPlan = "crash,delay=" + std::to_string(aCrashDelayMs),
                       .mBody = "poison" },
            .mPerSecond = aPerSecond };
 }
@@ -97,7 +97,7 @@
     GateCall call = aNext(number);
     call.mId = std::to_string(aSeed) + "-" + std::to_string(number);
     size_t at = gate(random);
-    if (at == mLeftOut) {
+    if (at == mExcludedGate) {
       at = (at + 1) % mGates;
     }
     const std::lock_guard lock(mMutex);
--- a/tests/platform/repeatload.h
+++ b/tests/platform/repeatload.h
@@ -14,14 +14,14 @@
 
 namespace platformtest {
 
-/** A caller that sends the same request again and again. */
+/** A caller that repeats the same request. */
 struct Repeater
 {
   GateCall mCall;
   double mPerSecond = 1;
 };
 
-/** What became of one call. */
+/** The result of one call. */
 struct CallOutcome
 {
   std::string mPath;
@@ -29,16 +29,17 @@
   int64_t mSentMs = 0;
 };
 
-/** One that crashes who runs it, that many milliseconds after its start. */
+/** A request that crashes its upstream this many milliseconds after its
+ * start. */
 Repeater
-PoisonAt(const std::string& aPath, double aPerSecond, int aFuseMs = 60);
+PoisonAt(const std::string& aPath, double aPerSecond, int aCrashDelayMs = 60);
 
-/** One that many callers send alike. */
+/** A harmless request that many callers send. */
 Repeater
 HarmlessAt(double aPerSecond);
 
-/** Sends the repeaters' requests to gates drawn by chance, and others of
- * which each is asked once, until it is told to stop. */
+/** Sends the repeaters' requests to randomly chosen gates, along with other
+ * requests that are sent once each, until stopped. */
 class RepeatLoad
 {
 public:
@@ -52,8 +53,8 @@
   RepeatLoad& operator=(const RepeatLoad&) = delete;
 
   void Stop();
-  /** A gate that is not called for now. */
-  void ExcludeGate(size_t aGate) { mLeftOut = aGate; }
+  /** Sends nothing to this gate until further notice. */
+  void ExcludeGate(size_t aGate) { mExcludedGate = aGate; }
   std::vector<CallOutcome> OutcomesOf(const std::string& aPath,
                                       int64_t aSince = 0) const;
 
@@ -65,7 +66,7 @@
 
   const PlatformFleet& mFleet;
   size_t mGates;
-  std::atomic<size_t> mLeftOut = SIZE_MAX;
+  std::atomic<size_t> mExcludedGate = SIZE_MAX;
   mutable std::mutex mMutex;
   std::vector<CallOutcome> mOutcomes;
   std::vector<std::thread> mThreads;
@@ -76,7 +77,7 @@
 size_t
 CountServed(const std::vector<CallOutcome>& aOutcomes);
 
-/** Crashes by each request, by its path. */
+/** Number of crashes caused by each request, by path. */
 std::map<std::string, size_t>
 CrashesByPath(const CrashingUpstreams& aUpstreams);
 
--- a/tests/platform/requestlifecycletest.cpp
+++ b/tests/platform/requestlifecycletest.cpp
@@ -29,7 +29,7 @@
 }
 
 std::string
-HowItEnded(const PlatformFleet& aFleet, const std::string& aId)
+RunState(const PlatformFleet& aFleet, const std::string& aId)
 {
   const auto runs = aFleet.RunsOf(aId);
   return runs.empty() ? "" : runs.at(0).at("how").get<std::string>();
@@ -37,24 +37,24 @@
 
 } // namespace
 
-Test(life, work_ends_soon_after_the_caller_has_left)
+Test(requestlifecycle, a_run_ends_soon_after_the_caller_disconnects)
 {
   const PlatformFleet fleet;
   for (const char* plan : { "hang", "stream,count=500,gap=20" }) {
     auto caller = std::make_unique<RawCaller>(fleet.GateAddress(0));
     caller->Send(PlatformFleet::Text(
       { .mId = plan, .mMethod = "POST", .mPath = "/stream/x", .mPlan = plan }));
-    cr_assert(Await([&] { return HowItEnded(fleet, plan) == "running"; }));
+    cr_assert(Await([&] { return RunState(fleet, plan) == "running"; }));
     Pause(100);
     caller.reset();
     cr_expect(
-      Await([&] { return HowItEnded(fleet, plan) == "left"; }, Millis(500)),
+      Await([&] { return RunState(fleet, plan) == "left"; }, Millis(500)),
       "%s",
       plan);
   }
 }
 
-Test(life, the_time_limit_ends_the_wait_and_the_work)
+Test(requestlifecycle, the_deadline_ends_the_wait_and_the_run)
 {
   const PlatformFleet fleet;
   const Millis start = MonotonicNow();
@@ -65,11 +65,10 @@
   const Millis took = MonotonicNow() - start;
   cr_expect(reply.mStatus == 504, "%d", reply.mStatus);
   cr_expect(took >= Millis(600) && took < Millis(1100));
-  cr_expect(
-    Await([&] { return HowItEnded(fleet, "1") == "left"; }, Millis(500)));
+  cr_expect(Await([&] { return RunState(fleet, "1") == "left"; }, Millis(500)));
 }
 
-Test(life, an_upstream_is_handed_what_is_left_of_the_time)
+Test(requestlifecycle, an_upstream_gets_the_remaining_time)
 {
   const PlatformFleet fleet({ .mWorkers = 2 });
   fleet.SetPlan(0, "cut_head,delay=800", 1);
@@ -77,16 +76,16 @@
   fleet.Call({ .mId = "d", .mDeadlineMs = 2000 });
   const auto runs = fleet.RunsOf("d");
   cr_assert(runs.size() == 2);
-  int least = 2000;
+  int minDeadline = 2000;
   for (const auto& run : runs) {
-    least = std::min(
-      least,
+    minDeadline = std::min(
+      minDeadline,
       std::stoi(run.at("headers").at("X-Deadline-Ms").get<std::string>()));
   }
-  cr_expect(least <= 1250 && least > 800, "%d", least);
+  cr_expect(minDeadline <= 1250 && minDeadline > 800, "%d", minDeadline);
 }
 
-Test(life, an_upstream_that_is_gone_costs_one_attempt)
+Test(requestlifecycle, a_killed_upstream_costs_one_attempt)
 {
   PlatformFleet fleet({ .mWorkers = 2 });
   fleet.Worker(0).Kill();
@@ -98,7 +97,7 @@
   }
 }
 
-Test(life, a_planned_stop_cuts_off_nothing)
+Test(requestlifecycle, a_planned_stop_aborts_no_request)
 {
   PlatformFleet fleet({ .mGates = 2 });
   std::vector<std::unique_ptr<RawCaller>> callers;
@@ -126,7 +125,7 @@
   cr_expect(fleet.LogOf(0, "stopped").at(0).at("cut") == 0);
 }
 
-Test(life, late_in_a_stop_requests_are_sent_elsewhere_unread_by_upstreams)
+Test(requestlifecycle, late_in_a_stop_requests_are_refused_without_running)
 {
   PlatformFleet fleet;
   fleet.Gate(0).Signal(SIGTERM);
@@ -144,7 +143,7 @@
   cr_expect(fleet.RunsOf("after").empty());
 }
 
-Test(life, a_slow_reader_holds_the_upstream_back_and_not_the_gate)
+Test(requestlifecycle, a_slow_caller_slows_the_upstream_but_not_the_gate)
 {
   const PlatformFleet fleet;
   const RawCaller slow(fleet.GateAddress(0));
@@ -159,7 +158,7 @@
   cr_expect(dump.find("\"open\":1") != std::string::npos);
 }
 
-Test(life, a_log_line_tells_of_each_request)
+Test(requestlifecycle, each_request_is_logged)
 {
   const PlatformFleet fleet;
   fleet.Call({ .mId = "served-one" });
@@ -178,7 +177,7 @@
   cr_expect(attempts.at(0).at("upstream") == "i-0");
 }
 
-Test(life, bodies_that_would_fill_the_memory_are_refused_as_not_run)
+Test(requestlifecycle, bodies_beyond_the_memory_limit_are_refused_as_not_run)
 {
   // A third of 32 MB may hold bodies.
   const PlatformFleet fleet({ .mMemoryMb = 32 });
--- a/tests/platform/storeupdatestest.cpp
+++ b/tests/platform/storeupdatestest.cpp
@@ -29,16 +29,16 @@
   return aFleet.Call({ .mKey = aKey }).mStatus;
 }
 
-/** Calls that the store has had, the test's own orders aside. */
+/** Number of calls the store has received, without the test's control calls. */
 int
-CallsOf(const PlatformFleet& aFleet)
+StoreCalls(const PlatformFleet& aFleet)
 {
   return aFleet.Control(nlohmann::json::object()).at("calls").get<int>();
 }
 
 } // namespace
 
-Test(beliefs, a_policy_is_in_force_soon_and_never_goes_back)
+Test(storeupdates, a_policy_takes_effect_soon_and_no_older_one_replaces_it)
 {
   const PlatformFleet fleet;
   cr_expect(StatusFor(fleet, "key-3") == 401);
@@ -52,7 +52,7 @@
   cr_expect(StatusFor(fleet, "key-2") == 401);
 }
 
-Test(beliefs, a_key_is_honoured_no_longer_than_its_revocation_may_take)
+Test(storeupdates, a_key_is_honoured_no_longer_than_its_revocation_may_take)
 {
   constexpr int kRevokeMs = 3000;
   const PlatformFleet fleet({ .mRevokeMs = kRevokeMs });
@@ -68,7 +68,7 @@
   }
 }
 
-Test(beliefs, a_key_is_not_honoured_after_the_process_stood_still)
+Test(storeupdates, a_key_is_not_honoured_after_a_suspension_of_the_process)
 {
   constexpr int kRevokeMs = 3000;
   PlatformFleet fleet({ .mRevokeMs = kRevokeMs });
@@ -85,7 +85,7 @@
   cr_expect(fleet.Runs(0).size() == 1);
 }
 
-Test(beliefs, dropped_history_is_read_as_a_whole)
+Test(storeupdates, a_dropped_history_causes_a_full_read)
 {
   const PlatformFleet fleet;
   fleet.Control({ { "fault", "down" } });
@@ -96,7 +96,7 @@
     Await([&] { return StatusFor(fleet, "key-4") == 200; }, Millis(3000)));
 }
 
-Test(beliefs, a_leaving_upstream_gets_no_new_work)
+Test(storeupdates, a_leaving_upstream_gets_no_new_work)
 {
   const PlatformFleet fleet({ .mWorkers = 2 });
   fleet.List(0, "draining");
@@ -112,17 +112,15 @@
 }
 
 /**
- * Callers' requests were served by an upstream that had said it leaves, for
- * seconds. In order: upstreams came and went, each entry read the changes and
- * asked for the next ones; the store had just fallen silent and never answered
- * that question, though it served new ones a second later; an upstream left.
- * The cause: the age of an entry's copy had no bound of its own, and a question
- * that may be held back for ten seconds was taken for a promise that nothing
- * had changed. The evidence: all entries told of the loss of the store 10.8 s
- * after the last changes they had read, at the same moment, and had read no
- * row of the upstream in between.
+ * Guards against requests to a leaving upstream. The store became silent right
+ * after several changes and never answered the long poll for the next ones,
+ * though it served new queries a second later. The age of an entry's copy had
+ * no bound of its own, and a query that may be held for ten seconds counted as
+ * a promise that nothing had changed. All entries reported the loss of the
+ * store 10.8 s after the last changes they had read, and had missed the
+ * upstream's row.
  */
-Test(beliefs, a_question_that_is_never_answered_hides_no_leaving_upstream)
+Test(storeupdates, an_unanswered_long_poll_hides_no_leaving_upstream)
 {
   constexpr int kDrainMs = 2000;
   const PlatformFleet fleet({ .mWorkers = 2 });
@@ -142,7 +140,8 @@
   cr_expect(fleet.Runs(0).size() == before);
 }
 
-Test(beliefs, entries_that_lapse_with_the_store_are_kept_until_it_is_back)
+Test(storeupdates,
+     upstreams_that_lapse_in_a_store_outage_are_kept_until_it_ends)
 {
   const PlatformFleet fleet;
   fleet.Control({ { "fault", "down" } });
@@ -159,7 +158,7 @@
   cr_expect(StatusFor(fleet, "key-1") == 503);
 }
 
-Test(beliefs, an_entry_still_missing_after_the_outage_is_gone)
+Test(storeupdates, an_upstream_still_missing_after_the_outage_is_dropped)
 {
   const PlatformFleet fleet;
   fleet.Control({ { "fault", "reset" } });
@@ -171,7 +170,7 @@
   cr_expect(fleet.Runs(0).empty());
 }
 
-Test(beliefs, a_gate_is_not_ready_before_it_has_policy_and_list)
+Test(storeupdates, a_gate_is_not_ready_before_it_has_policy_and_list)
 {
   PlatformFleet fleet;
   fleet.Control({ { "fault", "down" } });
@@ -184,34 +183,35 @@
   cr_expect(Await([&] { return fleet.ReadyStatus(1) == 200; }));
 }
 
-/** A gate that hears no other asks for a proof once in half a second to a
- * second, which serves all tables while nothing changes, and for changes once
- * in 25 s. */
-Test(beliefs, the_store_is_asked_no_more_than_planned)
+/** A gate without peers sends a verification query every half to whole second,
+ * which covers all tables while nothing changes, and a long poll every 25 s. */
+Test(storeupdates, the_store_gets_no_more_calls_than_planned)
 {
   const PlatformFleet fleet;
-  const int before = CallsOf(fleet);
+  const int before = StoreCalls(fleet);
   Pause(6000);
-  const int made = CallsOf(fleet) - before;
+  const int made = StoreCalls(fleet) - before;
   cr_expect(made >= 5 && made <= 13 + 2, "%d calls", made);
 }
 
-/** One gate's proof serves the others: three of them ask little more than one
- * alone. */
-Test(beliefs, gates_that_hear_each_other_share_their_proofs)
+/** Gates share the responses to verification queries: three gates send few more
+ * queries than one. */
+Test(storeupdates, gates_share_verification_responses)
 {
   const PlatformFleet fleet({ .mGates = 3, .mPeers = true });
   cr_assert(fleet.AwaitPeers());
   Pause(1500);
-  const int before = CallsOf(fleet);
+  const int before = StoreCalls(fleet);
   Pause(6000);
-  const int made = CallsOf(fleet) - before;
+  const int made = StoreCalls(fleet) - before;
   cr_expect(made >= 5 && made <= 2 * 13, "%d calls", made);
 }
 
-/** Half of six gates ask the store for changes; the others are told, and are
- * bound all the same. */
-Test(beliefs, gates_that_are_told_of_a_leaving_upstream_obey, .timeout = 60)
+/** Half of six gates query the store for changes; the others receive updates
+ * from them and must comply as well. */
+Test(storeupdates,
+     gates_act_on_a_peers_update_of_a_leaving_upstream,
+     .timeout = 60)
 {
   constexpr size_t kGates = 6;
   const PlatformFleet fleet(
@@ -219,10 +219,10 @@
   cr_assert(fleet.AwaitPeers());
   fleet.ListAs("i-2", fleet.WorkerAddress(1));
   Pause(1500);
-  const int before = CallsOf(fleet);
+  const int before = StoreCalls(fleet);
   fleet.List(0, "draining");
   Pause(1000);
-  cr_expect(CallsOf(fleet) - before < 20, "%d", CallsOf(fleet) - before);
+  cr_expect(StoreCalls(fleet) - before < 20, "%d", StoreCalls(fleet) - before);
   Pause(1000);
   const size_t runs = fleet.Runs(0).size();
   for (size_t each = 0; each < 20 * kGates; ++each) {
@@ -231,13 +231,13 @@
   cr_expect(fleet.Runs(0).size() == runs);
 }
 
-/** Measured: 5 calls; 17 while lists were gathered for 200 ms and policies not
- * at all. */
-Test(beliefs, changes_in_numbers_cost_few_calls)
+/** Measured: 5 calls; 17 when list changes were gathered for 200 ms and
+ * policies not at all. */
+Test(storeupdates, many_changes_cost_few_calls)
 {
   const PlatformFleet fleet;
   Pause(700);
-  const int before = CallsOf(fleet);
+  const int before = StoreCalls(fleet);
   constexpr int kChanges = 30;
   for (int each = 0; each < kChanges; ++each) {
     fleet.ListAs("n-" + std::to_string(each), fleet.WorkerAddress(0));
@@ -246,7 +246,7 @@
     }
     Pause(50);
   }
-  const int made = CallsOf(fleet) - before;
+  const int made = StoreCalls(fleet) - before;
   cr_expect(made < 10, "%d calls", made);
   cr_expect(
     Await([&] { return StatusFor(fleet, "key-1") == 401; }, Millis(1000)));
