--- a/src/libtrefoilarch/crashupdate.h
+++ b/src/libtrefoilarch/crashupdate.h
@@ -49,19 +49,18 @@
   /** Requests that got a complete response or were released by an operator. */
   std::vector<AgedRequest> mCleared;
   /** Suspects that were just sent to an upstream. */
-  std::vector<RequestFingerprint> mKeepaliveProbes;
+  std::vector<RequestFingerprint> mProbes;
   std::vector<QuarantineReport> mQuarantined;
 
   bool IsEmpty() const
   {
-    return mReports.empty() && mCleared.empty() && mKeepaliveProbes.empty() &&
+    return mReports.empty() && mCleared.empty() && mProbes.empty() &&
            mQuarantined.empty();
   }
   /** Number of requests in the update, as a measure of the message size. */
   size_t Size() const
   {
-    size_t size =
-      mCleared.size() + mKeepaliveProbes.size() + mQuarantined.size();
+    size_t size = mCleared.size() + mProbes.size() + mQuarantined.size();
     for (const CrashReport& each : mReports) {
       size += 2 + each.mSuspects.size();
     }
--- a/src/libtrefoilarch/crashupdateparts.cpp
+++ b/src/libtrefoilarch/crashupdateparts.cpp
@@ -16,8 +16,8 @@
 
 CrashUpdateParts::CrashUpdateParts(CrashUpdate aUpdate)
 {
-  for (const RequestFingerprint& each : aUpdate.mKeepaliveProbes) {
-    PartFor(1).mKeepaliveProbes.push_back(each);
+  for (const RequestFingerprint& each : aUpdate.mProbes) {
+    PartFor(1).mProbes.push_back(each);
   }
   for (const AgedRequest& each : aUpdate.mCleared) {
     PartFor(1).mCleared.push_back(each);
--- a/src/libtrefoilarch/quarantine.cpp
+++ b/src/libtrefoilarch/quarantine.cpp
@@ -70,8 +70,8 @@
       aNow - attempts->second.mLastSent < mOptions.mProbeTimeout) {
     return true;
   }
-  const auto probe = mKeepaliveProbes.find(aRequest);
-  return probe != mKeepaliveProbes.end() &&
+  const auto probe = mProbes.find(aRequest);
+  return probe != mProbes.end() &&
          aNow - probe->second < mOptions.mProbeTimeout;
 }
 
@@ -85,7 +85,7 @@
   attempts.mCount++;
   attempts.mLastSent = aNow;
   if (IsWorthReporting(aRequest)) {
-    mPendingUpdate.mKeepaliveProbes.push_back(aRequest);
+    mPendingUpdate.mProbes.push_back(aRequest);
   }
 }
 
@@ -190,9 +190,9 @@
   }
   for (const RequestFingerprint& each : aReport.mSuspects) {
     // The crash ends the probe, unless it was another repeat that crashed.
-    mKeepaliveProbes.erase(each);
+    mProbes.erase(each);
     if (mOpenAttempts.contains(each) && IsWorthReporting(each)) {
-      mPendingUpdate.mKeepaliveProbes.push_back(each);
+      mPendingUpdate.mProbes.push_back(each);
     }
     const auto held = mHeld.find(each);
     if (held != mHeld.end()) {
@@ -211,7 +211,7 @@
 {
   mEvidence.Clear(aRequest, aAt);
   mSettling.erase(aRequest);
-  mKeepaliveProbes.erase(aRequest);
+  mProbes.erase(aRequest);
   if (mHeld.erase(aRequest) > 0) {
     mCleared[aRequest] = aAt;
     mChanges.push_back({ .mRequest = aRequest, .mReason = aReason });
@@ -258,7 +258,7 @@
     AddToQuarantine(held, "crashes");
     mPendingUpdate.mQuarantined.push_back(ReportOf(held, aNow));
   }
-  std::erase_if(mKeepaliveProbes, [&](const auto& aEntry) {
+  std::erase_if(mProbes, [&](const auto& aEntry) {
     return aNow - aEntry.second > mOptions.mProbeTimeout;
   });
   std::erase_if(mClearedReportedAt, [&](const auto& aEntry) {
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -191,7 +191,7 @@
   /** Attempts of this entry in progress. */
   std::unordered_map<RequestFingerprint, OpenAttempts> mOpenAttempts;
   /** When another entry last sent each suspect. */
-  std::unordered_map<RequestFingerprint, Millis> mKeepaliveProbes;
+  std::unordered_map<RequestFingerprint, Millis> mProbes;
   /** Culprits, and when their last crash was reported. */
   std::map<RequestFingerprint, Millis> mSettling;
   std::map<RequestFingerprint, QuarantinedRequest> mHeld;
--- a/src/libtrefoilarch/quarantineupdates.cpp
+++ b/src/libtrefoilarch/quarantineupdates.cpp
@@ -87,7 +87,7 @@
   for (const AgedRequest& each : aUpdate.mCleared) {
     TakeCleared(each, aNow);
   }
-  for (const RequestFingerprint& each : aUpdate.mKeepaliveProbes) {
+  for (const RequestFingerprint& each : aUpdate.mProbes) {
     TakeProbe(each, aNow);
   }
   for (const QuarantineReport& each : aUpdate.mQuarantined) {
@@ -120,7 +120,7 @@
 void
 Quarantine::TakeProbe(const RequestFingerprint& aRequest, Millis aNow)
 {
-  const auto [probe, inserted] = mKeepaliveProbes.try_emplace(aRequest, aNow);
+  const auto [probe, inserted] = mProbes.try_emplace(aRequest, aNow);
   const bool known =
     !inserted && aNow - probe->second < mOptions.mFirstProbeTimeout;
   if (known) {
@@ -128,7 +128,7 @@
   }
   probe->second = aNow;
   if (mRelays && IsWorthReporting(aRequest)) {
-    mPendingUpdate.mKeepaliveProbes.push_back(aRequest);
+    mPendingUpdate.mProbes.push_back(aRequest);
   }
   const auto held = mHeld.find(aRequest);
   if (held != mHeld.end()) {
--- a/src/libtrefoilgate/crashdatagram.cpp
+++ b/src/libtrefoilgate/crashdatagram.cpp
@@ -98,7 +98,7 @@
     cleared.push_back(ClampedMillis(each.mAge, kMaxAgeMs));
   }
   Json probes = Json::array();
-  for (const RequestFingerprint& each : aUpdate.mKeepaliveProbes) {
+  for (const RequestFingerprint& each : aUpdate.mProbes) {
     Append(probes, each);
   }
   Json quarantined = Json::array();
@@ -138,7 +138,7 @@
                                 .mAge = AgeAt(json[2], index + 2) });
   }
   for (size_t index = 0; index < json[3].size(); index += 2) {
-    update.mKeepaliveProbes.push_back(RequestAt(json[3], index));
+    update.mProbes.push_back(RequestAt(json[3], index));
   }
   for (size_t index = 0; index < json[4].size(); index += 4) {
     update.mQuarantined.push_back({ .mRequest = RequestAt(json[4], index),
--- a/tests/platform/crashdatagramtest.cpp
+++ b/tests/platform/crashdatagramtest.cpp
@@ -19,7 +19,7 @@
                     .mAge = Millis(12) },
                   { .mIncarnation = { .mUpstream = "i-2" } } },
     .mCleared = { { .mRequest = { 3, 4 }, .mAge = Millis(5) } },
-    .mKeepaliveProbes = { { 5, 6 } },
+    .mProbes = { { 5, 6 } },
     .mQuarantined = { { .mRequest = { 7, 8 },
                         .mSuspectFor = Millis(90),
                         .mIdleFor = Millis(30) } }
