--- a/src/trefoilarchd/callerservice.cpp
+++ b/src/trefoilarchd/callerservice.cpp
@@ -218,7 +218,7 @@
   }
   BOOST_LEAF_AUTO(classifier, PolicyInForce());
   BOOST_LEAF_AUTO(classified, classifier->Classify(aRequest.mClaims));
-  BOOST_LEAF_AUTO(pass, mClaims->Pass(aRequest, classified.mIdempotent, aId));
+  BOOST_LEAF_AUTO(pass, mClaims->Admit(aRequest, classified.mIdempotent, aId));
   if (pass.mRepeat) {
     mMetrics.Count("answers_repeated_total");
     return std::move(*pass.mRepeat);
--- a/src/trefoilarchd/claimgate.cpp
+++ b/src/trefoilarchd/claimgate.cpp
@@ -13,17 +13,17 @@
 
 using trefoilio::HttpReply;
 
-constexpr Millis kComeBackSoon{ 1000 };
-constexpr int kFirstError = 400;
+constexpr Millis kRetryAfter{ 1000 };
+constexpr int kMinErrorStatus = 400;
 
 Refusal
-RefusalFor(ClaimOutcome aEnd)
+RefusalFor(ClaimOutcome aOutcome)
 {
-  switch (aEnd) {
+  switch (aOutcome) {
     case ClaimOutcome::InProgress:
       return Refusal{ .mKind = ErrorKind::DuplicateInProgress,
                       .mRan = Ran::Maybe,
-                      .mRetryAfter = kComeBackSoon,
+                      .mRetryAfter = kRetryAfter,
                       .mMessage = "the first request of this key is at work" };
     case ClaimOutcome::Finished:
       return Refusal{ .mKind = ErrorKind::DuplicateFinished,
@@ -44,23 +44,23 @@
       break;
   }
   return Refusal{ .mKind = ErrorKind::ClaimUnsettled,
-                  .mRetryAfter = kComeBackSoon,
+                  .mRetryAfter = kRetryAfter,
                   .mMessage = "the platform did not settle the key in time" };
 }
 
-/** The first answer, in the form that this caller asked for. */
+/** Returns the first response in the format this caller requested. */
 HttpReply
-Replayed(const CachedAnswer& aAnswer,
-         const CallerRequest& aRequest,
-         const RequestId& aId)
+ReplayedReply(const CachedAnswer& aAnswer,
+              const CallerRequest& aRequest,
+              const RequestId& aId)
 {
   HttpReply reply;
   reply.mStatus = aAnswer.mStatus;
   reply.mHeaders = { { "Content-Type", aAnswer.mContentType },
                      { kRequestIdHeader, aId.Text() } };
   reply.mBody = aAnswer.mBody;
-  const bool tokens = aRequest.mCall.mTokenStream;
-  if (tokens && !aRequest.mStreamed && aAnswer.mStatus < kFirstError) {
+  const bool tokenStream = aRequest.mCall.mTokenStream;
+  if (tokenStream && !aRequest.mStreamed && aAnswer.mStatus < kMinErrorStatus) {
     AnswerAssembler assembler;
     assembler.Add(aAnswer.mBody);
     reply.mBody = assembler.Json();
@@ -76,13 +76,13 @@
 {
 }
 
-Result<ClaimPass>
-ClaimGate::Pass(const CallerRequest& aRequest,
-                bool aIdempotent,
-                const RequestId& aId) const
+Result<ClaimAdmission>
+ClaimGate::Admit(const CallerRequest& aRequest,
+                 bool aIdempotent,
+                 const RequestId& aId) const
 {
   if (aIdempotent || aRequest.mIdempotencyKey.empty()) {
-    return ClaimPass{};
+    return ClaimAdmission{};
   }
   const Call& call = aRequest.mCall;
   const ClaimDecided claim =
@@ -92,10 +92,11 @@
                   call.mMethod + " " + aRequest.mClaims.mService + call.mPath +
                     "\n" + call.mBody);
   if (claim.mOutcome == ClaimOutcome::Run) {
-    return ClaimPass{ .mHold = std::make_shared<ClaimHold>(mClaims, aId) };
+    return ClaimAdmission{ .mHold = std::make_shared<ClaimHold>(mClaims, aId) };
   }
   if (claim.mOutcome == ClaimOutcome::Finished && claim.mAnswer) {
-    return ClaimPass{ .mRepeat = Replayed(*claim.mAnswer, aRequest, aId) };
+    return ClaimAdmission{ .mRepeat =
+                             ReplayedReply(*claim.mAnswer, aRequest, aId) };
   }
   return Fail(RefusalFor(claim.mOutcome));
 }
--- a/src/trefoilarchd/claimgate.h
+++ b/src/trefoilarchd/claimgate.h
@@ -14,18 +14,18 @@
 class ClaimHold;
 class ClaimService;
 
-/** How a request with an idempotency key goes on. */
-struct ClaimPass
+/** How a request that was not rejected proceeds. */
+struct ClaimAdmission
 {
-  /** Follows the run; null where the request needs no claim. */
+  /** Reports the outcome; null if the request needs no claim. */
   std::shared_ptr<ClaimHold> mHold;
-  /** Set where the request is a repeat: what the first one was answered. */
+  /** Set if the request is a duplicate: the response to the first one. */
   std::optional<trefoilio::HttpReply> mRepeat;
 };
 
 /**
- * Lets a request that may run only once pass where its idempotency key is
- * free. A request that is idempotent, or has no key, needs no claim.
+ * Admits a non-idempotent request if no other request holds its idempotency
+ * key. A request that is idempotent, or has no key, needs no claim.
  */
 class ClaimGate
 {
@@ -34,12 +34,12 @@
 
   /**
    * Waits for the claim. Fails with DuplicateInProgress, DuplicateFinished,
-   * OutcomeUnknown, ClaimUnsettled, or InvalidRequest where the key was used
-   * for something else.
+   * OutcomeUnknown, ClaimUnsettled, or InvalidRequest if the key was used for
+   * a different request.
    */
-  Result<ClaimPass> Pass(const CallerRequest& aRequest,
-                         bool aIdempotent,
-                         const RequestId& aId) const;
+  Result<ClaimAdmission> Admit(const CallerRequest& aRequest,
+                               bool aIdempotent,
+                               const RequestId& aId) const;
 
 private:
   ClaimService& mClaims;
--- a/src/trefoilarchd/claimhold.cpp
+++ b/src/trefoilarchd/claimhold.cpp
@@ -29,8 +29,8 @@
 void
 ClaimHold::OnData(std::string_view aData)
 {
-  mTooLong =
-    mTooLong || mAnswer.mBody.size() + aData.size() > mService.LongestAnswer();
+  mTooLong = mTooLong || mAnswer.mBody.size() + aData.size() >
+                           mService.MaxCachedAnswerSize();
   if (mTooLong) {
     mAnswer.mBody.clear();
   } else {
--- a/src/trefoilarchd/claimhold.h
+++ b/src/trefoilarchd/claimhold.h
@@ -12,9 +12,9 @@
 class ClaimService;
 
 /**
- * A claim that let its request run. It follows the request's answer and tells
- * the claim service its end; where it goes without an end, the request may
- * have run.
+ * Tracks the response to a request whose claim succeeded and reports the
+ * outcome to the claim service. If it is destroyed before the response has
+ * ended, it reports that the request may have run.
  */
 class ClaimHold
 {
--- a/src/trefoilarchd/claimpeer.cpp
+++ b/src/trefoilarchd/claimpeer.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/** Beyond this many addresses, most of which are long gone, all are dropped. */
-constexpr size_t kMostStubs = 64;
+/** At this many addresses, most of them stale, all stubs are dropped. */
+constexpr size_t kMaxStubs = 64;
 
 ClaimStatus
-StandingFrom(uint32_t aNumber)
+StatusFrom(uint32_t aNumber)
 {
   const bool known = aNumber <= static_cast<uint32_t>(ClaimStatus::NotRun);
   return known ? static_cast<ClaimStatus>(aNumber) : ClaimStatus::NotKnown;
@@ -45,7 +45,7 @@
                      RequestId aId,
                      Millis aTimeout)
 {
-  if (mStubs.size() >= kMostStubs) {
+  if (mStubs.size() >= kMaxStubs) {
     mStubs.clear();
   }
   auto& stub = mStubs[aAddress];
@@ -64,7 +64,7 @@
     mStubs.erase(aAddress);
     return {};
   }
-  ClaimReport report{ StandingFrom(reply.standing()), nullptr };
+  ClaimReport report{ StatusFrom(reply.standing()), nullptr };
   if (reply.has_answer()) {
     report.mAnswer = std::make_shared<const CachedAnswer>(
       CachedAnswer{ reply.status(), reply.content_type(), reply.body() });
--- a/src/trefoilarchd/claimpeer.h
+++ b/src/trefoilarchd/claimpeer.h
@@ -13,7 +13,7 @@
 
 namespace trefoilarch {
 
-/** Tells other entries what became of this one's requests. */
+/** Reports the outcomes of this entry's requests to other entries. */
 class ClaimPeerServer final : public wire::ClaimPeer::Service
 {
 public:
@@ -29,11 +29,11 @@
   Source mSource;
 };
 
-/** Asks other entries. */
+/** Queries other entries for the outcomes of their requests. */
 class ClaimPeerClient
 {
 public:
-  /** NotKnown where the entry did not answer in time. */
+  /** Returns NotKnown if the entry does not respond in time. */
   ClaimReport Ask(const std::string& aAddress, RequestId aId, Millis aTimeout);
 
 private:
--- a/src/trefoilarchd/claimservice.cpp
+++ b/src/trefoilarchd/claimservice.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr size_t kEventRing = 4096;
-constexpr size_t kWorkRing = 16;
-constexpr size_t kQuestionRing = 256;
-/** So that a closed ring is noticed where nothing else happens. */
-constexpr Millis kLongestWait{ 500 };
+constexpr size_t kEventRingCapacity = 4096;
+constexpr size_t kWorkRingCapacity = 16;
+constexpr size_t kQueryRingCapacity = 256;
+/** Limits how long an idle thread takes to notice a closed ring. */
+constexpr Millis kMaxWait{ 500 };
 constexpr Millis kAnswerSlack{ 500 };
 
-constexpr std::array kEndNames = {
+constexpr std::array kOutcomeNames = {
   "run", "in_progress", "finished", "maybe_ran", "other_intent", "unsettled",
 };
 
@@ -34,19 +34,20 @@
   int64_t mSeconds;
   Millis mNow;
 
-  ClaimActions operator()(NewClaim& aOne) const
+  ClaimActions operator()(NewClaim& aEvent) const
   {
-    mService.mWaiting[aOne.mRequest.mId] = std::move(aOne.mWaiter);
-    return mService.mCore->Claim(std::move(aOne.mRequest), mSeconds, mNow);
+    mService.mWaiting[aEvent.mRequest.mId] = std::move(aEvent.mWaiter);
+    return mService.mCore->Claim(std::move(aEvent.mRequest), mSeconds, mNow);
   }
-  ClaimActions operator()(Committed& aOne) const
+  ClaimActions operator()(Committed& aEvent) const
   {
-    return mService.mCore->OnCommitted(std::move(aOne.mCommit), mSeconds, mNow);
+    return mService.mCore->OnCommitted(
+      std::move(aEvent.mCommit), mSeconds, mNow);
   }
-  ClaimActions operator()(Asked& aOne) const
+  ClaimActions operator()(ClaimantReported& aEvent) const
   {
     return mService.mCore->OnClaimantReport(
-      aOne.mTicket, aOne.mReport, mSeconds, mNow);
+      aEvent.mTicket, aEvent.mReport, mSeconds, mNow);
   }
 };
 
@@ -54,39 +55,39 @@
 {
   ClaimService& mService;
 
-  void operator()(ClaimDecided& aOne) const
+  void operator()(ClaimDecided& aAction) const
   {
-    const auto place = mService.mWaiting.find(aOne.mId);
-    if (place == mService.mWaiting.end()) {
+    const auto found = mService.mWaiting.find(aAction.mId);
+    if (found == mService.mWaiting.end()) {
       return;
     }
-    const std::shared_ptr<Waiter> waiter = std::move(place->second);
-    mService.mWaiting.erase(place);
+    const std::shared_ptr<Waiter> waiter = std::move(found->second);
+    mService.mWaiting.erase(found);
     if (!waiter->mClosed.exchange(true)) {
-      waiter->mPromise.set_value(std::move(aOne));
-    } else if (aOne.mOutcome == ClaimOutcome::Run) {
-      mService.NotRun(aOne.mId);
+      waiter->mPromise.set_value(std::move(aAction));
+    } else if (aAction.mOutcome == ClaimOutcome::Run) {
+      mService.NotRun(aAction.mId);
     }
   }
-  void operator()(CommitClaims& aOne) const
+  void operator()(CommitClaims& aAction) const
   {
-    mService.mTableWork.TryPush([&service = mService, commit = aOne] {
+    mService.mTableWork.TryPush([&service = mService, commit = aAction] {
       service.mEvents.Push(Committed{ service.mStore->Commit(commit) });
     });
   }
-  void operator()(const ExpireClaims& aOne) const
+  void operator()(const ExpireClaims& aAction) const
   {
     mService.mTableWork.TryPush(
-      [&service = mService, aOne] { service.mStore->Expire(aOne); });
+      [&service = mService, aAction] { service.mStore->Expire(aAction); });
   }
-  /** A question too many stays without an answer until its deadline. */
-  void operator()(const QueryClaimant& aOne) const
+  /** A query that does not fit in the ring expires at its deadline. */
+  void operator()(const QueryClaimant& aAction) const
   {
-    mService.mQuestions.TryPush([&service = mService, aOne] {
-      service.mEvents.Push(
-        Asked{ aOne.mTicket,
-               service.mPeers.Ask(
-                 aOne.mAddress, aOne.mRequest, service.mOptions.mAskTimeout) });
+    mService.mQueries.TryPush([&service = mService, aAction] {
+      service.mEvents.Push(ClaimantReported{
+        aAction.mTicket,
+        service.mPeers.Ask(
+          aAction.mAddress, aAction.mRequest, service.mOptions.mAskTimeout) });
     });
   }
 };
@@ -95,9 +96,9 @@
   : mOptions(std::move(aOptions))
   , mStore(std::make_unique<ClaimStore>(mOptions.mPlatform))
   , mCore(std::make_unique<Claims>(mOptions.mClaims))
-  , mEvents(kEventRing)
-  , mTableWork(kWorkRing)
-  , mQuestions(kQuestionRing)
+  , mEvents(kEventRingCapacity)
+  , mTableWork(kWorkRingCapacity)
+  , mQueries(kQueryRingCapacity)
 {
 }
 
@@ -113,9 +114,9 @@
     mOptions.mClaims.mAddress = mOptions.mAddress();
     mCore = std::make_unique<Claims>(mOptions.mClaims);
   }
-  mDecider = std::thread([this] { Decide(); });
-  mTableWorker = std::thread([this] { Run(mTableWork); });
-  mAsker = std::thread([this] { Run(mQuestions); });
+  mDecisionThread = std::thread([this] { Decide(); });
+  mTableThread = std::thread([this] { RunWorker(mTableWork); });
+  mQueryThread = std::thread([this] { RunWorker(mQueries); });
 }
 
 void
@@ -124,8 +125,9 @@
   mStopping = true;
   mEvents.Close();
   mTableWork.Close();
-  mQuestions.Close();
-  for (std::thread* thread : { &mDecider, &mTableWorker, &mAsker }) {
+  mQueries.Close();
+  for (std::thread* thread :
+       { &mDecisionThread, &mTableThread, &mQueryThread }) {
     if (thread->joinable()) {
       thread->join();
     }
@@ -157,20 +159,20 @@
     { aId, Sha256Hex(aWorkspace + "\n" + aIdempotencyKey), Sha256Hex(aIntent) },
     waiter
   };
-  ClaimDecided answered{ aId, ClaimOutcome::Unsettled, nullptr };
+  ClaimDecided decided{ aId, ClaimOutcome::Unsettled, nullptr };
   if (mEvents.TryPush(std::move(claim))) {
-    const Millis span = mOptions.mClaims.mDecisionTimeout + kAnswerSlack;
-    future.wait_for(std::chrono::milliseconds(span.Count()));
+    const Millis timeout = mOptions.mClaims.mDecisionTimeout + kAnswerSlack;
+    future.wait_for(std::chrono::milliseconds(timeout.Count()));
     if (waiter->mClosed.exchange(true)) {
-      answered = future.get();
+      decided = future.get();
     }
   }
   if (mOptions.mMetrics != nullptr) {
-    const char* name = kEndNames.at(static_cast<size_t>(answered.mOutcome));
+    const char* name = kOutcomeNames.at(static_cast<size_t>(decided.mOutcome));
     mOptions.mMetrics->Count("claims_total",
                              std::string("end=\"") + name + "\"");
   }
-  return answered;
+  return decided;
 }
 
 void
@@ -218,7 +220,7 @@
       wait = mCore->NextWake() - trefoilio::MonotonicNow();
     }
     std::optional<Event> event =
-      mEvents.PopFor(std::clamp(wait, Millis(0), kLongestWait));
+      mEvents.PopFor(std::clamp(wait, Millis(0), kMaxWait));
     ClaimActions actions;
     {
       std::lock_guard lock(mMutex);
@@ -234,10 +236,10 @@
 }
 
 void
-ClaimService::Run(trefoilio::BoundedRing<Work>& aRing) const
+ClaimService::RunWorker(trefoilio::BoundedRing<Work>& aRing) const
 {
   while (!mStopping) {
-    const std::optional<Work> work = aRing.PopFor(kLongestWait);
+    const std::optional<Work> work = aRing.PopFor(kMaxWait);
     if (work) {
       (*work)();
     }
--- a/src/trefoilarchd/claimservice.h
+++ b/src/trefoilarchd/claimservice.h
@@ -26,7 +26,7 @@
 struct ClaimServiceOptions
 {
   std::shared_ptr<const PlatformClient> mPlatform;
-  /** This entry's peer address as bound; asked at Start. */
+  /** Returns this entry's bound peer address; called by Start. */
   std::function<std::string()> mAddress;
   ClaimOptions mClaims;
   Millis mAskTimeout{ 800 };
@@ -34,8 +34,9 @@
 };
 
 /**
- * Claims idempotency keys for this entry's requests. One thread decides
- * (Claims), one writes to the table and one asks other entries.
+ * Claims idempotency keys for this entry's requests. One thread runs the
+ * decision logic (Claims), one writes to the table and one queries other
+ * entries.
  */
 class ClaimService final : public trefoilio::Service
 {
@@ -50,9 +51,9 @@
   std::string DumpState() const override;
 
   /**
-   * Waits until the key is decided, for the decision span and a little. The
-   * request may run only where the end is Run, and its end must then be told
-   * by one of the calls below (see ClaimHold).
+   * Waits for the decision, at most the decision timeout plus kAnswerSlack.
+   * The request may run only if the outcome is Run; its own outcome must then
+   * be reported by one of the calls below (see ClaimHold).
    */
   ClaimDecided Claim(const RequestId& aId,
                      const std::string& aWorkspace,
@@ -63,13 +64,16 @@
   void AnsweredUncached(RequestId aId);
   void NotRun(RequestId aId);
   void MaybeRan(RequestId aId);
-  size_t LongestAnswer() const { return mOptions.mClaims.mMaxCachedAnswerSize; }
+  size_t MaxCachedAnswerSize() const
+  {
+    return mOptions.mClaims.mMaxCachedAnswerSize;
+  }
 
-  /** For ClaimPeerServer. */
+  /** Returns the status of a request, for ClaimPeerServer. */
   ClaimReport Report(RequestId aId) const;
 
 private:
-  /** The caller's thread that waits; whoever closes it first decides. */
+  /** A waiting caller's thread. The first to close it sets the outcome. */
   struct Waiter
   {
     std::promise<ClaimDecided> mPromise;
@@ -84,19 +88,19 @@
   {
     ClaimCommit mCommit;
   };
-  struct Asked
+  struct ClaimantReported
   {
     uint64_t mTicket = 0;
     ClaimReport mReport;
   };
-  using Event = std::variant<NewClaim, Committed, Asked>;
+  using Event = std::variant<NewClaim, Committed, ClaimantReported>;
   using Work = std::function<void()>;
   struct Decider;
   struct Performer;
 
   void Decide();
-  /** Does a ring's work on a thread of its own. */
-  void Run(trefoilio::BoundedRing<Work>& aRing) const;
+  /** Executes the work items of a ring; the body of a worker thread. */
+  void RunWorker(trefoilio::BoundedRing<Work>& aRing) const;
 
   ClaimServiceOptions mOptions;
   std::unique_ptr<ClaimStore> mStore;
@@ -104,16 +108,16 @@
 
   mutable std::mutex mMutex;
   std::unique_ptr<Claims> mCore; /**< under mMutex */
-  /** The deciding thread's own. */
+  /** Used by the decision thread only. */
   std::unordered_map<RequestId, std::shared_ptr<Waiter>> mWaiting;
   std::atomic<bool> mStopping{ false };
 
   trefoilio::BoundedRing<Event> mEvents;
   trefoilio::BoundedRing<Work> mTableWork;
-  trefoilio::BoundedRing<Work> mQuestions;
-  std::thread mDecider;
-  std::thread mTableWorker;
-  std::thread mAsker;
+  trefoilio::BoundedRing<Work> mQueries;
+  std::thread mDecisionThread;
+  std::thread mTableThread;
+  std::thread mQueryThread;
 };
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/claimstore.cpp
+++ b/src/trefoilarchd/claimstore.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 const std::string kPrefix = "claims/";
-/** A write looks at the epoch before its own, its own and the next. */
-constexpr uint64_t kEpochsLookedAt = 3;
+/** A write checks its own epoch, the one before and the next. */
+constexpr uint64_t kEpochsChecked = 3;
 
 std::string
 EpochPrefix(uint64_t aEpoch)
@@ -25,7 +25,7 @@
 void
 AddWrite(TableTransaction& aTransaction, const ClaimWrite& aWrite)
 {
-  for (uint64_t back = 0; back < kEpochsLookedAt; ++back) {
+  for (uint64_t back = 0; back < kEpochsChecked; ++back) {
     const uint64_t epoch = aWrite.mEpoch + 1 - back;
     const std::string key = RowKey(epoch, aWrite.mKey);
     TableCondition condition{ .mKey = key };
@@ -44,12 +44,12 @@
                                   aWrite.mText);
 }
 
-/** The row of one write among those that were read for all. */
+/** Returns the existing claim for one write of the batch, if any. */
 std::optional<FoundClaim>
-FoundFor(const ClaimWrite& aWrite, const CommitResult& aResult, size_t aPlace)
+FoundFor(const ClaimWrite& aWrite, const CommitResult& aResult, size_t aIndex)
 {
-  for (uint64_t back = 0; back < kEpochsLookedAt; ++back) {
-    const auto& row = aResult.mFound.at(aPlace * kEpochsLookedAt + back);
+  for (uint64_t back = 0; back < kEpochsChecked; ++back) {
+    const auto& row = aResult.mFound.at(aIndex * kEpochsChecked + back);
     if (row) {
       return FoundClaim{ aWrite.mEpoch + 1 - back,
                          row->mModRevision,
@@ -80,9 +80,9 @@
   }
   if (result.mOutcome == WriteOutcome::Refused) {
     commit.mOutcome = ClaimCommitOutcome::Refused;
-    size_t place = 0;
+    size_t index = 0;
     for (const ClaimWrite& write : aAction.mWrites) {
-      commit.mFound.push_back(FoundFor(write, result, place++));
+      commit.mFound.push_back(FoundFor(write, result, index++));
     }
   }
   return commit;
--- a/src/trefoilarchd/claimstore.h
+++ b/src/trefoilarchd/claimstore.h
@@ -9,8 +9,8 @@
 namespace trefoilarch {
 
 /**
- * Keeps claims in the platform's table, in rows `claims/<epoch>/<key hash>`,
- * so that those of an old epoch go away in one range.
+ * Stores claims in the platform's table, in rows `claims/<epoch>/<key hash>`,
+ * so that expired epochs can be deleted as one key range.
  */
 class ClaimStore
 {
--- a/src/trefoilarchd/leasestore.cpp
+++ b/src/trefoilarchd/leasestore.cpp
@@ -21,7 +21,7 @@
   return { true, rows->front().mModRevision, rows->front().mValue };
 }
 
-LeaseWritten
+LeaseWriteResult
 LeaseStore::Write(const std::string& aKey, const WriteLease& aWrite) const
 {
   const bool absent = aWrite.mRevision == 0;
--- a/src/trefoilarchd/leasestore.h
+++ b/src/trefoilarchd/leasestore.h
@@ -9,21 +9,22 @@
 
 namespace trefoilarch {
 
-/** How writing a lease's row ended. */
-struct LeaseWritten
+/** The result of writing a lease's row. */
+struct LeaseWriteResult
 {
   LeaseWriteOutcome mOutcome = LeaseWriteOutcome::Unknown;
-  int64_t mRevision = 0; /**< the row's, where done */
+  int64_t mRevision = 0; /**< the row's, if the write is done */
 };
 
-/** Keeps the rows of leases in the platform's table. */
+/** Reads and writes the rows of leases in the platform's table. */
 class LeaseStore
 {
 public:
   explicit LeaseStore(std::shared_ptr<const PlatformClient> aPlatform);
 
   LeaseFound Read(const std::string& aKey) const;
-  LeaseWritten Write(const std::string& aKey, const WriteLease& aWrite) const;
+  LeaseWriteResult Write(const std::string& aKey,
+                         const WriteLease& aWrite) const;
 
 private:
   std::shared_ptr<const PlatformClient> mPlatform;
--- a/src/trefoilarchd/orderservice.cpp
+++ b/src/trefoilarchd/orderservice.cpp
@@ -16,46 +16,46 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t kEventRing = 64;
-constexpr size_t kWorkRing = 64;
-constexpr size_t kMostRemembered = 256;
-/** So that a closed ring is noticed where nothing else happens. */
-constexpr Millis kLongestWait{ 500 };
+constexpr size_t kEventRingCapacity = 64;
+constexpr size_t kWorkRingCapacity = 64;
+constexpr size_t kMaxRemembered = 256;
+/** Limits how long an idle thread takes to notice a closed ring. */
+constexpr Millis kMaxWait{ 500 };
 constexpr std::string_view kOrdersPath = "/v1/orders";
 constexpr int kAccepted = 202;
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 constexpr int kInvalid = 422;
 
-/** How each kind of order is called, here and at the engine. */
-struct OrderForm
+/** The name of an order kind, and the engine's API call for it. */
+struct EngineCall
 {
   const char* mName;
   const char* mPath;
-  const char* mSubject;
+  const char* mNameField;
 };
 
-constexpr std::array kForms = {
-  OrderForm{ "load_model", "/v1/load_model", "model" },
-  OrderForm{ "load_adapter", "/v1/load_lora_adapter", "lora_name" },
-  OrderForm{ "unload_adapter", "/v1/unload_lora_adapter", "lora_name" },
-  OrderForm{ "set_role", "/v1/role", "role" },
+constexpr std::array kEngineCalls = {
+  EngineCall{ "load_model", "/v1/load_model", "model" },
+  EngineCall{ "load_adapter", "/v1/load_lora_adapter", "lora_name" },
+  EngineCall{ "unload_adapter", "/v1/unload_lora_adapter", "lora_name" },
+  EngineCall{ "set_role", "/v1/role", "role" },
 };
 
-const OrderForm&
-FormOf(OrderKind aKind)
+const EngineCall&
+EngineCallFor(OrderKind aKind)
 {
-  return kForms.at(static_cast<size_t>(aKind));
+  return kEngineCalls.at(static_cast<size_t>(aKind));
 }
 
 const char*
-NameOf(OrderOutcome aEnd)
+NameOf(OrderOutcome aOutcome)
 {
   constexpr std::array names = { "done", "failed", "not_sent", "unknown" };
-  return names.at(static_cast<size_t>(aEnd));
+  return names.at(static_cast<size_t>(aOutcome));
 }
 
-/** Empty where the body is no order. */
+/** Returns nullopt if the body is not a valid order. */
 std::optional<EngineOrder>
 ReadOrder(const std::string& aBody)
 {
@@ -66,9 +66,9 @@
     order.mName = json.at("name").get<std::string>();
     order.mSource = json.value("source", "");
     const auto kind = json.at("kind").get<std::string>();
-    for (size_t place = 0; place < kForms.size(); ++place) {
-      if (kind == kForms.at(place).mName && !order.mId.empty()) {
-        order.mKind = static_cast<OrderKind>(place);
+    for (size_t index = 0; index < kEngineCalls.size(); ++index) {
+      if (kind == kEngineCalls.at(index).mName && !order.mId.empty()) {
+        order.mKind = static_cast<OrderKind>(index);
         return order;
       }
     }
@@ -101,22 +101,22 @@
   OrderService& mService;
   Millis mNow;
 
-  OrderActions operator()(EngineOrder& aOne) const
+  OrderActions operator()(EngineOrder& aEvent) const
   {
-    return mService.mOrders.Submit(std::move(aOne), mNow);
+    return mService.mOrders.Submit(std::move(aEvent), mNow);
   }
-  OrderActions operator()(const LeaseRead& aOne) const
+  OrderActions operator()(const LeaseRead& aEvent) const
   {
-    return mService.mOrders.OnLeaseRead(aOne.mKey, aOne.mFound, mNow);
+    return mService.mOrders.OnLeaseRead(aEvent.mKey, aEvent.mFound, mNow);
   }
-  OrderActions operator()(const LeaseStored& aOne) const
+  OrderActions operator()(const LeaseStored& aEvent) const
   {
     return mService.mOrders.OnLeaseWritten(
-      aOne.mKey, aOne.mWritten.mOutcome, aOne.mWritten.mRevision, mNow);
+      aEvent.mKey, aEvent.mResult.mOutcome, aEvent.mResult.mRevision, mNow);
   }
-  OrderActions operator()(const OrderReply& aOne) const
+  OrderActions operator()(const OrderReply& aEvent) const
   {
-    return mService.mOrders.OnReply(aOne, mNow);
+    return mService.mOrders.OnReply(aEvent, mNow);
   }
 };
 
@@ -124,23 +124,23 @@
 {
   OrderService& mService;
 
-  void operator()(const LeaseRowAction& aOne) const
+  void operator()(const LeaseRowAction& aAction) const
   {
     mService.mLeaseWork.TryPush(
-      [&service = mService, aOne] { service.KeepLease(aOne); });
+      [&service = mService, aAction] { service.PerformLeaseAction(aAction); });
   }
-  void operator()(const SendOrder& aOne) const
+  void operator()(const SendOrder& aAction) const
   {
     mService.mEngineWork.TryPush(
-      [&service = mService, aOne] { service.CallEngine(aOne); });
+      [&service = mService, aAction] { service.CallEngine(aAction); });
   }
-  void operator()(const OrderEnded& aOne) const
+  void operator()(const OrderEnded& aAction) const
   {
-    mService.Note(aOne.mId, NameOf(aOne.mOutcome));
+    mService.RecordStatus(aAction.mId, NameOf(aAction.mOutcome));
     trefoilio::LogState(
       trefoilio::LogLevel::Info,
       "order_ended",
-      { { "id", aOne.mId }, { "end", NameOf(aOne.mOutcome) } });
+      { { "id", aAction.mId }, { "end", NameOf(aAction.mOutcome) } });
   }
 };
 
@@ -148,9 +148,9 @@
   : mOptions(std::move(aOptions))
   , mStore(mOptions.mPlatform)
   , mOrders(mOptions.mOrders)
-  , mEvents(kEventRing)
-  , mLeaseWork(kWorkRing)
-  , mEngineWork(kWorkRing)
+  , mEvents(kEventRingCapacity)
+  , mLeaseWork(kWorkRingCapacity)
+  , mEngineWork(kWorkRingCapacity)
 {
 }
 
@@ -162,9 +162,9 @@
 void
 OrderService::Start(trefoilio::Kernel& /*aKernel*/)
 {
-  mDecider = std::thread([this] { Decide(); });
-  mLeaseKeeper = std::thread([this] { Run(mLeaseWork); });
-  mCaller = std::thread([this] { Run(mEngineWork); });
+  mDecisionThread = std::thread([this] { Decide(); });
+  mLeaseThread = std::thread([this] { RunWorker(mLeaseWork); });
+  mEngineThread = std::thread([this] { RunWorker(mEngineWork); });
 }
 
 void
@@ -174,7 +174,8 @@
   mEvents.Close();
   mLeaseWork.Close();
   mEngineWork.Close();
-  for (std::thread* thread : { &mDecider, &mLeaseKeeper, &mCaller }) {
+  for (std::thread* thread :
+       { &mDecisionThread, &mLeaseThread, &mEngineThread }) {
     if (thread->joinable()) {
       thread->join();
     }
@@ -188,7 +189,7 @@
   return Json{
     { "waiting", mOrders.Waiting() },
     { "fencing_number", mOrders.FencingNumber() },
-    { "standings", mStandings }
+    { "standings", mStatuses }
   }.dump();
 }
 
@@ -198,13 +199,13 @@
   const std::string id = aOrder.mId;
   {
     std::lock_guard lock(mMutex);
-    if (mStandings.contains(id)) {
+    if (mStatuses.contains(id)) {
       return false;
     }
   }
-  Note(id, "waiting");
+  RecordStatus(id, "waiting");
   if (!mEvents.TryPush(std::move(aOrder))) {
-    Note(id, NameOf(OrderOutcome::NotSent));
+    RecordStatus(id, NameOf(OrderOutcome::NotSent));
     return false;
   }
   return true;
@@ -214,20 +215,20 @@
 OrderService::Standing(const std::string& aId) const
 {
   std::lock_guard lock(mMutex);
-  const auto place = mStandings.find(aId);
-  return place == mStandings.end() ? "" : place->second;
+  const auto found = mStatuses.find(aId);
+  return found == mStatuses.end() ? "" : found->second;
 }
 
 void
-OrderService::Note(const std::string& aId, std::string aStanding)
+OrderService::RecordStatus(const std::string& aId, std::string aStatus)
 {
   std::lock_guard lock(mMutex);
-  if (!mStandings.contains(aId)) {
+  if (!mStatuses.contains(aId)) {
     mIds.push_back(aId);
   }
-  mStandings[aId] = std::move(aStanding);
-  if (mIds.size() > kMostRemembered) {
-    mStandings.erase(mIds.front());
+  mStatuses[aId] = std::move(aStatus);
+  if (mIds.size() > kMaxRemembered) {
+    mStatuses.erase(mIds.front());
     mIds.pop_front();
   }
 }
@@ -251,9 +252,9 @@
   }
   if (aRequest.mMethod == "GET" && path.size() > kOrdersPath.size() + 1) {
     const std::string id(path.substr(kOrdersPath.size() + 1));
-    const std::string standing = Standing(id);
-    if (!standing.empty()) {
-      return JsonReply(200, { { "id", id }, { "status", standing } });
+    const std::string status = Standing(id);
+    if (!status.empty()) {
+      return JsonReply(200, { { "id", id }, { "status", status } });
     }
   }
   return ErrorReply(kNotFound, "there is no such order");
@@ -269,7 +270,7 @@
       wait = mOrders.NextWake() - trefoilio::MonotonicNow();
     }
     std::optional<Event> event =
-      mEvents.PopFor(std::clamp(wait, Millis(1), kLongestWait));
+      mEvents.PopFor(std::clamp(wait, Millis(1), kMaxWait));
     OrderActions actions;
     {
       std::lock_guard lock(mMutex);
@@ -284,10 +285,10 @@
 }
 
 void
-OrderService::Run(trefoilio::BoundedRing<Work>& aRing) const
+OrderService::RunWorker(trefoilio::BoundedRing<Work>& aRing) const
 {
   while (!mStopping) {
-    const std::optional<Work> work = aRing.PopFor(kLongestWait);
+    const std::optional<Work> work = aRing.PopFor(kMaxWait);
     if (work) {
       (*work)();
     }
@@ -295,7 +296,7 @@
 }
 
 void
-OrderService::KeepLease(const LeaseRowAction& aAction)
+OrderService::PerformLeaseAction(const LeaseRowAction& aAction)
 {
   const auto* write = std::get_if<WriteLease>(&aAction.mAction);
   if (write == nullptr) {
@@ -306,30 +307,30 @@
   }
 }
 
-/** The lease is looked at again right before the order goes out. */
+/** Checks the lease again right before sending the order. */
 void
 OrderService::CallEngine(const SendOrder& aAction)
 {
-  bool may = false;
+  bool allowed = false;
   {
     std::lock_guard lock(mMutex);
-    may = mOrders.MaySend(trefoilio::MonotonicNow());
+    allowed = mOrders.MaySend(trefoilio::MonotonicNow());
   }
-  mEvents.Push(may ? Send(aAction) : OrderReply::NotSent);
+  mEvents.Push(allowed ? Send(aAction) : OrderReply::NotSent);
 }
 
 OrderReply
 OrderService::Send(const SendOrder& aAction) const
 {
   const EngineOrder& order = aAction.mOrder;
-  const OrderForm& form = FormOf(order.mKind);
-  Json body = { { form.mSubject, order.mName } };
+  const EngineCall& engineCall = EngineCallFor(order.mKind);
+  Json body = { { engineCall.mNameField, order.mName } };
   if (order.mKind == OrderKind::LoadAdapter) {
     body["lora_path"] = order.mSource;
   }
   trefoilio::HttpRequest request;
   request.mMethod = "POST";
-  request.mTarget = mOptions.mEngineUrl + form.mPath;
+  request.mTarget = mOptions.mEngineUrl + engineCall.mPath;
   request.mHeaders = { { "Content-Type", "application/json" },
                        { "X-Fencing-Number",
                          std::to_string(aAction.mFencingNumber) } };
--- a/src/trefoilarchd/orderservice.h
+++ b/src/trefoilarchd/orderservice.h
@@ -29,9 +29,9 @@
 };
 
 /**
- * Gives operators' orders to the engine beside this sidecar, in the form of
- * vLLM's published calls with the header `X-Fencing-Number`. One thread
- * decides (Orders), one keeps the leases and one calls the engine.
+ * Sends operators' orders to this sidecar's engine, as vLLM's documented API
+ * calls with the header `X-Fencing-Number`. One thread runs the decision
+ * logic (Orders), one reads and writes the leases and one calls the engine.
  */
 class OrderService final : public trefoilio::Service
 {
@@ -45,12 +45,12 @@
   void Stop() override;
   std::string DumpState() const override;
 
-  /** False where too many wait, or the id was used before. */
+  /** Returns false if the queue is full or the id was used before. */
   bool Submit(EngineOrder aOrder);
-  /** "waiting", "done", "failed", "not_sent", "unknown", or empty. */
+  /** Returns "waiting", "done", "failed", "not_sent", "unknown", or "". */
   std::string Standing(const std::string& aId) const;
 
-  /** Answers POST /v1/orders and GET /v1/orders/{id}. */
+  /** Handles POST /v1/orders and GET /v1/orders/{id}. */
   trefoilio::HttpReply HandleOperator(const trefoilio::HttpRequest& aRequest);
 
 private:
@@ -62,7 +62,7 @@
   struct LeaseStored
   {
     std::string mKey;
-    LeaseWritten mWritten;
+    LeaseWriteResult mResult;
   };
   using Event = std::variant<EngineOrder, LeaseRead, LeaseStored, OrderReply>;
   using Work = std::function<void()>;
@@ -70,26 +70,26 @@
   struct Performer;
 
   void Decide();
-  void Run(trefoilio::BoundedRing<Work>& aRing) const;
-  void KeepLease(const LeaseRowAction& aAction);
+  void RunWorker(trefoilio::BoundedRing<Work>& aRing) const;
+  void PerformLeaseAction(const LeaseRowAction& aAction);
   void CallEngine(const SendOrder& aAction);
   OrderReply Send(const SendOrder& aAction) const;
-  void Note(const std::string& aId, std::string aStanding);
+  void RecordStatus(const std::string& aId, std::string aStatus);
 
   OrderServiceOptions mOptions;
   LeaseStore mStore;
   mutable std::mutex mMutex;
-  Orders mOrders; /**< under mMutex, as what follows */
-  std::map<std::string, std::string> mStandings;
+  Orders mOrders; /**< guarded by mMutex, as are the next two */
+  std::map<std::string, std::string> mStatuses;
   std::deque<std::string> mIds; /**< oldest first */
   std::atomic<bool> mStopping{ false };
 
   trefoilio::BoundedRing<Event> mEvents;
   trefoilio::BoundedRing<Work> mLeaseWork;
   trefoilio::BoundedRing<Work> mEngineWork;
-  std::thread mDecider;
-  std::thread mLeaseKeeper;
-  std::thread mCaller;
+  std::thread mDecisionThread;
+  std::thread mLeaseThread;
+  std::thread mEngineThread;
 };
 
 } // namespace trefoilarch
