--- a/src/trefoilarchd/callerservice.cpp
+++ b/src/trefoilarchd/callerservice.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr Millis kComeBackSoon{ 1000 };
+constexpr Millis kRetryAfter{ 1000 };
 constexpr const char* kModelsPath = "/v1/models";
 
 std::string
@@ -43,7 +43,7 @@
       return Refusal{ .mKind = ErrorKind::SlowSender };
     case trefoilio::BadInput::TooManyConnections:
       return Refusal{ .mKind = ErrorKind::TooManyOpen,
-                      .mRetryAfter = kComeBackSoon };
+                      .mRetryAfter = kRetryAfter };
     case trefoilio::BadInput::Malformed:
       break;
   }
@@ -52,7 +52,7 @@
 
 } // namespace
 
-/** Counts a request as open as long as any part of its answer lives. */
+/** Counts a request as open until its response is closed. */
 class CallerService::OpenCount
 {
 public:
@@ -109,7 +109,7 @@
 CallerService::DumpState() const
 {
   return nlohmann::json{
-    { "open", mOpen.load() }, { "draining", mDraining.load() }
+    { "open", mOpenRequests.load() }, { "draining", mDraining.load() }
   }.dump();
 }
 
@@ -120,7 +120,7 @@
 }
 
 RequestId
-CallerService::DrawId()
+CallerService::RandomId()
 {
   const std::lock_guard lock(mRandomMutex);
   return RequestId{ mRandom(), mRandom() };
@@ -137,13 +137,13 @@
 HttpReply
 CallerService::RefuseBadInput(trefoilio::BadInput aInput)
 {
-  return Refuse(RefusalFor(aInput), DrawId());
+  return Refuse(RefusalFor(aInput), RandomId());
 }
 
 HttpReply
 CallerService::Handle(const HttpRequest& aHttp)
 {
-  const RequestId id = DrawId();
+  const RequestId id = RandomId();
   return boost::leaf::try_handle_all(
     [&]() -> Result<HttpReply> { return Route(aHttp, id); },
     [&](const Refusal& aRefusal) { return Refuse(aRefusal, id); },
@@ -155,8 +155,8 @@
 {
   const std::string path = PathOf(aHttp.mTarget);
   if (mDraining) {
-    return Fail(Refusal{ .mKind = ErrorKind::ShuttingDown,
-                         .mRetryAfter = kComeBackSoon });
+    return Fail(
+      Refusal{ .mKind = ErrorKind::ShuttingDown, .mRetryAfter = kRetryAfter });
   }
   if (path == kModelsPath && aHttp.mMethod == "GET") {
     return Models(aHttp, aId);
@@ -174,12 +174,12 @@
 }
 
 Result<std::shared_ptr<const Classifier>>
-CallerService::PolicyInForce() const
+CallerService::CurrentPolicyClassifier() const
 {
   auto classifier = mOptions.mClassifier();
   if (!classifier || classifier->CurrentPolicy().mVersion == 0) {
-    return Fail(Refusal{ .mKind = ErrorKind::PolicyUnknown,
-                         .mRetryAfter = kComeBackSoon });
+    return Fail(
+      Refusal{ .mKind = ErrorKind::PolicyUnknown, .mRetryAfter = kRetryAfter });
   }
   return classifier;
 }
@@ -188,7 +188,7 @@
 CallerService::Models(const HttpRequest& aHttp, const RequestId& aId)
 {
   BOOST_LEAF_AUTO(claims, ReadClaims(aHttp, mOptions.mDataCentre));
-  BOOST_LEAF_AUTO(classifier, PolicyInForce());
+  BOOST_LEAF_AUTO(classifier, CurrentPolicyClassifier());
   claims.mWantedClass.clear();
   BOOST_LEAF_CHECK(classifier->Classify(claims));
   nlohmann::ordered_json list = { { "object", "list" },
@@ -211,22 +211,23 @@
                    const RequestId& aId)
 {
   const Millis arrived = trefoilio::MonotonicNow();
-  auto open = std::make_shared<OpenCount>(mOpen);
+  auto open = std::make_shared<OpenCount>(mOpenRequests);
   if (open->Before() >= mOptions.mMaxOpen) {
     return Fail(
-      Refusal{ .mKind = ErrorKind::TooManyOpen, .mRetryAfter = kComeBackSoon });
+      Refusal{ .mKind = ErrorKind::TooManyOpen, .mRetryAfter = kRetryAfter });
   }
-  BOOST_LEAF_AUTO(classifier, PolicyInForce());
+  BOOST_LEAF_AUTO(classifier, CurrentPolicyClassifier());
   BOOST_LEAF_AUTO(classified, classifier->Classify(aRequest.mClaims));
-  BOOST_LEAF_AUTO(pass, mClaims->Admit(aRequest, classified.mIdempotent, aId));
-  if (pass.mRepeat) {
+  BOOST_LEAF_AUTO(admission,
+                  mClaims->Admit(aRequest, classified.mIdempotent, aId));
+  if (admission.mRepeat) {
     mMetrics.Count("answers_repeated_total");
-    return std::move(*pass.mRepeat);
+    return std::move(*admission.mRepeat);
   }
   BOOST_LEAF_AUTO(reply,
                   Submit(std::move(aRequest),
                          std::move(classified),
-                         pass.mHold,
+                         admission.mHold,
                          aHttp,
                          aId,
                          arrived));
@@ -251,11 +252,11 @@
                                .mBetweenToken = level.mBetweenTokenTarget,
                                .mDeadline = aClassified.mDeadline };
   aClassified.mDeadline -= trefoilio::MonotonicNow() - aArrived;
-  const bool tokens = aRequest.mCall.mTokenStream;
-  if (tokens) {
+  const bool tokenStream = aRequest.mCall.mTokenStream;
+  if (tokenStream) {
     SetPriority(aRequest.mCall, level.mTier);
   }
-  auto mailbox = std::make_shared<AnswerMailbox>(mOptions.mMostUnread);
+  auto mailbox = std::make_shared<AnswerMailbox>(mOptions.mMaxUnreadBytes);
   EntryRequest request{ .mId = aId,
                         .mClassified = std::move(aClassified),
                         .mCall = std::move(aRequest.mCall),
@@ -264,7 +265,7 @@
                         .mMaxOutputTokens = aRequest.mMaxOutputTokens };
   if (!mRouter->Submit(std::move(request), mailbox, aClaim)) {
     const Refusal refusal{ .mKind = ErrorKind::TooManyOpen,
-                           .mRetryAfter = kComeBackSoon };
+                           .mRetryAfter = kRetryAfter };
     if (aClaim) {
       aClaim->OnError(refusal);
     }
@@ -274,7 +275,7 @@
     std::make_shared<AnswerReader>(*mRouter, aId, mailbox, aHttp.mCallerLeft),
     targets,
     mMetrics);
-  if (!tokens) {
+  if (!tokenStream) {
     return writer.Plain();
   }
   return aRequest.mStreamed ? writer.Streamed() : writer.Assembled();
--- a/src/trefoilarchd/callerservice.h
+++ b/src/trefoilarchd/callerservice.h
@@ -20,19 +20,18 @@
 
 class RouterService;
 
-/** How a CallerService works. */
 struct CallerOptions
 {
   trefoilio::HttpServerOptions mHttp;
   std::string mDataCentre;
   size_t mMaxOpen = 1000;
-  /** Bytes of an answer that may wait for a caller that reads slowly. */
-  size_t mMostUnread = 8 * 1024 * 1024;
-  /** The policy in force; null where there is none yet. */
+  /** Response bytes buffered for a caller that reads slowly. */
+  size_t mMaxUnreadBytes = 8 * 1024 * 1024;
+  /** Returns the current classifier, or null if there is none yet. */
   std::function<std::shared_ptr<const Classifier>()> mClassifier;
 };
 
-/** The callers' HTTP port: reads requests, and writes answers. */
+/** Serves the callers' HTTP port: reads requests and writes responses. */
 class CallerService final : public trefoilio::Service
 {
 public:
@@ -45,12 +44,12 @@
   void Stop() override;
   std::string DumpState() const override;
 
-  /** `ADDRESS:PORT` as bound. */
+  /** Returns the bound `ADDRESS:PORT`. */
   std::string Address() const;
 
-  /** From here on new requests are refused with ShuttingDown. */
+  /** Rejects new requests with ShuttingDown from now on. */
   void Drain() { mDraining = true; }
-  size_t OpenRequests() const { return mOpen; }
+  size_t OpenRequests() const { return mOpenRequests; }
 
 private:
   class OpenCount;
@@ -63,8 +62,8 @@
   Result<trefoilio::HttpReply> Run(CallerRequest aRequest,
                                    const trefoilio::HttpRequest& aHttp,
                                    const RequestId& aId);
-  Result<std::shared_ptr<const Classifier>> PolicyInForce() const;
-  /** Hands the request to the router, and waits for its answer's head. */
+  Result<std::shared_ptr<const Classifier>> CurrentPolicyClassifier() const;
+  /** Submits the request to the router and waits for the response's head. */
   Result<trefoilio::HttpReply> Submit(CallerRequest aRequest,
                                       ClassifiedRequest aClassified,
                                       const std::shared_ptr<ClaimHold>& aClaim,
@@ -73,14 +72,14 @@
                                       Millis aArrived);
   trefoilio::HttpReply Refuse(const Refusal& aRefusal, const RequestId& aId);
   trefoilio::HttpReply RefuseBadInput(trefoilio::BadInput aInput);
-  RequestId DrawId();
+  RequestId RandomId();
 
   CallerOptions mOptions;
   trefoilio::Metrics& mMetrics;
   RouterService* mRouter = nullptr;
   std::optional<ClaimGate> mClaims;
   std::atomic<bool> mDraining = false;
-  std::atomic<size_t> mOpen = 0;
+  std::atomic<size_t> mOpenRequests = 0;
   std::mutex mRandomMutex;
   std::mt19937_64 mRandom;
   std::unique_ptr<trefoilio::HttpServer> mServer;
--- a/src/trefoilarchd/entryprocess.cpp
+++ b/src/trefoilarchd/entryprocess.cpp
@@ -67,9 +67,9 @@
     PlatformClientOptions{ .mUrl = aSettings.Text("platform") });
 }
 
-/** The sidecars of the setting `--sidecars`. */
+/** Returns the sidecars given by the setting `--sidecars`. */
 Membership
-FixedMembers(const Settings& aSettings)
+FixedMembership(const Settings& aSettings)
 {
   Membership members;
   for (const auto& [name, address] : aSettings.LabelMap("sidecars")) {
@@ -105,7 +105,7 @@
   return peers;
 }
 
-/** The daemon that callers reach. */
+/** The daemon that serves callers. */
 class EntryProcess final : public Process
 {
 public:
@@ -145,7 +145,7 @@
     mOperators = Add(OperatorService::kName,
                      std::make_unique<OperatorService>(
                        OperatorOptionsFrom(aSettings), mMetrics));
-    Join();
+    ConnectServices();
   }
 
   void Start() override { mKernel.StartAll(); }
@@ -163,8 +163,8 @@
       return "stopping";
     }
     if (mPolicy->Version() == 0) {
-      return mPolicy->Known() ? "no policy has been set"
-                              : "no policy is known yet";
+      return mPolicy->IsLoaded() ? "no policy has been set"
+                                 : "no policy is known yet";
     }
     if (!mMembership->Known()) {
       return "no host list is known yet";
@@ -194,14 +194,14 @@
     return service;
   }
 
-  /** The hooks by which the services tell each other what is new. */
-  void Join()
+  /** Sets the hooks through which the services notify each other. */
+  void ConnectServices()
   {
     mPolicy->Subscribe([this](std::shared_ptr<const Classifier> aClassifier) {
       mRouter->SetClassifier(std::move(aClassifier));
     });
     mRouter->SetVersionHook(
-      [this](uint64_t aVersion) { mPolicy->NoteVersion(aVersion); });
+      [this](uint64_t aVersion) { mPolicy->OnRemoteVersion(aVersion); });
     mMembership->Subscribe([this](const Membership& aMembership) {
       mRouter->SetSidecars(Sidecars(aMembership));
       mPolicy->SetPeers(PeerAddresses(aMembership));
@@ -214,7 +214,7 @@
     MembershipServiceOptions options{ .mSeed = DrawIncarnation() };
     options.mEntry = mName;
     options.mSubsetSize = aSettings.Integer("subset-size");
-    options.mFixed = FixedMembers(aSettings);
+    options.mFixed = FixedMembership(aSettings);
     if (options.mFixed.mSidecars.empty()) {
       options.mPlatform = mPlatform;
     }
--- a/src/trefoilarchd/policyhttp.cpp
+++ b/src/trefoilarchd/policyhttp.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::string_view kPolicyPath = "/v1/policy";
 constexpr std::string_view kChangesPath = "/v1/policy/changes";
-constexpr uint64_t kMostHistory = 1000;
-constexpr uint64_t kUsualHistory = 100;
+constexpr uint64_t kMaxHistoryLimit = 1000;
+constexpr uint64_t kDefaultHistoryLimit = 100;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
 
@@ -112,18 +112,18 @@
                              "nothing was written"));
 }
 
-/** A number of the query string, or the default. */
+/** Returns a numeric parameter of the query string, or the default. */
 uint64_t
 QueryNumber(std::string_view aQuery, std::string_view aName, uint64_t aDefault)
 {
   while (!aQuery.empty()) {
-    const std::string_view one = aQuery.substr(0, aQuery.find('&'));
-    aQuery.remove_prefix(std::min(aQuery.size(), one.size() + 1));
-    if (!one.starts_with(aName) || one.size() <= aName.size() ||
-        one[aName.size()] != '=') {
+    const std::string_view parameter = aQuery.substr(0, aQuery.find('&'));
+    aQuery.remove_prefix(std::min(aQuery.size(), parameter.size() + 1));
+    if (!parameter.starts_with(aName) || parameter.size() <= aName.size() ||
+        parameter[aName.size()] != '=') {
       continue;
     }
-    const std::string_view text = one.substr(aName.size() + 1);
+    const std::string_view text = parameter.substr(aName.size() + 1);
     uint64_t value = aDefault;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
@@ -136,12 +136,12 @@
 {
   const uint64_t after = QueryNumber(aQuery, "after", 0);
   const uint64_t limit = std::clamp<uint64_t>(
-    QueryNumber(aQuery, "limit", kUsualHistory), 1, kMostHistory);
+    QueryNumber(aQuery, "limit", kDefaultHistoryLimit), 1, kMaxHistoryLimit);
   Json changes = Json::array();
   for (const LoggedChange& logged : aService.History(after, limit)) {
-    Json one = Json::parse(ChangeToJson(logged.mChange));
-    one["version"] = logged.mVersion;
-    changes.push_back(std::move(one));
+    Json change = Json::parse(ChangeToJson(logged.mChange));
+    change["version"] = logged.mVersion;
+    changes.push_back(std::move(change));
   }
   return JsonReply(200, { { "changes", std::move(changes) } });
 }
@@ -149,13 +149,12 @@
 trefoilio::HttpReply
 ProposeReply(PolicyService& aService, const std::string& aBody)
 {
-  ParseResult<PolicyChange> reading = ChangeFromJson(aBody);
-  if (!reading.IsValid()) {
-    return InvalidReply(reading.mFaults);
+  ParseResult<PolicyChange> parsed = ChangeFromJson(aBody);
+  if (!parsed.IsValid()) {
+    return InvalidReply(parsed.mFaults);
   }
-  const std::string id = reading.mValue.mId;
-  return OutcomeReply(
-    aService, id, aService.Propose(std::move(reading.mValue)));
+  const std::string id = parsed.mValue.mId;
+  return OutcomeReply(aService, id, aService.Propose(std::move(parsed.mValue)));
 }
 
 } // namespace
@@ -165,23 +164,24 @@
                  const trefoilio::HttpRequest& aRequest)
 {
   const std::string_view target = aRequest.mTarget;
-  const size_t mark = std::min(target.find('?'), target.size());
-  const std::string_view path = target.substr(0, mark);
-  const std::string_view query =
-    mark < target.size() ? target.substr(mark + 1) : std::string_view();
-  const bool reads = aRequest.mMethod == "GET";
-  if (path == kPolicyPath && reads) {
+  const size_t queryStart = std::min(target.find('?'), target.size());
+  const std::string_view path = target.substr(0, queryStart);
+  const std::string_view query = queryStart < target.size()
+                                   ? target.substr(queryStart + 1)
+                                   : std::string_view();
+  const bool isGet = aRequest.mMethod == "GET";
+  if (path == kPolicyPath && isGet) {
     const auto classifier = aService.CurrentClassifier();
     return JsonReply(200,
                      Json::parse(PolicyToJson(classifier->CurrentPolicy())));
   }
-  if (path == kChangesPath && reads) {
+  if (path == kChangesPath && isGet) {
     return HistoryReply(aService, query);
   }
   if (path == kChangesPath && aRequest.mMethod == "POST") {
     return ProposeReply(aService, aRequest.mBody);
   }
-  if (reads && path.size() > kChangesPath.size() + 1 &&
+  if (isGet && path.size() > kChangesPath.size() + 1 &&
       path.starts_with(kChangesPath) && path[kChangesPath.size()] == '/') {
     const std::string id(path.substr(kChangesPath.size() + 1));
     return OutcomeReply(aService, id, aService.QueryChange(id));
--- a/src/trefoilarchd/policyhttp.h
+++ b/src/trefoilarchd/policyhttp.h
@@ -6,7 +6,7 @@
 
 class PolicyService;
 
-/** Answers the operator paths under /v1/policy for a PolicyService. */
+/** Handles the operator paths under /v1/policy for a PolicyService. */
 trefoilio::HttpReply
 HandlePolicyHttp(PolicyService& aService,
                  const trefoilio::HttpRequest& aRequest);
--- a/src/trefoilarchd/policypeer.cpp
+++ b/src/trefoilarchd/policypeer.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** A snapshot at the two-year size is about a megabyte. */
-constexpr int kMostMessageBytes = 64 * 1024 * 1024;
+/** A snapshot at its expected size after two years is about a megabyte. */
+constexpr int kMaxMessageBytes = 64 * 1024 * 1024;
 
 } // namespace
 
@@ -39,7 +39,7 @@
 {
   if (!mStub || mAddress != aAddress) {
     grpc::ChannelArguments arguments;
-    arguments.SetMaxReceiveMessageSize(kMostMessageBytes);
+    arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
     mStub = wire::PolicyPeer::NewStub(grpc::CreateCustomChannel(
       aAddress, grpc::InsecureChannelCredentials(), arguments));
     mAddress = aAddress;
--- a/src/trefoilarchd/policypeer.h
+++ b/src/trefoilarchd/policypeer.h
@@ -13,7 +13,7 @@
 
 namespace trefoilarch {
 
-/** Answers peers that lack changes. Give it to a gRPC server. */
+/** Serves changes to peers that lack them. Register it with a gRPC server. */
 class PolicyPeerServer final : public wire::PolicyPeer::Service
 {
 public:
@@ -29,11 +29,11 @@
   Source mSource;
 };
 
-/** Asks peers for changes; one channel is kept, to the peer asked last. */
+/** Pulls changes from peers. Only the channel to the last peer is kept. */
 class PolicyPeerClient
 {
 public:
-  /** None where the peer did not answer in time. */
+  /** Returns nullopt if the peer does not respond in time. */
   std::optional<PolicyDelta> Pull(const std::string& aAddress,
                                   uint64_t aAfter,
                                   Millis aTimeout);
--- a/src/trefoilarchd/policyservice.cpp
+++ b/src/trefoilarchd/policyservice.cpp
@@ -17,122 +17,123 @@
 
 namespace {
 
-constexpr size_t kEventRing = 256;
-constexpr size_t kWorkRing = 64;
-/** So that a closed ring is noticed where nothing else happens. */
-constexpr Millis kLongestWait{ 500 };
-/** What an operator waits longer than the core may take to answer. */
+constexpr size_t kEventRingCapacity = 256;
+constexpr size_t kWorkRingCapacity = 64;
+/** Limits how long an idle thread takes to notice a closed ring. */
+constexpr Millis kMaxWait{ 500 };
+/** How much longer than the log's deadline an operator's call waits. */
 constexpr Millis kAnswerSlack{ 1000 };
 
 } // namespace
 
-/** Hands each event to the log. */
+/** Passes each event to the policy log. */
 struct PolicyService::Decider
 {
   PolicyService& mService;
   Millis mNow;
 
-  PolicyLogActions operator()(NewProposal& aOne) const
+  PolicyLogActions operator()(NewProposal& aEvent) const
   {
-    const uint64_t number = ++mService.mLastProposal;
-    mService.mWaiting[number] = aOne.mPromise;
-    const Millis deadline = mNow + mService.mOptions.mProposalSpan;
-    if (!aOne.mAsksFor.empty()) {
-      return mService.mLog.QueryChange(number, aOne.mAsksFor, deadline, mNow);
+    const uint64_t number = ++mService.mLastProposalNumber;
+    mService.mPendingProposals[number] = aEvent.mPromise;
+    const Millis deadline = mNow + mService.mOptions.mProposalTimeout;
+    if (!aEvent.mQueriedChangeId.empty()) {
+      return mService.mLog.QueryChange(
+        number, aEvent.mQueriedChangeId, deadline, mNow);
     }
     return mService.mLog.Propose(
-      number, std::move(aOne.mChange), deadline, mNow);
+      number, std::move(aEvent.mChange), deadline, mNow);
   }
-  PolicyLogActions operator()(const VersionSeen& aOne) const
+  PolicyLogActions operator()(const VersionSeen& aEvent) const
   {
-    return mService.mLog.OnVersionSeen(aOne.mVersion, mNow);
+    return mService.mLog.OnVersionSeen(aEvent.mVersion, mNow);
   }
-  PolicyLogActions operator()(RowsRead& aOne) const
+  PolicyLogActions operator()(RowsRead& aEvent) const
   {
-    return mService.mLog.OnRows(std::move(aOne.mRows), mNow);
+    return mService.mLog.OnRows(std::move(aEvent.mRows), mNow);
   }
-  PolicyLogActions operator()(const RowInserted& aOne) const
+  PolicyLogActions operator()(const RowInserted& aEvent) const
   {
-    return mService.mLog.OnInserted(aOne.mOutcome, mNow);
+    return mService.mLog.OnInserted(aEvent.mOutcome, mNow);
   }
-  PolicyLogActions operator()(SnapshotRead& aOne) const
+  PolicyLogActions operator()(SnapshotRead& aEvent) const
   {
-    return mService.mLog.OnSnapshot(aOne.mFound, mNow);
+    return mService.mLog.OnSnapshot(aEvent.mFound, mNow);
   }
-  PolicyLogActions operator()(const SnapshotStored& aOne) const
+  PolicyLogActions operator()(const SnapshotStored& aEvent) const
   {
-    return mService.mLog.OnSnapshotWritten(aOne.mWritten, mNow);
+    return mService.mLog.OnSnapshotWritten(aEvent.mWritten, mNow);
   }
-  PolicyLogActions operator()(PeerPulled& aOne) const
+  PolicyLogActions operator()(PeerPulled& aEvent) const
   {
-    return mService.mLog.OnPulled(std::move(aOne.mDelta), mNow);
+    return mService.mLog.OnPulled(std::move(aEvent.mDelta), mNow);
   }
 };
 
-/** Carries out what the deciding thread can, and passes on the rest. */
+/** Performs actions on the decision thread; queues I/O for the worker. */
 struct PolicyService::Performer
 {
   PolicyService& mService;
 
-  void operator()(PolicyAdopted& aOne) const
+  void operator()(PolicyAdopted& aAction) const
   {
-    mService.Adopt(std::move(aOne.mPolicy));
+    mService.Adopt(std::move(aAction.mPolicy));
   }
-  void operator()(ProposalAnswered& aOne) const
+  void operator()(ProposalAnswered& aAction) const
   {
-    const auto place = mService.mWaiting.find(aOne.mProposal);
-    if (place != mService.mWaiting.end()) {
-      place->second->set_value(std::move(aOne.mAnswer));
-      mService.mWaiting.erase(place);
+    const auto found = mService.mPendingProposals.find(aAction.mProposal);
+    if (found != mService.mPendingProposals.end()) {
+      found->second->set_value(std::move(aAction.mAnswer));
+      mService.mPendingProposals.erase(found);
     }
   }
   template<typename T>
-  void operator()(T& aOne) const
+  void operator()(T& aAction) const
   {
-    mService.mWork.TryPush(std::move(aOne));
+    mService.mWork.TryPush(std::move(aAction));
   }
 };
 
-/** Reads and writes; gives back the event that reports the end. */
+/** Performs I/O; returns the event that reports its outcome, if any. */
 struct PolicyService::Worker
 {
   PolicyService& mService;
 
-  std::optional<Event> operator()(const ReadLog& aOne) const
+  std::optional<Event> operator()(const ReadLog& aAction) const
   {
-    return RowsRead{ mService.mStore ? mService.mStore->Read(aOne)
+    return RowsRead{ mService.mStore ? mService.mStore->Read(aAction)
                                      : std::nullopt };
   }
-  std::optional<Event> operator()(const InsertLogRow& aOne) const
+  std::optional<Event> operator()(const InsertLogRow& aAction) const
   {
-    return RowInserted{ mService.mStore ? mService.mStore->Insert(aOne)
+    return RowInserted{ mService.mStore ? mService.mStore->Insert(aAction)
                                         : InsertOutcome::NotSent };
   }
-  std::optional<Event> operator()(const ReadSnapshot& /*aOne*/) const
+  std::optional<Event> operator()(const ReadSnapshot& /*aAction*/) const
   {
     return SnapshotRead{ mService.mStore ? mService.mStore->NewestSnapshot()
                                          : SnapshotReadResult() };
   }
-  std::optional<Event> operator()(const WriteSnapshot& aOne) const
+  std::optional<Event> operator()(const WriteSnapshot& aAction) const
   {
-    return SnapshotStored{ mService.mStore && mService.mStore->Write(aOne) };
+    return SnapshotStored{ mService.mStore && mService.mStore->Write(aAction) };
   }
-  std::optional<Event> operator()(const PullFromPeer& aOne) const
+  std::optional<Event> operator()(const PullFromPeer& aAction) const
   {
-    return PeerPulled{ mService.PullFromAny(aOne.mAfter) };
+    return PeerPulled{ mService.PullFromNextPeer(aAction.mAfter) };
   }
-  std::optional<Event> operator()(const CompactLog& aOne) const
+  std::optional<Event> operator()(const CompactLog& aAction) const
   {
     if (mService.mStore) {
-      mService.mStore->Compact(aOne);
+      mService.mStore->Compact(aAction);
     }
     return std::nullopt;
   }
-  std::optional<Event> operator()(const PolicyAdopted& /*aOne*/) const
+  std::optional<Event> operator()(const PolicyAdopted& /*aAction*/) const
   {
     return std::nullopt;
   }
-  std::optional<Event> operator()(const ProposalAnswered& /*aOne*/) const
+  std::optional<Event> operator()(const ProposalAnswered& /*aAction*/) const
   {
     return std::nullopt;
   }
@@ -142,8 +143,8 @@
   : mOptions(std::move(aOptions))
   , mLog(mOptions.mLog)
   , mClassifier(std::make_shared<Classifier>(std::make_shared<Policy>()))
-  , mEvents(kEventRing)
-  , mWork(kWorkRing)
+  , mEvents(kEventRingCapacity)
+  , mWork(kWorkRingCapacity)
 {
   if (mOptions.mPlatform) {
     mStore = std::make_unique<PolicyStore>(mOptions.mPlatform);
@@ -158,8 +159,8 @@
 void
 PolicyService::Start(trefoilio::Kernel& /*aKernel*/)
 {
-  mDecider = std::thread([this] { Decide(); });
-  mWorker = std::thread([this] { Work(); });
+  mDecisionThread = std::thread([this] { Decide(); });
+  mWorkerThread = std::thread([this] { RunWorker(); });
 }
 
 void
@@ -168,7 +169,7 @@
   mStopping = true;
   mEvents.Close();
   mWork.Close();
-  for (std::thread* thread : { &mDecider, &mWorker }) {
+  for (std::thread* thread : { &mDecisionThread, &mWorkerThread }) {
     if (thread->joinable()) {
       thread->join();
     }
@@ -183,7 +184,7 @@
     { "version", mLog.State().Version() },
     { "known", mLog.IsLoaded() },
     { "unreadable_row", mLog.UnreadableRow() },
-    { "highest_version_seen", mNoted.load() },
+    { "highest_version_seen", mHighestVersionSeen.load() },
     { "peers", mPeers.size() },
     { "changes_kept", mLog.RecentChanges().size() },
     { "classes", mLog.State().mPolicy->mClasses.size() },
@@ -202,11 +203,11 @@
 }
 
 void
-PolicyService::NoteVersion(uint64_t aVersion)
+PolicyService::OnRemoteVersion(uint64_t aVersion)
 {
-  uint64_t noted = mNoted;
-  while (aVersion > noted) {
-    if (mNoted.compare_exchange_weak(noted, aVersion)) {
+  uint64_t highest = mHighestVersionSeen;
+  while (aVersion > highest) {
+    if (mHighestVersionSeen.compare_exchange_weak(highest, aVersion)) {
       mEvents.TryPush(VersionSeen{ aVersion });
       return;
     }
@@ -242,7 +243,7 @@
 PolicyService::QueryChange(std::string aId)
 {
   NewProposal proposal;
-  proposal.mAsksFor = std::move(aId);
+  proposal.mQueriedChangeId = std::move(aId);
   return Wait(std::move(proposal));
 }
 
@@ -255,8 +256,8 @@
   if (!mEvents.TryPush(std::move(aProposal))) {
     return {};
   }
-  const Millis span = mOptions.mProposalSpan + kAnswerSlack;
-  const auto wait = std::chrono::milliseconds(span.Count());
+  const Millis timeout = mOptions.mProposalTimeout + kAnswerSlack;
+  const auto wait = std::chrono::milliseconds(timeout.Count());
   if (answer.wait_for(wait) != std::future_status::ready) {
     ProposalAnswer unknown;
     unknown.mOutcome = ProposalOutcome::Unknown;
@@ -311,14 +312,14 @@
       wait = mLog.NextWake() - trefoilio::MonotonicNow();
     }
     std::optional<Event> event =
-      mEvents.PopFor(std::clamp(wait, Millis(0), kLongestWait));
+      mEvents.PopFor(std::clamp(wait, Millis(0), kMaxWait));
     PolicyLogActions actions;
     {
       std::lock_guard lock(mMutex);
       const Millis now = trefoilio::MonotonicNow();
       actions =
         event ? std::visit(Decider{ *this, now }, *event) : mLog.OnTick(now);
-      mKnown = mLog.IsLoaded();
+      mLoaded = mLog.IsLoaded();
     }
     Perform(std::move(actions));
   }
@@ -355,10 +356,10 @@
 }
 
 void
-PolicyService::Work()
+PolicyService::RunWorker()
 {
   while (!mStopping) {
-    std::optional<PolicyLogAction> action = mWork.PopFor(kLongestWait);
+    std::optional<PolicyLogAction> action = mWork.PopFor(kMaxWait);
     if (!action) {
       continue;
     }
@@ -370,7 +371,7 @@
 }
 
 std::optional<PolicyDelta>
-PolicyService::PullFromAny(uint64_t aAfter)
+PolicyService::PullFromNextPeer(uint64_t aAfter)
 {
   std::string address;
   {
--- a/src/trefoilarchd/policyservice.h
+++ b/src/trefoilarchd/policyservice.h
@@ -28,20 +28,21 @@
 
 struct PolicyServiceOptions
 {
-  /** Empty where there is no platform: the policy then stays empty. */
+  /** Null if there is no platform; the policy then stays empty. */
   std::shared_ptr<const PlatformClient> mPlatform;
-  /** This process's own peer address, which is never asked. */
+  /** This process's own peer address, which is excluded from pulls. */
   std::string mOwnPeerAddress;
   PolicyLogOptions mLog;
-  /** How long an operator's change may take until it is "unknown". */
-  Millis mProposalSpan{ 8000 };
+  /** The time after which an operator's change is reported as "unknown". */
+  Millis mProposalTimeout{ 8000 };
   Millis mPullTimeout{ 1500 };
   trefoilio::Metrics* mMetrics = nullptr;
 };
 
 /**
- * Keeps this process's policy by the change log. One thread decides
- * (PolicyLog) and one does the reading and writing; bounded rings join them.
+ * Keeps this process's policy up to date from the change log. One thread runs
+ * the decision logic (PolicyLog), one reads and writes; bounded rings connect
+ * them.
  */
 class PolicyService final : public trefoilio::Service
 {
@@ -56,40 +57,41 @@
   void Stop() override;
   std::string DumpState() const override;
 
-  /** Called on the policy thread for each new policy; set before Start. */
+  /** Adds a hook that the policy thread calls for each new policy; call
+   * before Start. */
   void Subscribe(OnPolicy aHook) { mHooks.push_back(std::move(aHook)); }
-  /** Tells the upstreams for warnings; set before Start. */
+  /** Sets the source of upstreams for warnings; call before Start. */
   void SetUpstreams(Upstreams aHook) { mUpstreams = std::move(aHook); }
 
-  /** Never empty; version 0 where there is no policy yet. */
+  /** Returns the current classifier, never null; version 0: no policy yet. */
   std::shared_ptr<const Classifier> CurrentClassifier() const;
   uint64_t Version() const { return mVersion; }
-  /** There is a policy, or none is known to be set yet. */
-  bool Known() const { return mKnown; }
-  /** Another process's message carried this version; cheap. */
-  void NoteVersion(uint64_t aVersion);
-  /** Peer addresses from the host list. */
+  /** Whether the policy is loaded, or the log is known to be empty. */
+  bool IsLoaded() const { return mLoaded; }
+  /** Reports a version that another process's message carried; cheap. */
+  void OnRemoteVersion(uint64_t aVersion);
+  /** Sets the peer addresses from the host list. */
   void SetPeers(std::vector<std::string> aAddresses);
-  /** For a peer that has aAfter. */
+  /** Returns the changes for a peer that has version aAfter. */
   PolicyDelta DeltaAfter(uint64_t aAfter) const;
 
-  /** Waits for the outcome; at most the proposal span and a little. */
+  /** Waits for the outcome, at most the proposal timeout plus kAnswerSlack. */
   ProposalAnswer Propose(PolicyChange aChange);
   ProposalAnswer QueryChange(std::string aId);
-  /** Accepted changes after a version, oldest first; from the table or, in
-   * an outage, from memory. */
+  /** Returns accepted changes after a version, oldest first, from the table
+   * or, in an outage, from memory. */
   std::vector<LoggedChange> History(uint64_t aAfter, size_t aLimit) const;
-  /** What the operator of this policy should know of it. */
+  /** Returns warnings about the policy for its operator. */
   std::vector<std::string> Warnings() const;
 
-  /** Answers the operator paths under /v1/policy. */
+  /** Handles the operator paths under /v1/policy. */
   trefoilio::HttpReply HandleOperator(const trefoilio::HttpRequest& aRequest);
 
 private:
   struct NewProposal
   {
     PolicyChange mChange;
-    std::string mAsksFor; /**< where not empty, a question */
+    std::string mQueriedChangeId; /**< if not empty, this is a query */
     std::shared_ptr<std::promise<ProposalAnswer>> mPromise;
   };
   struct VersionSeen
@@ -128,11 +130,11 @@
   struct Worker;
 
   void Decide();
-  void Work();
+  void RunWorker();
   void Perform(PolicyLogActions aActions);
   void Adopt(std::shared_ptr<const Policy> aPolicy);
   ProposalAnswer Wait(NewProposal aProposal);
-  std::optional<PolicyDelta> PullFromAny(uint64_t aAfter);
+  std::optional<PolicyDelta> PullFromNextPeer(uint64_t aAfter);
 
   PolicyServiceOptions mOptions;
   std::unique_ptr<PolicyStore> mStore;
@@ -141,22 +143,23 @@
   Upstreams mUpstreams;
 
   mutable std::mutex mMutex;
-  PolicyLog mLog; /**< under mMutex */
+  PolicyLog mLog; /**< guarded by mMutex */
   std::shared_ptr<const Classifier> mClassifier;
   std::vector<std::string> mPeers;
   size_t mNextPeer = 0;
 
-  std::map<uint64_t, std::shared_ptr<std::promise<ProposalAnswer>>> mWaiting;
-  uint64_t mLastProposal = 0;
+  std::map<uint64_t, std::shared_ptr<std::promise<ProposalAnswer>>>
+    mPendingProposals;
+  uint64_t mLastProposalNumber = 0;
   std::atomic<uint64_t> mVersion{ 0 };
-  std::atomic<bool> mKnown{ false };
-  std::atomic<uint64_t> mNoted{ 0 };
+  std::atomic<bool> mLoaded{ false };
+  std::atomic<uint64_t> mHighestVersionSeen{ 0 };
   std::atomic<bool> mStopping{ false };
 
   trefoilio::BoundedRing<Event> mEvents;
   trefoilio::BoundedRing<PolicyLogAction> mWork;
-  std::thread mDecider;
-  std::thread mWorker;
+  std::thread mDecisionThread;
+  std::thread mWorkerThread;
 };
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/policystore.cpp
+++ b/src/trefoilarchd/policystore.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 const std::string kLogPrefix = "policy/log/";
-/** The key after every row of the log: '0' follows '/'. */
+/** The exclusive end of the log's keys: '0' follows '/'. */
 const std::string kLogEnd = "policy/log0";
 const std::string kSnapshotPrefix = "policy/snapshot/";
 
@@ -19,14 +19,14 @@
   return kLogPrefix + PaddedNumber(aVersion);
 }
 
-/** The version in a key of the given prefix; 0 where there is none. */
+/** Returns the version in a key with the given prefix, or 0. */
 uint64_t
 VersionOf(const std::string& aKey, const std::string& aPrefix)
 {
-  const bool good =
+  const bool valid =
     aKey.size() == aPrefix.size() + kKeyDigits && aKey.starts_with(aPrefix) &&
     aKey.find_first_not_of("0123456789", aPrefix.size()) == std::string::npos;
-  return good ? std::stoull(aKey.substr(aPrefix.size())) : 0;
+  return valid ? std::stoull(aKey.substr(aPrefix.size())) : 0;
 }
 
 } // namespace
--- a/src/trefoilarchd/policystore.h
+++ b/src/trefoilarchd/policystore.h
@@ -12,10 +12,10 @@
 namespace trefoilarch {
 
 /**
- * Keeps the change log in the platform's table and its snapshots in the
- * object store. Row `policy/log/<version>` is written if absent and only
- * after row version-1; row 0 marks that there is a log and is never deleted,
- * so a process that slept through a compaction cannot write into its gap.
+ * Stores the change log in the platform's table and its snapshots in the
+ * object store. Row `policy/log/<version>` is written if it is absent and row
+ * version-1 exists. Row 0 marks that the log exists and is never deleted, so
+ * a process that missed a compaction cannot write into the compacted range.
  */
 class PolicyStore
 {
--- a/src/trefoilarchd/routerservice.cpp
+++ b/src/trefoilarchd/routerservice.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Millis kLongestWait{ 100 };
+constexpr Millis kMaxWait{ 100 };
 
 } // namespace
 
@@ -62,7 +62,7 @@
 void
 RouterService::CallerLeft(RequestId aId)
 {
-  mRing->Push(Left{ aId });
+  mRing->Push(CallerDisconnected{ aId });
 }
 
 void
@@ -94,7 +94,7 @@
 RouterService::Run()
 {
   while (true) {
-    auto event = mRing->PopFor(Wait(trefoilio::MonotonicNow()));
+    auto event = mRing->PopFor(TimeToNextWake(trefoilio::MonotonicNow()));
     if (event) {
       Handle(std::move(*event));
     } else if (mRing->Closed()) {
@@ -102,33 +102,33 @@
     }
     const Millis now = trefoilio::MonotonicNow();
     if (mCore.NextWake() <= now) {
-      CarryOut(mCore.OnTick(now));
+      PerformAll(mCore.OnTick(now));
     }
     CloseUnlisted();
     ReopenDue(now);
-    mOpen = mCore.OpenRequests();
-    LookWhetherSettled(now);
+    mOpenRequests = mCore.OpenRequests();
+    UpdateSettled(now);
   }
 }
 
 Millis
-RouterService::Wait(Millis aNow) const
+RouterService::TimeToNextWake(Millis aNow) const
 {
   const Millis wake = mCore.NextWake();
   if (wake <= aNow) {
     return Millis(0);
   }
-  return std::min(wake - aNow, kLongestWait);
+  return std::min(wake - aNow, kMaxWait);
 }
 
 void
 RouterService::Handle(Event aEvent)
 {
   std::visit([this](auto& aOne) { On(std::move(aOne)); }, aEvent);
-  while (!mGone.empty()) {
-    const RequestId id = mGone.back();
-    mGone.pop_back();
-    On(Left{ id });
+  while (!mSlowCallers.empty()) {
+    const RequestId id = mSlowCallers.back();
+    mSlowCallers.pop_back();
+    On(CallerDisconnected{ id });
   }
 }
 
@@ -139,12 +139,12 @@
                  "class=\"" + aEvent.mRequest.mClassified.mLevel.mClass + "\"");
   mAnswers[aEvent.mRequest.mId] =
     Answer{ std::move(aEvent.mMailbox), std::move(aEvent.mClaim) };
-  CarryOut(
+  PerformAll(
     mCore.OnRequest(std::move(aEvent.mRequest), trefoilio::MonotonicNow()));
 }
 
 void
-RouterService::On(const Left& aEvent)
+RouterService::On(const CallerDisconnected& aEvent)
 {
   const auto found = mAnswers.find(aEvent.mId);
   if (found != mAnswers.end() && found->second.mClaim) {
@@ -152,11 +152,11 @@
     return;
   }
   mAnswers.erase(aEvent.mId);
-  CarryOut(mCore.OnCallerLeft(aEvent.mId, trefoilio::MonotonicNow()));
+  PerformAll(mCore.OnCallerLeft(aEvent.mId, trefoilio::MonotonicNow()));
 }
 
 void
-RouterService::On(FromSidecar aEvent)
+RouterService::On(MessageReceived aEvent)
 {
   const auto found = mLinks.find(aEvent.mUpstream);
   if (found == mLinks.end() ||
@@ -164,15 +164,15 @@
     mMetrics.Count("late_messages_total");
     return;
   }
-  found->second.mBackoff = mOptions.mFirstReconnect;
-  found->second.mHeard = true;
-  Learn(aEvent.mMessage);
-  CarryOut(mCore.OnMessage(
+  found->second.mBackoff = mOptions.mMinReconnectDelay;
+  found->second.mMessageReceived = true;
+  RecordSidecarInfo(aEvent.mMessage);
+  PerformAll(mCore.OnMessage(
     aEvent.mUpstream, std::move(aEvent.mMessage), trefoilio::MonotonicNow()));
 }
 
 void
-RouterService::Learn(const SidecarMessage& aMessage)
+RouterService::RecordSidecarInfo(const SidecarMessage& aMessage)
 {
   if (const auto* heartbeat = std::get_if<SidecarHeartbeat>(&aMessage)) {
     mVersionHook(heartbeat->mPolicyVersion);
@@ -182,8 +182,8 @@
     return;
   }
   mVersionHook(welcome->mPolicyVersion);
-  const std::lock_guard lock(mKnownMutex);
-  mKnown[welcome->mUpstream] =
+  const std::lock_guard lock(mUpstreamViewsMutex);
+  mUpstreamViews[welcome->mUpstream] =
     UpstreamView{ .mName = welcome->mUpstream,
                   .mDataCentre = welcome->mDataCentre,
                   .mLabels = welcome->mLabels };
@@ -193,8 +193,8 @@
 RouterService::Upstreams() const
 {
   std::vector<UpstreamView> upstreams;
-  const std::lock_guard lock(mKnownMutex);
-  for (const auto& [name, view] : mKnown) {
+  const std::lock_guard lock(mUpstreamViewsMutex);
+  for (const auto& [name, view] : mUpstreamViews) {
     upstreams.push_back(view);
   }
   return upstreams;
@@ -224,11 +224,11 @@
   const Millis now = trefoilio::MonotonicNow();
   Link& link = found->second;
   link.mChannel.reset();
-  const int64_t most = std::max<int64_t>(link.mBackoff.Count(), 2);
-  std::uniform_int_distribution<int64_t> jitter(most / 2, most);
+  const int64_t maxDelay = std::max<int64_t>(link.mBackoff.Count(), 2);
+  std::uniform_int_distribution<int64_t> jitter(maxDelay / 2, maxDelay);
   link.mReopenAt = now + Millis(jitter(mRandom));
-  link.mBackoff = std::min(link.mBackoff * 2, mOptions.mMostReconnect);
-  CarryOut(mCore.OnChannelDown(aEvent.mUpstream, now));
+  link.mBackoff = std::min(link.mBackoff * 2, mOptions.mMaxReconnectDelay);
+  PerformAll(mCore.OnChannelDown(aEvent.mUpstream, now));
 }
 
 void
@@ -251,18 +251,18 @@
     }
     kept[name] = Link{ .mAddress = sidecar.mAddress,
                        .mReopenAt = Millis(0),
-                       .mBackoff = mOptions.mFirstReconnect };
+                       .mBackoff = mOptions.mMinReconnectDelay };
   }
   std::swap(mLinks, kept);
   const Millis now = trefoilio::MonotonicNow();
   if (!mLinks.empty()) {
-    mFirstList = mFirstList.value_or(now);
+    mFirstListAt = mFirstListAt.value_or(now);
   }
-  CarryOut(mCore.SetUpstreams(std::move(upstreams), leaving, now));
+  PerformAll(mCore.SetUpstreams(std::move(upstreams), leaving, now));
   for (auto& [name, link] : kept) {
     if (mLinks.contains(name) || !mCore.NeedsChannel(name)) {
       CloseChannel(link);
-      CarryOut(mCore.OnChannelDown(name, now));
+      PerformAll(mCore.OnChannelDown(name, now));
     } else {
       link.mListed = false;
       mLinks[name] = std::move(link);
@@ -274,14 +274,14 @@
 void
 RouterService::CloseUnlisted()
 {
-  for (auto place = mLinks.begin(); place != mLinks.end();) {
-    auto& [name, link] = *place;
+  for (auto it = mLinks.begin(); it != mLinks.end();) {
+    auto& [name, link] = *it;
     if (link.mListed || mCore.NeedsChannel(name)) {
-      ++place;
+      ++it;
       continue;
     }
     CloseChannel(link);
-    place = mLinks.erase(place);
+    it = mLinks.erase(it);
   }
 }
 
@@ -298,15 +298,15 @@
 }
 
 void
-RouterService::CarryOut(EntryActions aActions)
+RouterService::PerformAll(EntryActions aActions)
 {
   for (EntryAction& action : aActions) {
-    std::visit([this](auto& aOne) { Do(std::move(aOne)); }, action);
+    std::visit([this](auto& aOne) { Perform(std::move(aOne)); }, action);
   }
 }
 
 void
-RouterService::Do(const SendToSidecar& aAction)
+RouterService::Perform(const SendToSidecar& aAction)
 {
   const auto found = mLinks.find(aAction.mUpstream);
   if (found != mLinks.end() && found->second.mChannel) {
@@ -315,7 +315,7 @@
 }
 
 void
-RouterService::Do(const ReopenChannel& aAction)
+RouterService::Perform(const ReopenChannel& aAction)
 {
   const auto found = mLinks.find(aAction.mUpstream);
   if (found == mLinks.end()) {
@@ -327,28 +327,28 @@
 }
 
 void
-RouterService::Do(AnswerHead aAction)
+RouterService::Perform(AnswerHead aAction)
 {
   const RequestId id = aAction.mId;
   Deliver(id, std::move(aAction), false);
 }
 
 void
-RouterService::Do(AnswerData aAction)
+RouterService::Perform(AnswerData aAction)
 {
   const RequestId id = aAction.mId;
   Deliver(id, std::move(aAction), false);
 }
 
 void
-RouterService::Do(AnswerEnd aAction)
+RouterService::Perform(AnswerEnd aAction)
 {
   mMetrics.Count("answers_whole_total");
   Deliver(aAction.mId, aAction, true);
 }
 
 void
-RouterService::Do(AnswerError aAction)
+RouterService::Perform(AnswerError aAction)
 {
   const RequestId id = aAction.mId;
   mMetrics.Count("answers_refused_total",
@@ -359,7 +359,7 @@
 }
 
 void
-RouterService::Tell(ClaimHold& aClaim, const AnswerEvent& aEvent)
+RouterService::ForwardToClaim(ClaimHold& aClaim, const AnswerEvent& aEvent)
 {
   if (const auto* head = std::get_if<AnswerHead>(&aEvent)) {
     aClaim.OnHead(head->mStatus, head->mHeaders);
@@ -381,16 +381,16 @@
   }
   Answer& answer = found->second;
   if (answer.mClaim) {
-    Tell(*answer.mClaim, aEvent);
+    ForwardToClaim(*answer.mClaim, aEvent);
   }
-  const bool taken =
+  const bool delivered =
     answer.mMailbox && answer.mMailbox->Push(std::move(aEvent));
   if (aLast) {
     mAnswers.erase(found);
-  } else if (!taken && answer.mMailbox) {
+  } else if (!delivered && answer.mMailbox) {
     mMetrics.Count("callers_too_slow_total");
     answer.mMailbox->Abandon();
-    mGone.push_back(aId);
+    mSlowCallers.push_back(aId);
   }
 }
 
@@ -405,13 +405,14 @@
     EntryChannelHooks{
       .mOnMessage =
         [ring = mRing, aUpstream, generation](SidecarMessage aMessage) {
-          ring->Push(FromSidecar{ aUpstream, generation, std::move(aMessage) });
+          ring->Push(
+            MessageReceived{ aUpstream, generation, std::move(aMessage) });
         },
       .mOnDown =
         [ring = mRing, aUpstream, generation] {
           ring->Push(ChannelDown{ aUpstream, generation });
         } });
-  CarryOut(mCore.OnChannelUp(aUpstream, trefoilio::MonotonicNow()));
+  PerformAll(mCore.OnChannelUp(aUpstream, trefoilio::MonotonicNow()));
 }
 
 void
@@ -424,16 +425,16 @@
 }
 
 void
-RouterService::LookWhetherSettled(Millis aNow)
+RouterService::UpdateSettled(Millis aNow)
 {
-  if (mSettled || !mFirstList) {
+  if (mSettled || !mFirstListAt) {
     return;
   }
-  const bool heardAll =
+  const bool allReceived =
     std::all_of(mLinks.begin(), mLinks.end(), [](const auto& aOne) {
-      return aOne.second.mHeard;
+      return aOne.second.mMessageReceived;
     });
-  mSettled = heardAll || aNow - *mFirstList >= mOptions.mSettleSpan;
+  mSettled = allReceived || aNow - *mFirstListAt >= mOptions.mSettleTimeout;
 }
 
 void
--- a/src/trefoilarchd/routerservice.h
+++ b/src/trefoilarchd/routerservice.h
@@ -25,7 +25,7 @@
 
 class ClaimHold;
 
-/** A sidecar that this entry is to have a channel to. */
+/** A sidecar that this entry keeps a channel to. */
 struct SidecarAddress
 {
   UpstreamView mUpstream;
@@ -39,20 +39,19 @@
   }
 };
 
-/** How a RouterService works. */
 struct RouterOptions
 {
   EntryOptions mCore;
   size_t mRingCapacity = 65536;
-  Millis mFirstReconnect{ 100 };
-  Millis mMostReconnect{ 2000 };
-  /** How long the first channels may take before the entry is ready. */
-  Millis mSettleSpan{ 2000 };
+  Millis mMinReconnectDelay{ 100 };
+  Millis mMaxReconnectDelay{ 2000 };
+  /** How long the entry waits for sidecars before it counts as ready. */
+  Millis mSettleTimeout{ 2000 };
 };
 
 /**
- * The entry's decision thread: feeds the EntryCore with callers' requests and
- * sidecars' messages, and carries out what it says.
+ * The entry's decision thread: passes callers' requests and sidecars' messages
+ * to the EntryCore and performs the resulting actions.
  */
 class RouterService final : public trefoilio::Service
 {
@@ -67,8 +66,9 @@
   std::string DumpState() const override;
 
   /**
-   * Takes a request in; false where the ring is full. One with a claim goes
-   * on when its caller leaves, so that a repeat finds its answer.
+   * Queues a request; returns false if the ring is full. A request with a
+   * claim continues after its caller disconnects, so that a retry finds its
+   * response.
    */
   bool Submit(EntryRequest aRequest,
               std::shared_ptr<AnswerMailbox> aMailbox,
@@ -77,19 +77,19 @@
 
   void SetSidecars(std::vector<SidecarAddress> aSidecars);
   void SetClassifier(std::shared_ptr<const Classifier> aClassifier);
-  /** Called with each policy version that a sidecar's message carries; set
-   * before Start. */
+  /** Sets a hook called with each policy version that a sidecar's message
+   * carries; call before Start. */
   void SetVersionHook(std::function<void(uint64_t)> aHook);
 
-  size_t OpenRequests() const { return mOpen; }
+  size_t OpenRequests() const { return mOpenRequests; }
   /**
-   * Some sidecar is listed, and each has been heard or has had its time to
-   * answer.
+   * Whether a sidecar has been listed, and every sidecar has sent a message
+   * or the settle timeout has passed.
    */
   bool Settled() const { return mSettled; }
-  /** Names of the models that some sidecar has told of, sorted. */
+  /** Returns the names of the models that sidecars advertise, sorted. */
   std::vector<std::string> Models() const;
-  /** Upstreams as their sidecars have told of them. */
+  /** Returns the upstreams as advertised by their sidecars. */
   std::vector<UpstreamView> Upstreams() const;
 
 private:
@@ -99,11 +99,11 @@
     std::shared_ptr<AnswerMailbox> mMailbox;
     std::shared_ptr<ClaimHold> mClaim;
   };
-  struct Left
+  struct CallerDisconnected
   {
     RequestId mId;
   };
-  struct FromSidecar
+  struct MessageReceived
   {
     UpstreamId mUpstream;
     uint64_t mGeneration = 0;
@@ -123,8 +123,8 @@
     std::shared_ptr<const Classifier> mClassifier;
   };
   using Event = std::variant<Submitted,
-                             Left,
-                             FromSidecar,
+                             CallerDisconnected,
+                             MessageReceived,
                              ChannelDown,
                              NewSidecars,
                              NewClassifier,
@@ -138,61 +138,61 @@
     uint64_t mGeneration = 0;
     Millis mReopenAt = Millis::Never();
     Millis mBackoff;
-    bool mHeard = false;
-    /** False: off the list, and kept until what runs there has ended. */
+    bool mMessageReceived = false;
+    /** False if no longer listed; kept until its running requests end. */
     bool mListed = true;
   };
 
-  /** Where a request's answer goes. */
+  /** The destination of a request's response. */
   struct Answer
   {
-    std::shared_ptr<AnswerMailbox> mMailbox; /**< null: the caller left */
-    std::shared_ptr<ClaimHold> mClaim;       /**< null: it has none */
+    std::shared_ptr<AnswerMailbox> mMailbox; /**< null if the caller left */
+    std::shared_ptr<ClaimHold> mClaim;       /**< null if it has none */
   };
 
   void Run();
   void Handle(Event aEvent);
   void On(Submitted aEvent);
-  void On(const Left& aEvent);
-  void On(FromSidecar aEvent);
-  void Learn(const SidecarMessage& aMessage);
+  void On(const CallerDisconnected& aEvent);
+  void On(MessageReceived aEvent);
+  void RecordSidecarInfo(const SidecarMessage& aMessage);
   void CloseUnlisted();
   void On(const ChannelDown& aEvent);
   void On(const NewSidecars& aEvent);
   void On(const NewClassifier& aEvent);
   void On(const StateQuestion& aQuestion);
-  void CarryOut(EntryActions aActions);
-  void Do(const SendToSidecar& aAction);
-  void Do(const ReopenChannel& aAction);
-  void Do(AnswerHead aAction);
-  void Do(AnswerData aAction);
-  void Do(AnswerEnd aAction);
-  void Do(AnswerError aAction);
-  /** Lets the claim see what becomes of its request. */
-  static void Tell(ClaimHold& aClaim, const AnswerEvent& aEvent);
+  void PerformAll(EntryActions aActions);
+  void Perform(const SendToSidecar& aAction);
+  void Perform(const ReopenChannel& aAction);
+  void Perform(AnswerHead aAction);
+  void Perform(AnswerData aAction);
+  void Perform(AnswerEnd aAction);
+  void Perform(AnswerError aAction);
+  /** Passes a response event to the claim. */
+  static void ForwardToClaim(ClaimHold& aClaim, const AnswerEvent& aEvent);
   void Deliver(RequestId aId, AnswerEvent aEvent, bool aLast);
   void OpenChannel(const UpstreamId& aUpstream, Link& aLink);
   void CloseChannel(Link& aLink);
   void ReopenDue(Millis aNow);
-  void LookWhetherSettled(Millis aNow);
-  Millis Wait(Millis aNow) const;
+  void UpdateSettled(Millis aNow);
+  Millis TimeToNextWake(Millis aNow) const;
 
   RouterOptions mOptions;
   trefoilio::Metrics& mMetrics;
   EntryCore mCore;
-  /** Shared with channels that outlive their link for a moment. */
+  /** Shared with channels, which may briefly outlive their link. */
   std::shared_ptr<trefoilio::BoundedRing<Event>> mRing;
   std::map<UpstreamId, Link> mLinks;
   std::map<RequestId, Answer> mAnswers;
-  std::vector<RequestId> mGone;
+  std::vector<RequestId> mSlowCallers;
   uint64_t mNextGeneration = 1;
   std::minstd_rand mRandom;
-  std::atomic<size_t> mOpen = 0;
-  std::optional<Millis> mFirstList;
+  std::atomic<size_t> mOpenRequests = 0;
+  std::optional<Millis> mFirstListAt;
   std::atomic<bool> mSettled = false;
   std::function<void(uint64_t)> mVersionHook = [](uint64_t) {};
-  mutable std::mutex mKnownMutex;
-  std::map<UpstreamId, UpstreamView> mKnown;
+  mutable std::mutex mUpstreamViewsMutex;
+  std::map<UpstreamId, UpstreamView> mUpstreamViews;
   std::thread mThread;
 };
 
