--- a/src/trefoilarchd/answerassembler.cpp
+++ b/src/trefoilarchd/answerassembler.cpp
@@ -16,14 +16,14 @@
                                      "system_fingerprint",
                                      "service_tier" };
 
-/** Adds a delta's text to the text that has come so far. */
+/** Appends a text fragment, or replaces a value that is not text. */
 void
-Append(ordered_json& aTo, const ordered_json& aPart)
+AppendFragment(ordered_json& aTarget, const ordered_json& aFragment)
 {
-  if (aTo.is_string() && aPart.is_string()) {
-    aTo = aTo.get<std::string>() + aPart.get<std::string>();
-  } else if (!aPart.is_null()) {
-    aTo = aPart;
+  if (aTarget.is_string() && aFragment.is_string()) {
+    aTarget = aTarget.get<std::string>() + aFragment.get<std::string>();
+  } else if (!aFragment.is_null()) {
+    aTarget = aFragment;
   }
 }
 
@@ -32,14 +32,14 @@
 void
 AnswerAssembler::Add(const std::string& aData)
 {
-  mRest += aData;
+  mIncompleteLine += aData;
   size_t begin = 0;
-  for (size_t end = mRest.find('\n'); end != std::string::npos;
-       end = mRest.find('\n', begin)) {
-    AddLine(mRest.substr(begin, end - begin));
+  for (size_t end = mIncompleteLine.find('\n'); end != std::string::npos;
+       end = mIncompleteLine.find('\n', begin)) {
+    AddLine(mIncompleteLine.substr(begin, end - begin));
     begin = end + 1;
   }
-  mRest.erase(0, begin);
+  mIncompleteLine.erase(0, begin);
 }
 
 void
@@ -71,8 +71,8 @@
 {
   for (const char* field : kHeadFields) {
     const auto found = aEvent.find(field);
-    if (found != aEvent.end() && !mHead.contains(field)) {
-      mHead[field] = *found;
+    if (found != aEvent.end() && !mHeadFields.contains(field)) {
+      mHeadFields[field] = *found;
     }
   }
   const auto usage = aEvent.find("usage");
@@ -83,19 +83,21 @@
   if (choices == aEvent.end() || !choices->is_array()) {
     return;
   }
-  for (const auto& part : *choices) {
-    if (!part.is_object()) {
+  for (const auto& choiceDelta : *choices) {
+    if (!choiceDelta.is_object()) {
       continue;
     }
-    Choice& choice = mChoices[part.value("index", int64_t(0))];
-    if (part.contains("delta") && part["delta"].is_object()) {
-      AddDelta(choice, part["delta"]);
+    Choice& choice = mChoices[choiceDelta.value("index", int64_t(0))];
+    if (choiceDelta.contains("delta") && choiceDelta["delta"].is_object()) {
+      AddDelta(choice, choiceDelta["delta"]);
     }
-    if (part.contains("finish_reason") && !part["finish_reason"].is_null()) {
-      choice.mFinishReason = part["finish_reason"];
+    if (choiceDelta.contains("finish_reason") &&
+        !choiceDelta["finish_reason"].is_null()) {
+      choice.mFinishReason = choiceDelta["finish_reason"];
     }
-    if (part.contains("logprobs") && part["logprobs"].is_object()) {
-      for (const auto& [name, list] : part["logprobs"].items()) {
+    if (choiceDelta.contains("logprobs") &&
+        choiceDelta["logprobs"].is_object()) {
+      for (const auto& [name, list] : choiceDelta["logprobs"].items()) {
         for (const auto& item : list) {
           choice.mLogprobs[name].push_back(item);
         }
@@ -113,7 +115,7 @@
     } else if (name == "tool_calls" && value.is_array()) {
       AddToolCalls(aChoice, value);
     } else {
-      Append(aChoice.mMessage[name], value);
+      AppendFragment(aChoice.mMessage[name], value);
     }
   }
 }
@@ -122,21 +124,21 @@
 AnswerAssembler::AddToolCalls(Choice& aChoice, const ordered_json& aCalls)
 {
   ordered_json& calls = aChoice.mMessage["tool_calls"];
-  for (const auto& part : aCalls) {
-    if (!part.is_object()) {
+  for (const auto& callDelta : aCalls) {
+    if (!callDelta.is_object()) {
       continue;
     }
-    const size_t index = part.value("index", size_t(0));
+    const size_t index = callDelta.value("index", size_t(0));
     while (calls.size() <= index && calls.size() < 1024) {
       calls.push_back(ordered_json::object());
     }
     if (index >= calls.size()) {
       continue;
     }
-    for (const auto& [name, value] : part.items()) {
+    for (const auto& [name, value] : callDelta.items()) {
       if (name == "function" && value.is_object()) {
         for (const auto& [field, text] : value.items()) {
-          Append(calls[index]["function"][field], text);
+          AppendFragment(calls[index]["function"][field], text);
         }
       } else if (name != "index") {
         calls[index][name] = value;
@@ -148,7 +150,7 @@
 std::string
 AnswerAssembler::Json() const
 {
-  ordered_json answer = mHead;
+  ordered_json answer = mHeadFields;
   answer["object"] = "chat.completion";
   answer["choices"] = ordered_json::array();
   for (const auto& [index, choice] : mChoices) {
@@ -159,13 +161,13 @@
     if (!message.contains("content")) {
       message["content"] = nullptr;
     }
-    ordered_json one = { { "index", index },
-                         { "message", message },
-                         { "finish_reason", choice.mFinishReason } };
+    ordered_json assembled = { { "index", index },
+                               { "message", message },
+                               { "finish_reason", choice.mFinishReason } };
     if (!choice.mLogprobs.is_null()) {
-      one["logprobs"] = choice.mLogprobs;
+      assembled["logprobs"] = choice.mLogprobs;
     }
-    answer["choices"].push_back(std::move(one));
+    answer["choices"].push_back(std::move(assembled));
   }
   if (!mUsage.is_null()) {
     answer["usage"] = mUsage;
--- a/src/trefoilarchd/answerassembler.h
+++ b/src/trefoilarchd/answerassembler.h
@@ -8,17 +8,17 @@
 namespace trefoilarch {
 
 /**
- * Puts a chat completion's event stream together into the one JSON object
- * that a caller without streaming gets, in the published form.
+ * Assembles a chat completion's event stream into the single JSON object that
+ * a non-streaming caller receives, in the documented format.
  */
 class AnswerAssembler
 {
 public:
-  /** Takes whole events or parts of them, in order. */
+  /** Adds the next bytes of the stream; events may be split across calls. */
   void Add(const std::string& aData);
 
-  /** The stream has said that it is whole (`[DONE]`). */
-  bool Whole() const { return mDone; }
+  /** Whether the stream has ended with `[DONE]`. */
+  bool IsComplete() const { return mDone; }
 
   std::string Json() const;
 
@@ -36,8 +36,8 @@
   static void AddToolCalls(Choice& aChoice,
                            const nlohmann::ordered_json& aCalls);
 
-  std::string mRest;
-  nlohmann::ordered_json mHead = nlohmann::ordered_json::object();
+  std::string mIncompleteLine;
+  nlohmann::ordered_json mHeadFields = nlohmann::ordered_json::object();
   nlohmann::ordered_json mUsage;
   std::map<int64_t, Choice> mChoices;
   bool mDone = false;
--- a/src/trefoilarchd/answermailbox.cpp
+++ b/src/trefoilarchd/answermailbox.cpp
@@ -22,22 +22,22 @@
   {
     const std::lock_guard lock(mMutex);
     mBytes += SizeOf(aEvent);
-    if (mAbandoned || mBytes > mMostBytes) {
+    if (mAbandoned || mBytes > mMaxBytes) {
       return false;
     }
     mEvents.push_back(std::move(aEvent));
   }
-  mFilled.notify_one();
+  mEventAdded.notify_one();
   return true;
 }
 
 std::optional<AnswerEvent>
-AnswerMailbox::PopFor(Millis aSpan)
+AnswerMailbox::PopFor(Millis aTimeout)
 {
   std::unique_lock lock(mMutex);
-  mFilled.wait_for(lock, std::chrono::milliseconds(aSpan.Count()), [this] {
-    return !mEvents.empty();
-  });
+  mEventAdded.wait_for(lock,
+                       std::chrono::milliseconds(aTimeout.Count()),
+                       [this] { return !mEvents.empty(); });
   if (mEvents.empty()) {
     return std::nullopt;
   }
--- a/src/trefoilarchd/answermailbox.h
+++ b/src/trefoilarchd/answermailbox.h
@@ -10,36 +10,36 @@
 
 namespace trefoilarch {
 
-/** One thing that happens to a caller's answer. */
+/** One event of the response to a caller. */
 using AnswerEvent =
   std::variant<AnswerHead, AnswerData, AnswerEnd, AnswerError>;
 
 /**
- * Carries one request's answer from the router's thread to the thread of the
- * caller's connection. Bounded in bytes: a caller that does not read is told
- * apart by Push() returning false.
+ * Passes one request's response from the router's thread to the thread of the
+ * caller's connection. Bounded in bytes: Push() returns false if the caller
+ * does not read.
  */
 class AnswerMailbox
 {
 public:
-  explicit AnswerMailbox(size_t aMostBytes)
-    : mMostBytes(aMostBytes)
+  explicit AnswerMailbox(size_t aMaxBytes)
+    : mMaxBytes(aMaxBytes)
   {
   }
 
-  /** Never waits; false where the reader is gone or too far behind. */
+  /** Never blocks; returns false if the reader is gone or too far behind. */
   bool Push(AnswerEvent aEvent);
 
-  /** Waits for the next event for at most the given span. */
-  std::optional<AnswerEvent> PopFor(Millis aSpan);
+  /** Waits for the next event, at most for the timeout. */
+  std::optional<AnswerEvent> PopFor(Millis aTimeout);
 
-  /** The reader has gone: further pushes are refused. */
+  /** Drops all events and rejects further ones; called by the reader. */
   void Abandon();
 
 private:
-  const size_t mMostBytes;
+  const size_t mMaxBytes;
   std::mutex mMutex;
-  std::condition_variable mFilled;
+  std::condition_variable mEventAdded;
   std::deque<AnswerEvent> mEvents;
   size_t mBytes = 0;
   bool mAbandoned = false;
--- a/src/trefoilarchd/answerreader.cpp
+++ b/src/trefoilarchd/answerreader.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/** How often a waiting reader looks whether its caller is still there. */
-constexpr Millis kLookSpan{ 100 };
+/** How often a waiting reader checks that its caller is connected. */
+constexpr Millis kPollInterval{ 100 };
 
 bool
 IsLast(const AnswerEvent& aEvent)
@@ -34,22 +34,23 @@
 
 AnswerReader::~AnswerReader()
 {
-  if (!mOver) {
+  if (!mEnded) {
     mMailbox->Abandon();
     mRouter.CallerLeft(mId);
   }
 }
 
 std::optional<AnswerEvent>
-AnswerReader::Next(Millis aSpan)
+AnswerReader::Next(Millis aTimeout)
 {
-  for (Millis left = aSpan; left > Millis(0) && !mGone; left -= kLookSpan) {
-    auto event = mMailbox->PopFor(std::min(left, kLookSpan));
+  for (Millis remaining = aTimeout; remaining > Millis(0) && !mCallerGone;
+       remaining -= kPollInterval) {
+    auto event = mMailbox->PopFor(std::min(remaining, kPollInterval));
     if (event) {
-      mOver = IsLast(*event);
+      mEnded = IsLast(*event);
       return event;
     }
-    mGone = mCallerLeft && mCallerLeft();
+    mCallerGone = mCallerLeft && mCallerLeft();
   }
   return std::nullopt;
 }
--- a/src/trefoilarchd/answerreader.h
+++ b/src/trefoilarchd/answerreader.h
@@ -13,8 +13,8 @@
 class RouterService;
 
 /**
- * The caller's end of one request. Where it goes before the answer's end, the
- * router hears that the caller has left, and the work is stopped.
+ * Reads the response to one request. If it is destroyed before the response
+ * has ended, it notifies the router, which cancels the request.
  */
 class AnswerReader
 {
@@ -28,12 +28,12 @@
   AnswerReader& operator=(const AnswerReader&) = delete;
 
   /**
-   * The next event; empty after the span, or once the caller has left: then
-   * CallerGone() tells which.
+   * Waits for the next event. Returns nullopt on timeout or if the caller has
+   * left; CallerGone() distinguishes the two.
    */
-  std::optional<AnswerEvent> Next(Millis aSpan);
+  std::optional<AnswerEvent> Next(Millis aTimeout);
 
-  bool CallerGone() const { return mGone; }
+  bool CallerGone() const { return mCallerGone; }
   const RequestId& Id() const { return mId; }
 
 private:
@@ -41,8 +41,8 @@
   RequestId mId;
   std::shared_ptr<AnswerMailbox> mMailbox;
   std::function<bool()> mCallerLeft;
-  bool mOver = false;
-  bool mGone = false;
+  bool mEnded = false;
+  bool mCallerGone = false;
 };
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/answerwriter.cpp
+++ b/src/trefoilarchd/answerwriter.cpp
@@ -17,35 +17,35 @@
 using trefoilio::SameHeaderName;
 using trefoilio::StreamStep;
 
-/** Past the deadline the router has long answered; this guards the thread. */
-constexpr Millis kGrace{ 5000 };
-constexpr Millis kKeepAlive{ 500 };
-/** An answer that is whole this soon still gets a status of its own. */
-constexpr Millis kWholeSoon{ 400 };
+/** The router responds by the deadline; this limits the wait if it fails to. */
+constexpr Millis kDeadlineGrace{ 5000 };
+constexpr Millis kKeepAliveInterval{ 500 };
+/** A response that ends within this time still determines the status. */
+constexpr Millis kStatusDelay{ 400 };
 constexpr int kOk = 200;
-constexpr int kFirstError = 400;
+constexpr int kMinErrorStatus = 400;
 constexpr const char* kEventStream = "text/event-stream";
 constexpr const char* kKeepAliveComment = ": keep-alive\n\n";
 
-/** The upstream's headers that may go on to the caller. */
+/** Returns the upstream's headers that are forwarded to the caller. */
 Headers
-PassedOn(const Headers& aHeaders)
+ForwardedHeaders(const Headers& aHeaders)
 {
-  Headers passed;
+  Headers forwarded;
   for (const auto& header : aHeaders) {
     const auto& name = header.first;
     if (!SameHeaderName(name, "connection") &&
         !SameHeaderName(name, "content-length") &&
         !SameHeaderName(name, "transfer-encoding") &&
         !SameHeaderName(name, "keep-alive") && !SameHeaderName(name, "date")) {
-      passed.push_back(header);
+      forwarded.push_back(header);
     }
   }
-  return passed;
+  return forwarded;
 }
 
 Refusal
-NoAnswer()
+NoResponseRefusal()
 {
   return Refusal{ .mKind = ErrorKind::DeadlineExceeded,
                   .mRan = Ran::Maybe,
@@ -54,7 +54,7 @@
 
 } // namespace
 
-/** Shared by the waiting part and the streaming part of one answer. */
+/** State shared by the waiting and the streaming phase of a response. */
 class AnswerWriter::State
 {
 public:
@@ -68,12 +68,12 @@
   {
   }
 
-  /** Waits for the head; false where the answer is a refusal (mRefusal). */
+  /** Waits for the head; returns false if refused (see mRefusal). */
   bool AwaitHead()
   {
     while (!mHead) {
-      if (!Step(RemainingSpan())) {
-        mRefusal = NoAnswer();
+      if (!WaitForEvent(RemainingTime())) {
+        mRefusal = NoResponseRefusal();
       }
       if (mRefusal) {
         return false;
@@ -82,43 +82,44 @@
     return true;
   }
 
-  /** Takes the events that come within the span into mData. */
-  void Gather(Millis aSpan)
+  /** Collects the events that arrive within the timeout into mData. */
+  void CollectFor(Millis aTimeout)
   {
-    const Millis end = trefoilio::MonotonicNow() + aSpan;
+    const Millis end = trefoilio::MonotonicNow() + aTimeout;
     while (!mEnded && !mRefusal) {
       const Millis now = trefoilio::MonotonicNow();
-      if (now >= end || !Step(end - now)) {
+      if (now >= end || !WaitForEvent(end - now)) {
         return;
       }
     }
   }
 
-  /** Waits for one event for at most the span; false where none came. */
-  bool Step(Millis aSpan)
+  /** Waits for one event; returns false on timeout. */
+  bool WaitForEvent(Millis aTimeout)
   {
-    auto event = mReader->Next(aSpan);
+    auto event = mReader->Next(aTimeout);
     if (!event) {
       return false;
     }
-    std::visit([this](auto& aOne) { Take(aOne); }, *event);
+    std::visit([this](auto& aOne) { Handle(aOne); }, *event);
     return true;
   }
 
-  Millis RemainingSpan() const
+  Millis RemainingTime() const
   {
-    const Millis end = mTargets.mArrivedAt + mTargets.mDeadline + kGrace;
+    const Millis end =
+      mTargets.mArrivedAt + mTargets.mDeadline + kDeadlineGrace;
     return std::max(Millis(1), end - trefoilio::MonotonicNow());
   }
 
   HttpReply Refused() const { return RefusalReply(*mRefusal, mReader->Id()); }
 
-  /** The upstream's own words, buffered whole. */
+  /** Buffers the complete upstream response. */
   HttpReply Buffered()
   {
     while (!mEnded && !mRefusal) {
-      if (!Step(RemainingSpan())) {
-        mRefusal = NoAnswer();
+      if (!WaitForEvent(RemainingTime())) {
+        mRefusal = NoResponseRefusal();
       }
     }
     if (mRefusal) {
@@ -126,7 +127,7 @@
     }
     HttpReply reply;
     reply.mStatus = mHead->mStatus;
-    reply.mHeaders = PassedOn(mHead->mHeaders);
+    reply.mHeaders = ForwardedHeaders(mHead->mHeaders);
     reply.mHeaders.emplace_back(kRequestIdHeader, mReader->Id().Text());
     reply.mBody = std::move(mData);
     return reply;
@@ -140,48 +141,49 @@
   bool mErrorWritten = false;
 
 private:
-  void Take(AnswerHead& aHead) { mHead = std::move(aHead); }
+  void Handle(AnswerHead& aHead) { mHead = std::move(aHead); }
 
-  void Take(AnswerData& aData)
+  void Handle(AnswerData& aData)
   {
     MeasureToken();
     mData += aData.mData;
   }
 
-  void Take(const AnswerEnd&)
+  void Handle(const AnswerEnd&)
   {
     mEnded = true;
-    const Millis span = trefoilio::MonotonicNow() - mTargets.mArrivedAt;
-    mMetrics.Observe("answer_ms", static_cast<double>(span.Count()), mLabel);
-    mMetrics.Count(span <= mTargets.mDeadline ? "answers_in_time_total"
-                                              : "answers_late_total",
+    const Millis elapsed = trefoilio::MonotonicNow() - mTargets.mArrivedAt;
+    mMetrics.Observe("answer_ms", static_cast<double>(elapsed.Count()), mLabel);
+    mMetrics.Count(elapsed <= mTargets.mDeadline ? "answers_in_time_total"
+                                                 : "answers_late_total",
                    mLabel);
   }
 
-  void Take(AnswerError& aError) { mRefusal = std::move(aError.mRefusal); }
+  void Handle(AnswerError& aError) { mRefusal = std::move(aError.mRefusal); }
 
   void MeasureToken()
   {
     const Millis now = trefoilio::MonotonicNow();
-    if (mLastToken) {
-      const Millis gap = now - *mLastToken;
+    if (mLastTokenAt) {
+      const Millis gap = now - *mLastTokenAt;
       mMetrics.Observe(
         "between_token_ms", static_cast<double>(gap.Count()), mLabel);
     } else {
-      const Millis span = now - mTargets.mArrivedAt;
+      const Millis elapsed = now - mTargets.mArrivedAt;
       mMetrics.Observe(
-        "first_token_ms", static_cast<double>(span.Count()), mLabel);
-      mMetrics.Count(span <= mTargets.mFirstToken ? "first_tokens_in_time_total"
-                                                  : "first_tokens_late_total",
+        "first_token_ms", static_cast<double>(elapsed.Count()), mLabel);
+      mMetrics.Count(elapsed <= mTargets.mFirstToken
+                       ? "first_tokens_in_time_total"
+                       : "first_tokens_late_total",
                      mLabel);
     }
-    mLastToken = now;
+    mLastTokenAt = now;
   }
 
   AnswerTargets mTargets;
   trefoilio::Metrics& mMetrics;
   std::string mLabel;
-  std::optional<Millis> mLastToken;
+  std::optional<Millis> mLastTokenAt;
 };
 
 AnswerWriter::AnswerWriter(std::shared_ptr<AnswerReader> aReader,
@@ -201,7 +203,7 @@
   if (!mState->AwaitHead()) {
     return mState->Refused();
   }
-  if (mState->mHead->mStatus >= kFirstError) {
+  if (mState->mHead->mStatus >= kMinErrorStatus) {
     return mState->Buffered();
   }
   HttpReply reply;
@@ -217,7 +219,7 @@
       return StreamStep::Cut;
     }
     if (state->mData.empty() && !state->mRefusal) {
-      state->Step(kKeepAlive);
+      state->WaitForEvent(kKeepAliveInterval);
     }
     aOut = std::exchange(state->mData, {});
     if (state->mRefusal) {
@@ -242,7 +244,7 @@
   if (!mState->AwaitHead()) {
     return mState->Refused();
   }
-  if (mState->mHead->mStatus >= kFirstError) {
+  if (mState->mHead->mStatus >= kMinErrorStatus) {
     return mState->Buffered();
   }
   const auto assemble = [](const State& aState) {
@@ -250,7 +252,7 @@
     assembler.Add(aState.mData);
     return assembler.Json();
   };
-  mState->Gather(kWholeSoon);
+  mState->CollectFor(kStatusDelay);
   HttpReply reply;
   reply.mStatus = kOk;
   reply.mHeaders = { { "Content-Type", "application/json" },
@@ -270,7 +272,7 @@
       if (state->mReader->CallerGone()) {
         return StreamStep::Cut;
       }
-      state->Gather(kKeepAlive);
+      state->CollectFor(kKeepAliveInterval);
       written = state->mEnded || state->mRefusal;
       if (state->mEnded) {
         aOut = assemble(*state);
--- a/src/trefoilarchd/answerwriter.h
+++ b/src/trefoilarchd/answerwriter.h
@@ -12,7 +12,7 @@
 
 class AnswerReader;
 
-/** What a caller's answer is measured against. */
+/** The targets that a response is measured against. */
 struct AnswerTargets
 {
   std::string mClass;
@@ -23,8 +23,8 @@
 };
 
 /**
- * Turns the events of an answer into the caller's HTTP reply. Each function
- * waits until the reply's status is settled.
+ * Converts the events of a response into the caller's HTTP reply. Each function
+ * waits until the reply's status is known.
  */
 class AnswerWriter
 {
@@ -34,11 +34,11 @@
                trefoilio::Metrics& aMetrics);
   ~AnswerWriter();
 
-  /** The engine's event stream, passed on byte for byte. */
+  /** Forwards the engine's event stream byte for byte. */
   trefoilio::HttpReply Streamed();
-  /** The engine's event stream, put together into one JSON object. */
+  /** Assembles the engine's event stream into one JSON object. */
   trefoilio::HttpReply Assembled();
-  /** A plain service's answer. */
+  /** Forwards a plain service's response. */
   trefoilio::HttpReply Plain();
 
 private:
--- a/src/trefoilarchd/callerrequest.cpp
+++ b/src/trefoilarchd/callerrequest.cpp
@@ -18,14 +18,14 @@
 using trefoilio::FindHeader;
 using trefoilio::HttpRequest;
 
-constexpr int64_t kMostDeadlineMillis = 24L * 3600 * 1000;
+constexpr int64_t kMaxDeadlineMillis = 24L * 3600 * 1000;
 constexpr size_t kBytesPerToken = 4;
-/** Callers share the system prompt and the first turns of a conversation. */
+/** Requests share the system prompt and a conversation's first turns. */
 constexpr size_t kPrefixBytes = 1024;
-constexpr size_t kMostNameLength = 256;
+constexpr size_t kMaxNameLength = 256;
 constexpr std::string_view kBearer = "Bearer ";
 
-/** Headers that belong to one hop or to the system, not to the service. */
+/** Hop-by-hop and internal headers, which are not forwarded. */
 constexpr std::array kHopHeaders = {
   std::string_view("connection"),
   std::string_view("host"),
@@ -61,7 +61,7 @@
 }
 
 bool
-PassesOn(std::string_view aName)
+IsForwarded(std::string_view aName)
 {
   const std::string name = Lower(aName);
   return name.rfind("x-trefoilarch-", 0) != 0 &&
@@ -95,7 +95,7 @@
   const char* end = aText.data() + aText.size();
   const auto result = std::from_chars(aText.data(), end, count);
   if (result.ec != std::errc() || result.ptr != end || count < 1 ||
-      count > kMostDeadlineMillis) {
+      count > kMaxDeadlineMillis) {
     return Invalid("X-Trefoilarch-Deadline-Ms: expected 1 to 86400000");
   }
   return std::optional(Millis(count));
@@ -113,7 +113,7 @@
   return std::optional(aText == "true");
 }
 
-/** The text of all messages, as far as it decides the prefix. */
+/** Returns the start of the concatenated messages, for the prefix hash. */
 std::string
 PrefixOf(const json& aBody)
 {
@@ -132,15 +132,15 @@
   return prefix;
 }
 
-/** The newer of the two published names goes first. */
+/** Reads the output limit; the newer field name takes precedence. */
 uint32_t
-MostOutputTokens(const json& aBody)
+MaxOutputTokensOf(const json& aBody)
 {
   for (const char* name : { "max_completion_tokens", "max_tokens" }) {
     const auto limit = aBody.find(name);
     if (limit != aBody.end() && limit->is_number_unsigned()) {
-      const auto most = limit->get<uint64_t>();
-      return static_cast<uint32_t>(std::min<uint64_t>(most, UINT32_MAX));
+      const auto maxTokens = limit->get<uint64_t>();
+      return static_cast<uint32_t>(std::min<uint64_t>(maxTokens, UINT32_MAX));
     }
   }
   return 0;
@@ -156,7 +156,7 @@
   const auto model = body.find("model");
   if (model == body.end() || !model->is_string() ||
       model->get_ref<const std::string&>().empty() ||
-      model->get_ref<const std::string&>().size() > kMostNameLength) {
+      model->get_ref<const std::string&>().size() > kMaxNameLength) {
     return Invalid("model: expected a name");
   }
   const auto messages = body.find("messages");
@@ -227,7 +227,7 @@
     body["stream"] = true;
     body["stream_options"] = { { "include_usage", true } };
   }
-  request.mMaxOutputTokens = MostOutputTokens(body);
+  request.mMaxOutputTokens = MaxOutputTokensOf(body);
   const std::string prefix = PrefixOf(body);
   request.mPrefixHash = XXH3_64bits(prefix.data(), prefix.size());
   request.mPromptTokens =
@@ -255,7 +255,7 @@
   const std::string_view rest =
     std::string_view(aHttp.mTarget).substr(std::string(kServicePrefix).size());
   const size_t end = std::min(rest.find_first_of("/?"), rest.size());
-  if (end == 0 || end > kMostNameLength) {
+  if (end == 0 || end > kMaxNameLength) {
     return Invalid("path: expected /v1/services/{service}/{path}");
   }
   request.mClaims.mService = rest.substr(0, end);
@@ -266,7 +266,7 @@
     request.mCall.mPath.insert(0, "/");
   }
   for (const auto& header : aHttp.mHeaders) {
-    if (PassesOn(header.first)) {
+    if (IsForwarded(header.first)) {
       request.mCall.mHeaders.push_back(header);
     }
   }
--- a/src/trefoilarchd/callerrequest.h
+++ b/src/trefoilarchd/callerrequest.h
@@ -9,7 +9,7 @@
 
 namespace trefoilarch {
 
-/** A caller's HTTP request, read and checked, but not yet classified. */
+/** A caller's HTTP request, parsed and validated, not yet classified. */
 struct CallerRequest
 {
   CallerClaims mClaims;
@@ -18,19 +18,19 @@
   uint32_t mPromptTokens = 0; /**< estimate */
   uint64_t mPrefixHash = 0;
   uint32_t mMaxOutputTokens = 0; /**< the caller's own limit; 0: none */
-  /** The caller wants the engine's event stream as it comes. */
+  /** Whether the caller requested the engine's event stream. */
   bool mStreamed = false;
 };
 
-/** Where requests to model engines and plain services are found. */
+/** The paths of requests to model engines and plain services. */
 constexpr const char* kChatPath = "/v1/chat/completions";
 constexpr const char* kServicePrefix = "/v1/services/";
 
-/** Lower-case SHA-256 in hexadecimal. */
+/** Returns the SHA-256 of a text in lower-case hexadecimal. */
 std::string
 Sha256Hex(const std::string& aText);
 
-/** The headers' part of the claims. Fails with InvalidRequest. */
+/** Reads the claims in the headers. Fails with InvalidRequest. */
 Result<CallerClaims>
 ReadClaims(const trefoilio::HttpRequest& aHttp, const std::string& aDataCentre);
 
@@ -39,8 +39,8 @@
 ReadChat(const trefoilio::HttpRequest& aHttp, const std::string& aDataCentre);
 
 /**
- * Tells a model engine how urgent the call is: the tier is the engine's
- * priority, lower being more urgent. The body is ReadChat()'s.
+ * Sets the engine's `priority` field to the tier; lower is more urgent. The
+ * body must come from ReadChat().
  */
 void
 SetPriority(Call& aCall, Tier aTier);
--- a/src/trefoilarchd/daemonsettings.cpp
+++ b/src/trefoilarchd/daemonsettings.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr int64_t kMostMillis = 3600 * 1000;
-constexpr int64_t kMostBytes = 1L << 30;
+constexpr int64_t kMaxMillis = 3600 * 1000;
+constexpr int64_t kMaxBytes = 1L << 30;
 
-/** Where an optional text is given, it must pass the check. */
+/** Accepts an empty text or one that passes the check. */
 std::function<std::string(const std::string&)>
 EmptyOr(std::function<std::string(const std::string&)> aCheck)
 {
@@ -86,7 +86,7 @@
     { .mName = "most-body-bytes",
       .mHelp = "entry: longest request body",
       .mDefault = "4194304",
-      .mCheck = IntegerBetween(1024, kMostBytes) },
+      .mCheck = IntegerBetween(1024, kMaxBytes) },
     { .mName = "most-header-bytes",
       .mHelp = "entry: all headers of a request together",
       .mDefault = "16384",
@@ -102,7 +102,7 @@
     { .mName = "silence-ms",
       .mHelp = "entry: silence after which a channel is replaced",
       .mDefault = "1500",
-      .mCheck = IntegerBetween(100, kMostMillis) },
+      .mCheck = IntegerBetween(100, kMaxMillis) },
     { .mName = "retry-percent",
       .mHelp = "entry: retries for each hundred requests of a class",
       .mDefault = "10",
@@ -139,7 +139,7 @@
     { .mName = "longest-order-ms",
       .mHelp = "sidecar: longest time of an order, from sending to effect",
       .mDefault = "60000",
-      .mCheck = IntegerBetween(100, kMostMillis) },
+      .mCheck = IntegerBetween(100, kMaxMillis) },
     { .mName = "load-slots",
       .mHelp = "sidecar: loads at a time in the fleet; the same everywhere",
       .mDefault = "4",
@@ -163,7 +163,7 @@
     { .mName = "orphan-ms",
       .mHelp = "sidecar: how long work goes on whose entry is gone",
       .mDefault = "5000",
-      .mCheck = IntegerBetween(100, kMostMillis) },
+      .mCheck = IntegerBetween(100, kMaxMillis) },
   };
 }
 
--- a/src/trefoilarchd/daemonsettings.h
+++ b/src/trefoilarchd/daemonsettings.h
@@ -7,11 +7,11 @@
 
 namespace trefoilarch {
 
-/** The daemon's flags and environment variables with their checks. */
+/** Returns the daemon's flags and environment variables, with checks. */
 std::vector<trefoilio::SettingSpec>
 DaemonSettings();
 
-/** Faults that show only in how settings go together; each names its flag. */
+/** Returns invalid combinations of settings; each text names its flag. */
 std::vector<std::string>
 CombinedFaults(const trefoilio::Settings& aSettings);
 
--- a/src/trefoilarchd/endpoint.h
+++ b/src/trefoilarchd/endpoint.h
@@ -14,7 +14,7 @@
   /** `ADDRESS:PORT`. */
   std::string Text() const;
 
-  /** Reads `ADDRESS:PORT`, which the settings have checked. */
+  /** Parses `ADDRESS:PORT`, which the settings have validated. */
   static Endpoint FromText(const std::string& aText);
 
   bool operator==(const Endpoint&) const = default;
--- a/src/trefoilarchd/entrychannel.cpp
+++ b/src/trefoilarchd/entrychannel.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr int kConnectMillis = 1000;
-constexpr int kMostMessageBytes = 64 * 1024 * 1024;
+constexpr int kConnectTimeoutMillis = 1000;
+constexpr int kMaxMessageBytes = 64 * 1024 * 1024;
 
 /**
- * Stubs of channels that are over, until the next channel is open. gRPC joins
- * its callback threads when the last channel goes, and aborts where that
+ * Stubs of ended channels, kept until the next channel is open. gRPC joins its
+ * callback threads when the last channel is destroyed and aborts if that
  * happens on one of them, as it would in OnDone().
  */
 class RetiredStubs
@@ -41,7 +41,7 @@
   std::vector<std::unique_ptr<wire::Sidecar::Stub>> mStubs;
 };
 
-/** Never destroyed: nothing may join those threads at exit either. */
+/** Never destroyed, so that those threads are not joined at exit either. */
 RetiredStubs&
 Retired()
 {
@@ -55,9 +55,9 @@
   grpc::ChannelArguments arguments;
   arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
   arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kConnectMillis);
-  arguments.SetMaxReceiveMessageSize(kMostMessageBytes);
-  arguments.SetMaxSendMessageSize(kMostMessageBytes);
+  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kConnectTimeoutMillis);
+  arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
+  arguments.SetMaxSendMessageSize(kMaxMessageBytes);
   return grpc::CreateCustomChannel(
     "ipv4:" + aAddress, grpc::InsecureChannelCredentials(), arguments);
 }
@@ -95,13 +95,13 @@
 EntryChannel::Send(const EntryMessage& aMessage)
 {
   const std::lock_guard lock(mMutex);
-  if (!mHeld) {
+  if (!mHoldsStream) {
     return;
   }
   if (const auto* next = mOutbox.Add(Encode(aMessage))) {
     StartWrite(next);
   }
-  if (mOutbox.Overfull()) {
+  if (mOutbox.IsOverfull()) {
     mContext.TryCancel();
   }
 }
@@ -118,10 +118,10 @@
 {
   {
     const std::lock_guard lock(mMutex);
-    if (!mHeld) {
+    if (!mHoldsStream) {
       return;
     }
-    mHeld = false;
+    mHoldsStream = false;
   }
   RemoveHold();
 }
@@ -149,7 +149,7 @@
   }
   const std::lock_guard lock(mMutex);
   const auto* next = mOutbox.Next();
-  if (next && mHeld) {
+  if (next && mHoldsStream) {
     StartWrite(next);
   }
 }
--- a/src/trefoilarchd/entrychannel.h
+++ b/src/trefoilarchd/entrychannel.h
@@ -13,17 +13,17 @@
 
 namespace trefoilarch {
 
-/** What an EntryChannel tells; called on gRPC's threads. */
+/** Callbacks of an EntryChannel, called on gRPC's threads. */
 struct EntryChannelHooks
 {
   std::function<void(SidecarMessage)> mOnMessage;
-  /** Called once, after which no hook is called any more. */
+  /** Called once, as the last callback. */
   std::function<void()> mOnDown;
 };
 
 /**
- * An entry's channel to one sidecar: one stream on a TCP connection of its
- * own, so that a fresh channel never shares the fate of a silent one.
+ * An entry's channel to one sidecar: one stream on its own TCP connection, so
+ * that a new channel does not share the connection of a silent one.
  */
 class EntryChannel final
   : public grpc::ClientBidiReactor<wire::EntryEnvelope, wire::SidecarEnvelope>
@@ -34,10 +34,10 @@
   static std::shared_ptr<EntryChannel> Open(const std::string& aAddress,
                                             EntryChannelHooks aHooks);
 
-  /** Queues a message; lost without a word where the channel is down. */
+  /** Queues a message; silently dropped if the channel is down. */
   void Send(const EntryMessage& aMessage);
 
-  /** Gives the connection up; mOnDown follows. */
+  /** Closes the connection; mOnDown follows. */
   void Close();
 
 private:
@@ -54,12 +54,12 @@
   std::unique_ptr<wire::Sidecar::Stub> mStub;
   grpc::ClientContext mContext;
   wire::SidecarEnvelope mIncoming;
-  /** Keeps the object alive until gRPC has let go of it. */
+  /** Keeps the object alive until gRPC calls OnDone(). */
   std::shared_ptr<EntryChannel> mSelf;
 
   std::mutex mMutex;
   Outbox<wire::EntryEnvelope> mOutbox;
-  bool mHeld = true;
+  bool mHoldsStream = true;
 };
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/entryprocess.cpp
+++ b/src/trefoilarchd/entryprocess.cpp
@@ -112,9 +112,9 @@
   explicit EntryProcess(const Settings& aSettings)
     : mName(aSettings.Text("name"))
     , mPlatform(PlatformFrom(aSettings))
-    , mPeerServer(
+    , mPolicyPeerServer(
         [this](uint64_t aAfter) { return mPolicy->DeltaAfter(aAfter); })
-    , mClaimPeers([this](RequestId aId) { return mClaims->Report(aId); })
+    , mClaimPeerServer([this](RequestId aId) { return mClaims->Report(aId); })
   {
     mPolicy = Add(kPolicyName,
                   std::make_unique<PolicyService>(PolicyServiceOptions{
@@ -127,14 +127,15 @@
     mMembership = Add(
       kMembershipName,
       std::make_unique<MembershipService>(MembershipOptionsFrom(aSettings)));
-    mPeers = Add(GrpcServerService::kName,
-                 std::make_unique<GrpcServerService>(
-                   aSettings.Text("peer-listen"),
-                   std::vector<grpc::Service*>{ &mPeerServer, &mClaimPeers }));
+    mGrpcServer = Add(
+      GrpcServerService::kName,
+      std::make_unique<GrpcServerService>(
+        aSettings.Text("peer-listen"),
+        std::vector<grpc::Service*>{ &mPolicyPeerServer, &mClaimPeerServer }));
     mClaims = Add(ClaimService::kName,
                   std::make_unique<ClaimService>(ClaimServiceOptions{
                     .mPlatform = mPlatform,
-                    .mAddress = [this] { return mPeers->Address(); },
+                    .mAddress = [this] { return mGrpcServer->Address(); },
                     .mClaims = { .mSeed = DrawIncarnation() },
                     .mMetrics = &mMetrics }));
     CallerOptions callers = CallerOptionsFrom(aSettings);
@@ -154,7 +155,7 @@
   {
     return { "entry " + mName + " " + mCallers->Address(),
              "operator " + mName + " " + mOperators->Address(),
-             "peer " + mName + " " + mPeers->Address() };
+             "peer " + mName + " " + mGrpcServer->Address() };
   }
 
   std::string NotReady() const override
@@ -166,7 +167,7 @@
       return mPolicy->IsLoaded() ? "no policy has been set"
                                  : "no policy is known yet";
     }
-    if (!mMembership->Known()) {
+    if (!mMembership->IsLoaded()) {
       return "no host list is known yet";
     }
     return mRouter->Settled() ? "" : "the sidecars have not answered yet";
@@ -245,13 +246,13 @@
   std::string mName;
   trefoilio::Metrics mMetrics;
   std::shared_ptr<const PlatformClient> mPlatform;
-  PolicyPeerServer mPeerServer;
-  ClaimPeerServer mClaimPeers;
+  PolicyPeerServer mPolicyPeerServer;
+  ClaimPeerServer mClaimPeerServer;
   trefoilio::Kernel mKernel;
   PolicyService* mPolicy = nullptr;
   RouterService* mRouter = nullptr;
   MembershipService* mMembership = nullptr;
-  GrpcServerService* mPeers = nullptr;
+  GrpcServerService* mGrpcServer = nullptr;
   ClaimService* mClaims = nullptr;
   CallerService* mCallers = nullptr;
   OperatorService* mOperators = nullptr;
--- a/src/trefoilarchd/eventsplitter.cpp
+++ b/src/trefoilarchd/eventsplitter.cpp
@@ -12,7 +12,7 @@
 constexpr const char* kDelta = "\"delta\"";
 constexpr const char* kUsage = "\"usage\":{";
 
-/** Just past the first blank line at or after aFrom, or npos. */
+/** Returns the end of the first blank line at or after aFrom, or npos. */
 size_t
 EndOfEvent(const std::string& aText, size_t aFrom)
 {
@@ -30,16 +30,16 @@
 EventBatch
 EventSplitter::Add(const std::string& aData)
 {
-  mRest += aData;
+  mRemainder += aData;
   EventBatch batch;
   size_t begin = 0;
-  for (size_t end = EndOfEvent(mRest, 0); end != std::string::npos;
-       end = EndOfEvent(mRest, begin)) {
-    batch.mTokens += ReadEvent(mRest.substr(begin, end - begin));
+  for (size_t end = EndOfEvent(mRemainder, 0); end != std::string::npos;
+       end = EndOfEvent(mRemainder, begin)) {
+    batch.mTokens += ReadEvent(mRemainder.substr(begin, end - begin));
     begin = end;
   }
-  batch.mData = mRest.substr(0, begin);
-  mRest.erase(0, begin);
+  batch.mData = mRemainder.substr(0, begin);
+  mRemainder.erase(0, begin);
   return batch;
 }
 
--- a/src/trefoilarchd/eventsplitter.h
+++ b/src/trefoilarchd/eventsplitter.h
@@ -5,7 +5,7 @@
 
 namespace trefoilarch {
 
-/** Whole events of an engine's stream. */
+/** Complete events of an engine's stream. */
 struct EventBatch
 {
   std::string mData; /**< byte for byte as the engine sent it */
@@ -13,22 +13,22 @@
 };
 
 /**
- * Cuts an engine's answer into whole server-sent events, so that what is
- * passed on always ends between two events, and counts their tokens: one for
- * each event that carries a part of the answer.
+ * Splits an engine's response into complete server-sent events, so that the
+ * forwarded data always ends between two events, and counts tokens: one for
+ * each event that carries a delta.
  */
 class EventSplitter
 {
 public:
-  /** The events that are whole by now. */
+  /** Adds data and returns the events that it completes. */
   EventBatch Add(const std::string& aData);
 
-  /** What was left over at the end of the stream. */
-  std::string Rest() const { return mRest; }
+  /** Returns the bytes of the incomplete last event. */
+  std::string Remainder() const { return mRemainder; }
 
-  /** The engine has said that its answer is whole. */
+  /** Whether the engine has sent `[DONE]`. */
   bool Done() const { return mDone; }
-  /** From the engine's own count where it gives one, else 0. */
+  /** The counts from the engine's usage field; 0 if it sent none. */
   uint32_t PromptTokens() const { return mPromptTokens; }
   uint32_t OutputTokens() const { return mOutputTokens; }
 
@@ -36,7 +36,7 @@
   uint32_t ReadEvent(const std::string& aEvent);
   void ReadUsage(const std::string& aEvent);
 
-  std::string mRest;
+  std::string mRemainder;
   bool mDone = false;
   uint32_t mPromptTokens = 0;
   uint32_t mOutputTokens = 0;
--- a/src/trefoilarchd/fleetstatus.h
+++ b/src/trefoilarchd/fleetstatus.h
@@ -7,9 +7,9 @@
 struct Policy;
 
 /**
- * The fleet at a glance, as JSON text, out of the router's state dump: each
- * upstream with its load and its state: up, down, ejected, leaving, or
- * draining, by its sidecar's word or by the policy's.
+ * Returns a summary of the fleet as JSON text, from the router's state dump:
+ * each upstream with its load and its state: up, down, ejected, leaving, or
+ * draining, as set by its sidecar or by the policy.
  */
 std::string
 FleetStatus(const std::string& aRouterDump, const Policy& aPolicy);
--- a/src/trefoilarchd/grpcserverservice.cpp
+++ b/src/trefoilarchd/grpcserverservice.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr int kMostMessageBytes = 64 * 1024 * 1024;
-constexpr std::chrono::milliseconds kStopWait{ 500 };
+constexpr int kMaxMessageBytes = 64 * 1024 * 1024;
+constexpr std::chrono::milliseconds kShutdownTimeout{ 500 };
 
 } // namespace
 
-GrpcServerService::GrpcServerService(std::string aListen,
-                                     std::vector<grpc::Service*> aServed)
-  : mListen(std::move(aListen))
-  , mServed(std::move(aServed))
+GrpcServerService::GrpcServerService(std::string aListenAddress,
+                                     std::vector<grpc::Service*> aServices)
+  : mListenAddress(std::move(aListenAddress))
+  , mServices(std::move(aServices))
 {
 }
 
@@ -33,16 +33,17 @@
 GrpcServerService::Start(trefoilio::Kernel&)
 {
   grpc::ServerBuilder builder;
-  builder.AddListeningPort(mListen, grpc::InsecureServerCredentials(), &mPort);
-  builder.SetMaxReceiveMessageSize(kMostMessageBytes);
-  builder.SetMaxSendMessageSize(kMostMessageBytes);
+  builder.AddListeningPort(
+    mListenAddress, grpc::InsecureServerCredentials(), &mPort);
+  builder.SetMaxReceiveMessageSize(kMaxMessageBytes);
+  builder.SetMaxSendMessageSize(kMaxMessageBytes);
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-  for (grpc::Service* service : mServed) {
+  for (grpc::Service* service : mServices) {
     builder.RegisterService(service);
   }
   mServer = builder.BuildAndStart();
   if (!mServer || mPort == 0) {
-    throw std::runtime_error("cannot listen on " + mListen);
+    throw std::runtime_error("cannot listen on " + mListenAddress);
   }
 }
 
@@ -50,7 +51,7 @@
 GrpcServerService::Stop()
 {
   if (mServer) {
-    mServer->Shutdown(std::chrono::system_clock::now() + kStopWait);
+    mServer->Shutdown(std::chrono::system_clock::now() + kShutdownTimeout);
     mServer->Wait();
     mServer.reset();
   }
@@ -59,7 +60,8 @@
 std::string
 GrpcServerService::Address() const
 {
-  return mListen.substr(0, mListen.rfind(':') + 1) + std::to_string(mPort);
+  return mListenAddress.substr(0, mListenAddress.rfind(':') + 1) +
+         std::to_string(mPort);
 }
 
 std::string
--- a/src/trefoilarchd/grpcserverservice.h
+++ b/src/trefoilarchd/grpcserverservice.h
@@ -14,27 +14,28 @@
 
 namespace trefoilarch {
 
-/** The port for this system's own processes. */
+/** A gRPC server for other processes of this system. */
 class GrpcServerService final : public trefoilio::Service
 {
 public:
   static constexpr const char* kName = "grpc";
 
-  /** aListen is `ADDRESS:PORT`; port 0 takes any free one. */
-  GrpcServerService(std::string aListen, std::vector<grpc::Service*> aServed);
+  /** aListenAddress is `ADDRESS:PORT`; port 0 takes any free one. */
+  GrpcServerService(std::string aListenAddress,
+                    std::vector<grpc::Service*> aServices);
   ~GrpcServerService() override;
 
-  /** Throws std::runtime_error where it cannot listen. */
+  /** Throws std::runtime_error if it cannot listen. */
   void Start(trefoilio::Kernel& aKernel) override;
   void Stop() override;
   std::string DumpState() const override;
 
-  /** `ADDRESS:PORT` as bound. */
+  /** Returns the bound `ADDRESS:PORT`. */
   std::string Address() const;
 
 private:
-  std::string mListen;
-  std::vector<grpc::Service*> mServed;
+  std::string mListenAddress;
+  std::vector<grpc::Service*> mServices;
   int mPort = 0;
   std::unique_ptr<grpc::Server> mServer;
 };
--- a/src/trefoilarchd/incarnation.cpp
+++ b/src/trefoilarchd/incarnation.cpp
@@ -8,8 +8,8 @@
 DrawIncarnation()
 {
   std::random_device random;
-  std::uniform_int_distribution<uint64_t> any(1);
-  return any(random);
+  std::uniform_int_distribution<uint64_t> nonZero(1);
+  return nonZero(random);
 }
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/incarnation.h
+++ b/src/trefoilarchd/incarnation.h
@@ -4,7 +4,8 @@
 
 namespace trefoilarch {
 
-/** A number that is another one at each start, so that a restart shows. */
+/** Returns a random number that differs at each start of the process, so that
+ * a restart is detected. */
 uint64_t
 DrawIncarnation();
 
--- a/src/trefoilarchd/main.cpp
+++ b/src/trefoilarchd/main.cpp
@@ -18,9 +18,9 @@
 
 constexpr int kUsageError = 2;
 constexpr int kStartError = 1;
-constexpr long kLookNanos = 20L * 1000 * 1000;
+constexpr long kSignalPollNanos = 20L * 1000 * 1000;
 
-/** Blocked in every thread, so that only the main thread takes them. */
+/** Blocks the signals in all threads; the main thread polls for them. */
 sigset_t
 BlockSignals()
 {
@@ -33,12 +33,12 @@
   return signals;
 }
 
-/** True where a signal to stop came within one look. */
+/** Waits one poll interval; returns whether a stop signal arrived. */
 bool
-StopAsked(const sigset_t& aSignals)
+StopRequested(const sigset_t& aSignals)
 {
-  const timespec span{ .tv_sec = 0, .tv_nsec = kLookNanos };
-  return sigtimedwait(&aSignals, nullptr, &span) > 0;
+  const timespec interval{ .tv_sec = 0, .tv_nsec = kSignalPollNanos };
+  return sigtimedwait(&aSignals, nullptr, &interval) > 0;
 }
 
 LogLevel
@@ -57,7 +57,7 @@
 ServeUntilStopped(Process& aProcess, const sigset_t& aSignals)
 {
   bool ready = false;
-  while (!StopAsked(aSignals)) {
+  while (!StopRequested(aSignals)) {
     const std::string reason = aProcess.NotReady();
     if (reason.empty() != ready) {
       ready = reason.empty();
@@ -72,13 +72,13 @@
 }
 
 void
-StopInPeace(Process& aProcess, const sigset_t& aSignals, Millis aMost)
+StopGracefully(Process& aProcess, const sigset_t& aSignals, Millis aTimeout)
 {
   LogState(LogLevel::Info, "stopping");
   aProcess.Drain();
-  const Millis end = trefoilio::MonotonicNow() + aMost;
+  const Millis end = trefoilio::MonotonicNow() + aTimeout;
   while (!aProcess.Drained() && trefoilio::MonotonicNow() < end) {
-    if (StopAsked(aSignals)) {
+    if (StopRequested(aSignals)) {
       LogState(LogLevel::Warning, "stopped_at_once");
       break;
     }
@@ -99,7 +99,7 @@
     std::cout << "listening " << line << std::endl;
   }
   ServeUntilStopped(*process, signals);
-  StopInPeace(
+  StopGracefully(
     *process, signals, Millis(aSettings.Integer("stop-seconds") * 1000));
   return EXIT_SUCCESS;
 }
--- a/src/trefoilarchd/membershipservice.cpp
+++ b/src/trefoilarchd/membershipservice.cpp
@@ -14,7 +14,7 @@
 
 constexpr int64_t kMillisPerSecond = 1000;
 
-constexpr unsigned kMostDoublings = 10;
+constexpr unsigned kMaxDoublings = 10;
 
 } // namespace
 
@@ -39,7 +39,7 @@
 void
 MembershipService::Stop()
 {
-  mStop.Close();
+  mStopSignal.Close();
   if (mThread.joinable()) {
     mThread.join();
   }
@@ -54,7 +54,7 @@
                   mCurrent.mSidecars.end(),
                   [](const SidecarMember& aOne) { return aOne.mLeaving; });
   return nlohmann::json{
-    { "known", mKnown },
+    { "known", mLoaded },
     { "sidecars", mCurrent.mSidecars.size() },
     { "sidecars_listed", mView.Current().mSidecars.size() },
     { "hosts_missing", mView.Missing() },
@@ -73,22 +73,22 @@
 }
 
 bool
-MembershipService::Known() const
+MembershipService::IsLoaded() const
 {
   std::lock_guard lock(mMutex);
-  return mKnown;
+  return mLoaded;
 }
 
 void
 MembershipService::Run()
 {
   if (!mOptions.mPlatform) {
-    Tell(mOptions.mFixed);
+    Publish(mOptions.mFixed);
     return;
   }
-  while (!mStop.Closed()) {
+  while (!mStopSignal.Closed()) {
     Poll();
-    mStop.PopFor(NextSpan());
+    mStopSignal.PopFor(NextPollDelay());
   }
 }
 
@@ -102,35 +102,35 @@
     std::lock_guard lock(mMutex);
     mFailures = found ? 0 : mFailures + 1;
     if (found) {
-      Take(*found);
+      Store(*found);
       chosen = mView.OnList(mLastList, trefoilio::MonotonicNow());
       chosen.mSidecars =
         ChooseSubset(mOptions.mEntry, chosen.mSidecars, mOptions.mSubsetSize);
-      changed = !mKnown || chosen != mCurrent;
+      changed = !mLoaded || chosen != mCurrent;
     }
   }
   if (changed) {
-    Tell(chosen);
+    Publish(chosen);
   }
 }
 
 void
-MembershipService::Take(const HostsRead& aRead)
+MembershipService::Store(const HostListResult& aRead)
 {
   mTag = aRead.mTag;
   if (aRead.mMembership) {
     mLastList = *aRead.mMembership;
-    mWholeListBytes = aRead.mBytes;
+    mListBytes = aRead.mBytes;
   }
 }
 
 void
-MembershipService::Tell(const Membership& aMembership)
+MembershipService::Publish(const Membership& aMembership)
 {
   {
     std::lock_guard lock(mMutex);
     mCurrent = aMembership;
-    mKnown = true;
+    mLoaded = true;
   }
   trefoilio::LogState(
     trefoilio::LogLevel::Info,
@@ -142,23 +142,23 @@
   }
 }
 
-/** Between three and five quarters of the mean; longer in an outage. */
+/** Returns 3/4 to 5/4 of the mean; the mean is longer in an outage. */
 Millis
-MembershipService::NextSpan()
+MembershipService::NextPollDelay()
 {
   std::lock_guard lock(mMutex);
-  const int64_t factor = int64_t{ 1 } << std::min(mFailures, kMostDoublings);
+  const int64_t factor = int64_t{ 1 } << std::min(mFailures, kMaxDoublings);
   const int64_t entries = static_cast<int64_t>(mCurrent.mEntries.size());
-  const Millis span =
-    std::max(mOptions.mPollSpan, mOptions.mPollSpanPerEntry * entries);
-  const int64_t bytes =
-    mTag.empty() ? static_cast<int64_t>(mWholeListBytes) : 0;
-  const Millis paced(kMillisPerSecond * bytes / mOptions.mListBytesPerSecond);
-  const Millis mean =
-    std::max(paced, std::min(span * factor, mOptions.mMostPollSpan));
-  std::uniform_int_distribution<int64_t> draw(mean.Count() * 3 / 4,
-                                              mean.Count() * 5 / 4);
-  return Millis(draw(mRandom));
+  const Millis interval =
+    std::max(mOptions.mPollInterval, mOptions.mPollIntervalPerEntry * entries);
+  const int64_t bytes = mTag.empty() ? static_cast<int64_t>(mListBytes) : 0;
+  const Millis rateLimited(kMillisPerSecond * bytes /
+                           mOptions.mListBytesPerSecond);
+  const Millis mean = std::max(
+    rateLimited, std::min(interval * factor, mOptions.mMaxPollInterval));
+  std::uniform_int_distribution<int64_t> jitter(mean.Count() * 3 / 4,
+                                                mean.Count() * 5 / 4);
+  return Millis(jitter(mRandom));
 }
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/membershipservice.h
+++ b/src/trefoilarchd/membershipservice.h
@@ -19,18 +19,18 @@
 
 struct MembershipServiceOptions
 {
-  /** Empty: mFixed is all there is. */
+  /** Null if the membership is fixed to mFixed. */
   std::shared_ptr<const PlatformClient> mPlatform;
   Membership mFixed;
-  Millis mPollSpan{ 1000 };
-  /** Added for each entry on the list, so that reads stay level. */
-  Millis mPollSpanPerEntry{ 5 };
-  Millis mMostPollSpan{ 8000 }; /**< between polls in an outage */
-  /** Bytes a second that lists may take which come whole at each poll. */
+  Millis mPollInterval{ 1000 };
+  /** Minimum per listed entry, to bound the platform's total read rate. */
+  Millis mPollIntervalPerEntry{ 5 };
+  Millis mMaxPollInterval{ 8000 }; /**< between polls in an outage */
+  /** Maximum bytes per second for lists that each poll transfers in full. */
   int64_t mListBytesPerSecond = 4096;
   MembershipViewOptions mView;
-  /** This entry's name, and how many sidecars of each model or service it
-   * connects to; 0: all of them. */
+  /** This entry's name, and the number of sidecars of each model or service
+   * that it connects to; 0: all. */
   std::string mEntry;
   size_t mSubsetSize = 0;
   uint64_t mSeed = 1;
@@ -49,21 +49,21 @@
   void Stop() override;
   std::string DumpState() const override;
 
-  /** Called at once at Start with the first list, and at each change, on the
-   * membership thread; set before Start. */
+  /** Adds a hook that the membership thread calls with the first list and on
+   * each change; call before Start. */
   void Subscribe(OnMembership aHook) { mHooks.push_back(std::move(aHook)); }
-  /** The subset's sidecars, and all entries. */
+  /** Returns the subset's sidecars and all entries. */
   Membership Current() const;
-  /** A list was read, or it is fixed. */
-  bool Known() const;
+  /** Whether a list has been read or is fixed. */
+  bool IsLoaded() const;
 
 private:
   void Run();
   void Poll();
-  /** Keeps what a read gave; under the lock. */
-  void Take(const HostsRead& aRead);
-  void Tell(const Membership& aMembership);
-  Millis NextSpan();
+  /** Stores the result of a read; called under the lock. */
+  void Store(const HostListResult& aRead);
+  void Publish(const Membership& aMembership);
+  Millis NextPollDelay();
 
   MembershipServiceOptions mOptions;
   std::vector<OnMembership> mHooks;
@@ -71,14 +71,14 @@
   MembershipView mView;
   mutable std::mutex mMutex;
   Membership mCurrent;
-  bool mKnown = false;
-  /** The list as last read, and its tag where it has one. */
+  bool mLoaded = false;
+  /** The list as last read, and its tag if it has one. */
   Membership mLastList;
   std::string mTag;
-  size_t mWholeListBytes = 0;
+  size_t mListBytes = 0;
   unsigned mFailures = 0;
-  /** Never filled: closing it ends the wait between two polls. */
-  trefoilio::BoundedRing<bool> mStop{ 1 };
+  /** Always empty; closing it ends the wait between two polls. */
+  trefoilio::BoundedRing<bool> mStopSignal{ 1 };
   std::thread mThread;
 };
 
--- a/src/trefoilarchd/operatorservice.cpp
+++ b/src/trefoilarchd/operatorservice.cpp
@@ -88,8 +88,8 @@
   if (path == "/state") {
     return State();
   }
-  for (const auto& [beginning, handler] : mOptions.mPaths) {
-    if (path.rfind(beginning, 0) == 0) {
+  for (const auto& [prefix, handler] : mOptions.mPaths) {
+    if (path.rfind(prefix, 0) == 0) {
       return handler(aHttp);
     }
   }
--- a/src/trefoilarchd/operatorservice.h
+++ b/src/trefoilarchd/operatorservice.h
@@ -12,23 +12,22 @@
 
 namespace trefoilarch {
 
-/** What an OperatorService answers with. */
 struct OperatorOptions
 {
   std::string mAddress = "127.0.0.1";
   uint16_t mPort = 0;
   std::string mRole;
   std::string mName;
-  /** Empty where the process is ready, else the reason why not. */
+  /** Returns the reason why the process is not ready, or "". */
   std::function<std::string()> mNotReady;
-  /** Further paths by their beginning, the longest first. */
+  /** Handlers of further paths by path prefix, longest first. */
   std::map<std::string,
            std::function<trefoilio::HttpReply(const trefoilio::HttpRequest&)>,
            std::greater<>>
     mPaths;
 };
 
-/** The operators' HTTP port: health, metrics, the state dump, and more. */
+/** Serves the operators' HTTP port: health, metrics, state dump and more. */
 class OperatorService final : public trefoilio::Service
 {
 public:
@@ -41,7 +40,7 @@
   void Stop() override;
   std::string DumpState() const override;
 
-  /** `ADDRESS:PORT` as bound. */
+  /** Returns the bound `ADDRESS:PORT`. */
   std::string Address() const;
 
 private:
--- a/src/trefoilarchd/outbox.h
+++ b/src/trefoilarchd/outbox.h
@@ -7,17 +7,17 @@
 namespace trefoilarch {
 
 /**
- * The envelopes that wait for a stream which takes one write at a time. Not
- * thread-safe: its stream's lock covers it.
+ * A queue of envelopes for a stream that accepts one write at a time. Not
+ * thread-safe; guarded by its stream's lock.
  */
 template<typename Envelope>
 class Outbox
 {
 public:
-  /** Beyond this many bytes the other end has stopped reading. */
-  static constexpr size_t kMostBytes = 64UL * 1024 * 1024;
+  /** Above this many bytes the peer is assumed to have stopped reading. */
+  static constexpr size_t kMaxBytes = 64UL * 1024 * 1024;
 
-  /** The next envelope to write, or null where none may be written now. */
+  /** Queues an envelope. Returns it if it can be written now, else null. */
   const Envelope* Add(Envelope aEnvelope)
   {
     mBytes += aEnvelope.ByteSizeLong();
@@ -25,7 +25,7 @@
     return mItems.size() == 1 ? &mItems.front() : nullptr;
   }
 
-  /** The write is done; the next envelope, or null. */
+  /** Removes the written envelope. Returns the next one, or null. */
   const Envelope* Next()
   {
     mBytes -= mItems.front().ByteSizeLong();
@@ -33,7 +33,7 @@
     return mItems.empty() ? nullptr : &mItems.front();
   }
 
-  bool Overfull() const { return mBytes > kMostBytes; }
+  bool IsOverfull() const { return mBytes > kMaxBytes; }
 
 private:
   std::deque<Envelope> mItems;
--- a/src/trefoilarchd/platformclient.cpp
+++ b/src/trefoilarchd/platformclient.cpp
@@ -16,18 +16,18 @@
 
 using Json = nlohmann::json;
 
-/** int64 values are strings in this gateway, and absent where zero. */
+/** This API encodes int64 values as strings and omits zeros. */
 int64_t
 Int64Of(const Json& aObject, const char* aName)
 {
-  const auto place = aObject.find(aName);
-  if (place == aObject.end()) {
+  const auto field = aObject.find(aName);
+  if (field == aObject.end()) {
     return 0;
   }
-  if (place->is_string()) {
-    return std::stoll(place->get<std::string>());
+  if (field->is_string()) {
+    return std::stoll(field->get<std::string>());
   }
-  return place->get<int64_t>();
+  return field->get<int64_t>();
 }
 
 std::string
@@ -52,52 +52,53 @@
   return rows;
 }
 
-/** The first row of each read of a transaction's reply. */
+/** Returns the first row of each read in a transaction's reply. */
 std::vector<std::optional<TableRow>>
 FirstRows(const Json& aReply, size_t aCount)
 {
   std::vector<std::optional<TableRow>> found(aCount);
-  for (size_t place = 0; place < aCount; ++place) {
-    const Json& one = aReply.at("responses").at(place);
-    std::vector<TableRow> rows = RowsOf(one.at("response_range"));
+  for (size_t index = 0; index < aCount; ++index) {
+    const Json& response = aReply.at("responses").at(index);
+    std::vector<TableRow> rows = RowsOf(response.at("response_range"));
     if (!rows.empty()) {
-      found[place] = std::move(rows.front());
+      found[index] = std::move(rows.front());
     }
   }
   return found;
 }
 
 Json
-ToJson(const TableCondition& aOne)
+ToJson(const TableCondition& aCondition)
 {
-  const bool create = aOne.mTarget == TableCondition::Target::CreateRevision;
-  const bool equal = aOne.mRelation == TableCondition::Relation::Equal;
-  return { { "key", trefoilio::ToBase64(aOne.mKey) },
+  const bool create =
+    aCondition.mTarget == TableCondition::Target::CreateRevision;
+  const bool equal = aCondition.mRelation == TableCondition::Relation::Equal;
+  return { { "key", trefoilio::ToBase64(aCondition.mKey) },
            { "target", create ? "CREATE" : "MOD" },
            { "result", equal ? "EQUAL" : "GREATER" },
            { create ? "create_revision" : "mod_revision",
-             std::to_string(aOne.mValue) } };
+             std::to_string(aCondition.mValue) } };
 }
 
 Json
-ToJson(const TableTransaction& aOne)
+ToJson(const TableTransaction& aTransaction)
 {
   Json compare = Json::array();
-  for (const TableCondition& condition : aOne.mConditions) {
+  for (const TableCondition& condition : aTransaction.mConditions) {
     compare.push_back(ToJson(condition));
   }
   Json success = Json::array();
-  for (const auto& [key, value] : aOne.mPuts) {
+  for (const auto& [key, value] : aTransaction.mPuts) {
     success.push_back({ { "request_put",
                           { { "key", trefoilio::ToBase64(key) },
                             { "value", trefoilio::ToBase64(value) } } } });
   }
-  for (const std::string& key : aOne.mDeletes) {
+  for (const std::string& key : aTransaction.mDeletes) {
     success.push_back(
       { { "request_delete_range", { { "key", trefoilio::ToBase64(key) } } } });
   }
   Json failure = Json::array();
-  for (const std::string& key : aOne.mReadsIfRefused) {
+  for (const std::string& key : aTransaction.mReadsIfRefused) {
     failure.push_back(
       { { "request_range", { { "key", trefoilio::ToBase64(key) } } } });
   }
@@ -107,41 +108,42 @@
 }
 
 bool
-Good(const std::optional<trefoilio::HttpReply>& aReply)
+IsSuccess(const std::optional<trefoilio::HttpReply>& aReply)
 {
   return aReply && aReply->mStatus >= 200 && aReply->mStatus < 300;
 }
 
 /**
- * Only an answer that blames the request says that nothing was written: a
- * server that fails with 5xx may fail after it wrote.
+ * Only a 4xx status shows that nothing was written; a server that responds
+ * with 5xx may have failed after writing.
  */
 WriteOutcome
-EndOf(const std::optional<trefoilio::HttpReply>& aReply)
+OutcomeOf(const std::optional<trefoilio::HttpReply>& aReply)
 {
-  if (Good(aReply)) {
+  if (IsSuccess(aReply)) {
     return WriteOutcome::Done;
   }
-  const bool blamed = aReply && aReply->mStatus >= 400 && aReply->mStatus < 500;
-  return blamed ? WriteOutcome::NotDone : WriteOutcome::Unknown;
+  const bool clientError =
+    aReply && aReply->mStatus >= 400 && aReply->mStatus < 500;
+  return clientError ? WriteOutcome::NotDone : WriteOutcome::Unknown;
 }
 
-/** The texts of all elements of that name, in order; keys are plain ASCII. */
+/** Returns the texts of all elements of a name; keys are plain ASCII. */
 std::vector<std::string>
 ElementTexts(const std::string& aXml, const std::string& aName)
 {
   const std::string open = "<" + aName + ">";
   const std::string close = "</" + aName + ">";
   std::vector<std::string> texts;
-  size_t place = 0;
-  while ((place = aXml.find(open, place)) != std::string::npos) {
-    place += open.size();
-    const size_t end = aXml.find(close, place);
+  size_t position = 0;
+  while ((position = aXml.find(open, position)) != std::string::npos) {
+    position += open.size();
+    const size_t end = aXml.find(close, position);
     if (end == std::string::npos) {
       break;
     }
-    texts.push_back(aXml.substr(place, end - place));
-    place = end + close.size();
+    texts.push_back(aXml.substr(position, end - position));
+    position = end + close.size();
   }
   return texts;
 }
@@ -200,12 +202,12 @@
 PlatformClient::Send(std::string aMethod,
                      const std::string& aPath,
                      std::string aBody,
-                     trefoilio::HttpHeaders aMore) const
+                     trefoilio::HttpHeaders aExtraHeaders) const
 {
   trefoilio::HttpRequest request;
   request.mMethod = std::move(aMethod);
   request.mTarget = mOptions.mUrl + aPath;
-  request.mHeaders = std::move(aMore);
+  request.mHeaders = std::move(aExtraHeaders);
   request.mHeaders.emplace_back("Content-Type", "application/json");
   request.mBody = std::move(aBody);
   return trefoilio::SendHttp(request, mOptions.mTimeout);
@@ -220,7 +222,7 @@
                       { "range_end", trefoilio::ToBase64(aEnd) },
                       { "limit", std::to_string(aLimit) } };
   const auto reply = Send("POST", "/v3/kv/range", body.dump());
-  if (!Good(reply)) {
+  if (!IsSuccess(reply)) {
     return std::nullopt;
   }
   try {
@@ -234,9 +236,9 @@
 PlatformClient::Commit(const TableTransaction& aTransaction) const
 {
   const auto reply = Send("POST", "/v3/kv/txn", ToJson(aTransaction).dump());
-  const WriteOutcome end = EndOf(reply);
-  if (end != WriteOutcome::Done) {
-    return { end, {}, 0 };
+  const WriteOutcome outcome = OutcomeOf(reply);
+  if (outcome != WriteOutcome::Done) {
+    return { outcome, {}, 0 };
   }
   try {
     const Json body = Json::parse(reply->mBody);
@@ -257,25 +259,25 @@
 {
   const Json body = { { "key", trefoilio::ToBase64(aFrom) },
                       { "range_end", trefoilio::ToBase64(aEnd) } };
-  return EndOf(Send("POST", "/v3/kv/deleterange", body.dump()));
+  return OutcomeOf(Send("POST", "/v3/kv/deleterange", body.dump()));
 }
 
 std::optional<std::vector<std::string>>
 PlatformClient::ListObjects(const std::string& aPrefix) const
 {
   const auto reply = Send("GET", "/objects?list-type=2&prefix=" + aPrefix, "");
-  if (!Good(reply)) {
+  if (!IsSuccess(reply)) {
     return std::nullopt;
   }
   return ElementTexts(reply->mBody, "Key");
 }
 
-ObjectFound
+ObjectReadResult
 PlatformClient::ReadObject(const std::string& aKey) const
 {
   constexpr int kNotFound = 404;
   auto reply = Send("GET", "/objects/" + aKey, "");
-  if (Good(reply)) {
+  if (IsSuccess(reply)) {
     return { true, std::move(reply->mBody) };
   }
   return { reply && reply->mStatus == kNotFound, std::nullopt };
@@ -284,34 +286,35 @@
 WriteOutcome
 PlatformClient::WriteObject(const std::string& aKey, std::string aBody) const
 {
-  return EndOf(Send("PUT", "/objects/" + aKey, std::move(aBody)));
+  return OutcomeOf(Send("PUT", "/objects/" + aKey, std::move(aBody)));
 }
 
 WriteOutcome
 PlatformClient::DeleteObject(const std::string& aKey) const
 {
-  return EndOf(Send("DELETE", "/objects/" + aKey, ""));
+  return OutcomeOf(Send("DELETE", "/objects/" + aKey, ""));
 }
 
-std::optional<HostsRead>
+std::optional<HostListResult>
 PlatformClient::ReadHosts(const std::string& aKnownTag) const
 {
-  trefoilio::HttpHeaders known;
+  trefoilio::HttpHeaders headers;
   if (!aKnownTag.empty()) {
-    known.emplace_back("If-None-Match", aKnownTag);
+    headers.emplace_back("If-None-Match", aKnownTag);
   }
-  const auto reply = Send("GET", "/hosts", "", std::move(known));
+  const auto reply = Send("GET", "/hosts", "", std::move(headers));
   if (reply && reply->mStatus == kNotModified) {
-    return HostsRead{ .mTag = aKnownTag };
+    return HostListResult{ .mTag = aKnownTag };
   }
-  auto membership = Good(reply) ? ParseHostList(reply->mBody) : std::nullopt;
+  auto membership =
+    IsSuccess(reply) ? ParseHostList(reply->mBody) : std::nullopt;
   if (!membership) {
     return std::nullopt;
   }
-  return HostsRead{ .mMembership = std::move(membership),
-                    .mTag = std::string(
-                      trefoilio::FindHeader(reply->mHeaders, "ETag")),
-                    .mBytes = reply->mBody.size() };
+  return HostListResult{ .mMembership = std::move(membership),
+                         .mTag = std::string(
+                           trefoilio::FindHeader(reply->mHeaders, "ETag")),
+                         .mBytes = reply->mBody.size() };
 }
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/platformclient.h
+++ b/src/trefoilarchd/platformclient.h
@@ -21,7 +21,7 @@
   int64_t mModRevision = 0;
 };
 
-/** One condition of a transaction, on a row's create or change revision. */
+/** A transaction's condition on a row's create or modification revision. */
 struct TableCondition
 {
   enum class Target
@@ -41,48 +41,48 @@
   int64_t mValue = 0;
 };
 
-/** Rows to put and delete if every condition holds. */
+/** Rows to put and delete if every condition is met. */
 struct TableTransaction
 {
   std::vector<TableCondition> mConditions;
   std::vector<std::pair<std::string, std::string>> mPuts;
   std::vector<std::string> mDeletes;
-  /** Rows to read where a condition does not hold. */
+  /** Rows to read if a condition is not met. */
   std::vector<std::string> mReadsIfRefused;
 };
 
-/** How a write to the platform ended. */
+/** The outcome of a write to the platform. */
 enum class WriteOutcome
 {
   Done,
-  Refused, /**< a condition did not hold; nothing was written */
-  NotDone, /**< surely not written, for another reason */
+  Refused, /**< a condition was not met; nothing was written */
+  NotDone, /**< not written, for another reason */
   Unknown, /**< the write may have taken effect, now or later */
 };
 
-/** How a transaction ended. */
+/** The result of a transaction. */
 struct CommitResult
 {
   WriteOutcome mOutcome = WriteOutcome::Unknown;
-  /** Where refused: a place for each of mReadsIfRefused. */
+  /** If refused: one element for each of mReadsIfRefused. */
   std::vector<std::optional<TableRow>> mFound;
-  /** Where done: the change revision of the rows that were put. */
+  /** If done: the modification revision of the rows that were put. */
   int64_t mRevision = 0;
 };
 
-/** What reading an object gave. */
-struct ObjectFound
+/** The result of reading an object. */
+struct ObjectReadResult
 {
   bool mReached = false;
-  std::optional<std::string> mBody; /**< empty where there is no such object */
+  std::optional<std::string> mBody; /**< nullopt if there is no such object */
 };
 
-/** What reading the host list gave. */
-struct HostsRead
+/** The result of reading the host list. */
+struct HostListResult
 {
-  /** Empty where the list is still the one that the tag names. */
+  /** Nullopt if the list still has the tag that was passed. */
   std::optional<Membership> mMembership;
-  std::string mTag; /**< empty where the platform gives none */
+  std::string mTag; /**< empty if the platform sends none */
   size_t mBytes = 0;
 };
 
@@ -93,16 +93,16 @@
 };
 
 /**
- * The platform's table (the JSON form of etcd v3), object store (path-style
+ * Client of the platform's table (etcd v3 JSON API), object store (path-style
  * S3) and host list (Prometheus HTTP service discovery). Each call blocks
- * for at most the timeout. May be used from several threads.
+ * for at most the timeout. Thread-safe.
  */
 class PlatformClient
 {
 public:
   explicit PlatformClient(PlatformClientOptions aOptions);
 
-  /** Rows with aFrom <= key < aEnd in order; none where not answered. */
+  /** Returns rows with aFrom <= key < aEnd, in order; nullopt on failure. */
   std::optional<std::vector<TableRow>> ReadRange(const std::string& aFrom,
                                                  const std::string& aEnd,
                                                  size_t aLimit) const;
@@ -110,31 +110,32 @@
   WriteOutcome DeleteRange(const std::string& aFrom,
                            const std::string& aEnd) const;
 
-  /** Keys that begin with the prefix, in order; none where not answered. */
+  /** Returns keys with the prefix, in order; nullopt on failure. */
   std::optional<std::vector<std::string>> ListObjects(
     const std::string& aPrefix) const;
-  ObjectFound ReadObject(const std::string& aKey) const;
+  ObjectReadResult ReadObject(const std::string& aKey) const;
   WriteOutcome WriteObject(const std::string& aKey, std::string aBody) const;
   WriteOutcome DeleteObject(const std::string& aKey) const;
 
   /**
-   * The host list; none where not answered or not understood. A list that is
-   * still the one of aKnownTag is not sent again, by a platform that gives
-   * its lists tags (RFC 9110, ETag and If-None-Match).
+   * Reads the host list; nullopt on failure or an invalid list. A platform
+   * that sends tags does not resend a list that still has aKnownTag (RFC 9110,
+   * ETag and If-None-Match).
    */
-  std::optional<HostsRead> ReadHosts(const std::string& aKnownTag = "") const;
+  std::optional<HostListResult> ReadHosts(
+    const std::string& aKnownTag = "") const;
 
 private:
   std::optional<trefoilio::HttpReply> Send(
     std::string aMethod,
     const std::string& aPath,
     std::string aBody,
-    trefoilio::HttpHeaders aMore = {}) const;
+    trefoilio::HttpHeaders aExtraHeaders = {}) const;
 
   PlatformClientOptions mOptions;
 };
 
-/** Reads the body of the host list; none where it is not understood. */
+/** Parses the body of the host list; nullopt if it is invalid. */
 std::optional<Membership>
 ParseHostList(const std::string& aText);
 
--- a/src/trefoilarchd/policystore.cpp
+++ b/src/trefoilarchd/policystore.cpp
@@ -91,7 +91,7 @@
     return { true, "" };
   }
   const std::string newest = *std::max_element(keys->begin(), keys->end());
-  ObjectFound found = mPlatform->ReadObject(newest);
+  ObjectReadResult found = mPlatform->ReadObject(newest);
   return { found.mBody.has_value(), found.mBody.value_or("") };
 }
 
--- a/src/trefoilarchd/process.h
+++ b/src/trefoilarchd/process.h
@@ -9,26 +9,26 @@
 
 namespace trefoilarch {
 
-/** One running daemon of either role. */
+/** A running daemon, an entry or a sidecar. */
 class Process
 {
 public:
   virtual ~Process() = default;
 
-  /** Starts every service; throws std::runtime_error where it cannot. */
+  /** Starts every service; throws std::runtime_error on failure. */
   virtual void Start() = 0;
-  /** The `listening ...` lines, one for each port. */
+  /** Returns the text of the `listening ...` lines, one for each port. */
   virtual std::vector<std::string> Listening() const = 0;
-  /** Empty where the process is ready, else the reason why not. */
+  /** Returns the reason why the process is not ready, or "". */
   virtual std::string NotReady() const = 0;
-  /** Begins a planned stop: no new work from here on. */
+  /** Begins a planned stop: accepts no new work. */
   virtual void Drain() = 0;
-  /** After Drain(): nothing is in flight any more. */
+  /** After Drain(): whether all work in flight has ended. */
   virtual bool Drained() const = 0;
   virtual void Stop() = 0;
 };
 
-/** Makes the process of the role that the settings name. */
+/** Create the process of each role. */
 std::unique_ptr<Process>
 MakeEntryProcess(const trefoilio::Settings& aSettings);
 std::unique_ptr<Process>
--- a/src/trefoilarchd/refusalreply.cpp
+++ b/src/trefoilarchd/refusalreply.cpp
@@ -8,22 +8,21 @@
 
 namespace {
 
-constexpr int kFirstServerError = 500;
-constexpr int kTooMany = 429;
+constexpr int kMinServerError = 500;
+constexpr int kTooManyRequests = 429;
 constexpr int64_t kMillisPerSecond = 1000;
 
 const char*
 TypeFor(int aStatus)
 {
-  if (aStatus == kTooMany) {
+  if (aStatus == kTooManyRequests) {
     return "rate_limit_error";
   }
-  return aStatus >= kFirstServerError ? "server_error"
-                                      : "invalid_request_error";
+  return aStatus >= kMinServerError ? "server_error" : "invalid_request_error";
 }
 
 bool
-TellsWhenToReturn(const Refusal& aRefusal)
+HasRetryAfter(const Refusal& aRefusal)
 {
   return AnswerFor(aRefusal.mKind).mRetryable &&
          aRefusal.mRetryAfter > Millis(0);
@@ -42,7 +41,7 @@
   error["code"] = answer.mName;
   error["kind"] = answer.mName;
   error["ran"] = Name(aRefusal.mRan);
-  if (TellsWhenToReturn(aRefusal)) {
+  if (HasRetryAfter(aRefusal)) {
     error["retry_after_ms"] = aRefusal.mRetryAfter.Count();
   }
   error["request_id"] = aId.Text();
@@ -57,7 +56,7 @@
   reply.mStatus = AnswerFor(aRefusal.mKind).mHttpStatus;
   reply.mHeaders = { { "Content-Type", "application/json" },
                      { kRequestIdHeader, aId.Text() } };
-  if (TellsWhenToReturn(aRefusal)) {
+  if (HasRetryAfter(aRefusal)) {
     const int64_t millis = aRefusal.mRetryAfter.Count();
     const int64_t seconds = (millis + kMillisPerSecond - 1) / kMillisPerSecond;
     reply.mHeaders.emplace_back("Retry-After", std::to_string(seconds));
--- a/src/trefoilarchd/refusalreply.h
+++ b/src/trefoilarchd/refusalreply.h
@@ -8,14 +8,14 @@
 
 namespace trefoilarch {
 
-/** Names the request on every answer. */
+/** Response header that holds the request's id. */
 constexpr const char* kRequestIdHeader = "X-Trefoilarch-Request-Id";
 
-/** A refusal in the OpenAI error form, as JSON text. */
+/** Returns a refusal in the OpenAI error format, as JSON text. */
 std::string
 RefusalJson(const Refusal& aRefusal, const RequestId& aId);
 
-/** The whole HTTP answer to a refused request. */
+/** Returns the HTTP reply to a refused request. */
 trefoilio::HttpReply
 RefusalReply(const Refusal& aRefusal, const RequestId& aId);
 
--- a/src/trefoilarchd/routerservice.cpp
+++ b/src/trefoilarchd/routerservice.cpp
@@ -86,8 +86,8 @@
 std::string
 RouterService::DumpState() const
 {
-  StateQuestion question;
-  return mRing->TryPush(question) ? question.Await() : BusyState();
+  StateQuery query;
+  return mRing->TryPush(query) ? query.Await() : BusyState();
 }
 
 void
@@ -292,9 +292,9 @@
 }
 
 void
-RouterService::On(const StateQuestion& aQuestion)
+RouterService::On(const StateQuery& aQuery)
 {
-  aQuestion.Answer(mCore.DumpState(trefoilio::MonotonicNow()));
+  aQuery.Answer(mCore.DumpState(trefoilio::MonotonicNow()));
 }
 
 void
--- a/src/trefoilarchd/routerservice.h
+++ b/src/trefoilarchd/routerservice.h
@@ -2,7 +2,7 @@
 
 #include "answermailbox.h"
 #include "entrychannel.h"
-#include "statequestion.h"
+#include "statequery.h"
 
 #include "libtrefoilarch/entrycore.h"
 #include "libtrefoilio/boundedring.h"
@@ -128,7 +128,7 @@
                              ChannelDown,
                              NewSidecars,
                              NewClassifier,
-                             StateQuestion>;
+                             StateQuery>;
 
   /** One upstream's channel as the decision thread sees it. */
   struct Link
@@ -160,7 +160,7 @@
   void On(const ChannelDown& aEvent);
   void On(const NewSidecars& aEvent);
   void On(const NewClassifier& aEvent);
-  void On(const StateQuestion& aQuestion);
+  void On(const StateQuery& aQuery);
   void PerformAll(EntryActions aActions);
   void Perform(const SendToSidecar& aAction);
   void Perform(const ReopenChannel& aAction);
--- a/src/trefoilarchd/serverchannel.cpp
+++ b/src/trefoilarchd/serverchannel.cpp
@@ -30,7 +30,7 @@
   if (const auto* next = mOutbox.Add(Encode(aMessage))) {
     StartWrite(next);
   }
-  if (mOutbox.Overfull()) {
+  if (mOutbox.IsOverfull()) {
     FinishLocked();
   }
 }
--- a/src/trefoilarchd/serverchannel.h
+++ b/src/trefoilarchd/serverchannel.h
@@ -14,18 +14,18 @@
 
 class ServerChannel;
 
-/** What a ServerChannel tells; called on gRPC's threads. */
+/** Callbacks of a ServerChannel, called on gRPC's threads. */
 struct ServerChannelHooks
 {
   std::function<void(const std::shared_ptr<ServerChannel>&, EntryMessage)>
     mOnMessage;
-  /** Called once, after which no hook is called any more. */
+  /** Called once, as the last callback. */
   std::function<void(const std::shared_ptr<ServerChannel>&)> mOnDown;
 };
 
 /**
- * A sidecar's end of one channel. Keeps itself alive until gRPC is done with
- * it.
+ * The sidecar's side of one channel. Keeps itself alive until gRPC calls
+ * OnDone().
  */
 class ServerChannel final
   : public grpc::ServerBidiReactor<wire::EntryEnvelope, wire::SidecarEnvelope>
@@ -34,7 +34,7 @@
 public:
   static std::shared_ptr<ServerChannel> Open(ServerChannelHooks aHooks);
 
-  /** Queues a message; lost without a word where the channel is over. */
+  /** Queues a message; silently dropped if the channel has ended. */
   void Send(const SidecarMessage& aMessage);
 
   /** Ends the channel; mOnDown follows. */
--- a/src/trefoilarchd/sidecarprocess.cpp
+++ b/src/trefoilarchd/sidecarprocess.cpp
@@ -30,7 +30,7 @@
 }
 
 UpstreamOptions
-OptionsFrom(const Settings& aSettings)
+UpstreamOptionsFrom(const Settings& aSettings)
 {
   UpstreamOptions options;
   options.mUrl = aSettings.Text("upstream-url");
@@ -51,9 +51,9 @@
   return options;
 }
 
-/** Orders go to engines alone, under leases that the platform keeps. */
+/** Orders need an engine, and a platform that stores the leases. */
 bool
-TakesOrders(const Settings& aSettings)
+AcceptsOrders(const Settings& aSettings)
 {
   return aSettings.Text("upstream-kind") == "engine" &&
          !aSettings.Text("platform").empty();
@@ -80,25 +80,25 @@
   return options;
 }
 
-/** The daemon beside an upstream. */
+/** The daemon that runs next to an upstream. */
 class SidecarProcess final : public Process
 {
 public:
   explicit SidecarProcess(const Settings& aSettings)
     : mName(aSettings.Text("name"))
   {
-    auto upstream =
-      std::make_unique<UpstreamService>(OptionsFrom(aSettings), mMetrics);
+    auto upstream = std::make_unique<UpstreamService>(
+      UpstreamOptionsFrom(aSettings), mMetrics);
     mUpstream = upstream.get();
     auto grpc = std::make_unique<GrpcServerService>(
       aSettings.Text("listen"),
       std::vector<grpc::Service*>{ &mUpstream->WireService() });
-    mGrpc = grpc.get();
+    mGrpcServer = grpc.get();
     auto operators = std::make_unique<OperatorService>(
       OperatorOptionsFrom(aSettings), mMetrics);
     mOperators = operators.get();
     mKernel.Register(OperatorService::kName, std::move(operators));
-    if (TakesOrders(aSettings)) {
+    if (AcceptsOrders(aSettings)) {
       auto orders = std::make_unique<OrderService>(OrderOptionsFrom(aSettings));
       mOrders = orders.get();
       mKernel.Register(OrderService::kName, std::move(orders));
@@ -111,7 +111,7 @@
 
   std::vector<std::string> Listening() const override
   {
-    return { "sidecar " + mName + " " + mGrpc->Address(),
+    return { "sidecar " + mName + " " + mGrpcServer->Address(),
              "operator " + mName + " " + mOperators->Address() };
   }
 
@@ -159,7 +159,7 @@
   trefoilio::Metrics mMetrics;
   trefoilio::Kernel mKernel;
   UpstreamService* mUpstream = nullptr;
-  GrpcServerService* mGrpc = nullptr;
+  GrpcServerService* mGrpcServer = nullptr;
   OperatorService* mOperators = nullptr;
   OrderService* mOrders = nullptr; /**< null without engine or platform */
   std::atomic<bool> mDraining = false;
--- a/src/trefoilarchd/sidecarserver.cpp
+++ b/src/trefoilarchd/sidecarserver.cpp
@@ -69,7 +69,7 @@
     mHooks.mOnMessage(std::move(entry), std::move(aMessage));
   }
 
-  /** The channel becomes the entry's newest; the one before it is closed. */
+  /** Makes the channel the entry's newest and closes the previous one. */
   void Bind(const std::shared_ptr<ServerChannel>& aChannel,
             const EntryId& aEntry)
   {
--- a/src/trefoilarchd/sidecarserver.h
+++ b/src/trefoilarchd/sidecarserver.h
@@ -14,7 +14,7 @@
 
 namespace trefoilarch {
 
-/** What a SidecarServer tells; called on gRPC's threads. */
+/** Callbacks of a SidecarServer, called on gRPC's threads. */
 struct SidecarServerHooks
 {
   /** A Hello is the first message of each channel. */
@@ -23,7 +23,7 @@
   std::function<void(EntryId)> mOnDown;
 };
 
-/** Serves entries' channels, and keeps the newest one of each entry. */
+/** Serves entries' channels and keeps the newest one of each entry. */
 class SidecarServer
 {
 public:
@@ -32,10 +32,10 @@
   SidecarServer(const SidecarServer&) = delete;
   SidecarServer& operator=(const SidecarServer&) = delete;
 
-  /** To be registered with a GrpcServer. */
+  /** The service to register with a gRPC server. */
   grpc::Service& WireService();
 
-  /** Over the entry's newest channel; lost where there is none. */
+  /** Sends over the entry's newest channel; dropped if there is none. */
   void Send(const EntryId& aEntry, const SidecarMessage& aMessage);
 
   /** Ends every channel. */
--- a/src/trefoilarchd/statequestion.cpp
+++ b/src/trefoilarchd/statequery.cpp
@@ -1,4 +1,4 @@
-#include "statequestion.h"
+#include "statequery.h"
 
 #include <chrono>
 #include <utility>
@@ -7,21 +7,21 @@
 
 namespace {
 
-constexpr std::chrono::seconds kMostWait{ 2 };
+constexpr std::chrono::seconds kMaxWait{ 2 };
 
 } // namespace
 
 void
-StateQuestion::Answer(std::string aState) const
+StateQuery::Answer(std::string aState) const
 {
   mPromise->set_value(std::move(aState));
 }
 
 std::string
-StateQuestion::Await()
+StateQuery::Await()
 {
   auto answer = mPromise->get_future();
-  if (answer.wait_for(kMostWait) != std::future_status::ready) {
+  if (answer.wait_for(kMaxWait) != std::future_status::ready) {
     return BusyState();
   }
   return answer.get();
--- a/src/trefoilarchd/statequestion.h
+++ b/src/trefoilarchd/statequery.h
@@ -7,16 +7,16 @@
 namespace trefoilarch {
 
 /**
- * Asks a decision thread for its state: goes through its ring as an event, is
- * answered there, and awaited by the one who asked.
+ * Requests a decision thread's state: passes through its ring as an event,
+ * while the requesting thread waits for the response.
  */
-class StateQuestion
+class StateQuery
 {
 public:
-  /** On the decision thread; aState is JSON text. */
+  /** Called on the decision thread; aState is JSON text. */
   void Answer(std::string aState) const;
 
-  /** The state, or an object that says that the thread is busy. */
+  /** Returns the state, or BusyState() if the thread is busy. */
   std::string Await();
 
 private:
@@ -24,7 +24,7 @@
     std::make_shared<std::promise<std::string>>();
 };
 
-/** What is told of a thread that does not answer in time. */
+/** The state reported for a thread that does not respond in time. */
 std::string
 BusyState();
 
--- a/src/trefoilarchd/tablekeys.h
+++ b/src/trefoilarchd/tablekeys.h
@@ -8,7 +8,7 @@
 
 constexpr size_t kKeyDigits = 20;
 
-/** The number with leading zeros, so that keys sort as their numbers do. */
+/** Pads a number with zeros, so that keys sort in numeric order. */
 std::string
 PaddedNumber(uint64_t aNumber);
 
--- a/src/trefoilarchd/upstreamservice.cpp
+++ b/src/trefoilarchd/upstreamservice.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr Millis kLongestWait{ 100 };
+constexpr Millis kMaxWait{ 100 };
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-constexpr int kFirstError = 400;
+constexpr int kMinErrorStatus = 400;
 
-/** An engine that answers so has turned the request away unread. */
+/** Whether the engine rejected the request without processing it. */
 bool
-TurnedAway(int aStatus)
+IsRejection(int aStatus)
 {
   return aStatus == kTooManyRequests || aStatus == kUnavailable;
 }
@@ -33,7 +33,7 @@
   , mServer(SidecarServerHooks{
       .mOnMessage =
         [this](EntryId aEntry, EntryMessage aMessage) {
-          mRing.Push(FromEntry{ std::move(aEntry), std::move(aMessage) });
+          mRing.Push(MessageReceived{ std::move(aEntry), std::move(aMessage) });
         },
       .mOnDown =
         [this](EntryId aEntry) {
@@ -68,8 +68,8 @@
 std::string
 UpstreamService::DumpState() const
 {
-  StateQuestion question;
-  return mRing.TryPush(question) ? question.Await() : BusyState();
+  StateQuery query;
+  return mRing.TryPush(query) ? query.Await() : BusyState();
 }
 
 void
@@ -88,7 +88,7 @@
 UpstreamService::Run()
 {
   while (true) {
-    auto event = mRing.PopFor(Wait());
+    auto event = mRing.PopFor(TimeToNextWake());
     if (event) {
       std::visit([this](auto& aOne) { On(std::move(aOne)); }, *event);
     } else if (mRing.Closed()) {
@@ -96,7 +96,7 @@
     }
     const Millis now = trefoilio::MonotonicNow();
     if (mCore.NextWake() <= now) {
-      CarryOut(mCore.OnTick(now));
+      PerformAll(mCore.OnTick(now));
     }
     EndSilentCalls(now);
     mIdle = mCore.Idle();
@@ -104,66 +104,67 @@
 }
 
 Millis
-UpstreamService::Wait() const
+UpstreamService::TimeToNextWake() const
 {
   const Millis now = trefoilio::MonotonicNow();
   const Millis wake = mCore.NextWake();
   if (wake <= now) {
     return Millis(0);
   }
-  return std::min(wake - now, kLongestWait);
+  return std::min(wake - now, kMaxWait);
 }
 
 void
-UpstreamService::On(FromEntry aEvent)
+UpstreamService::On(MessageReceived aEvent)
 {
   if (const auto* hello = std::get_if<Hello>(&aEvent.mMessage)) {
-    PassOnVersion(hello->mPolicyVersion);
-  } else if (const auto* beat = std::get_if<EntryHeartbeat>(&aEvent.mMessage)) {
-    PassOnVersion(beat->mPolicyVersion);
+    ForwardPolicyVersion(hello->mPolicyVersion);
+  } else if (const auto* heartbeat =
+               std::get_if<EntryHeartbeat>(&aEvent.mMessage)) {
+    ForwardPolicyVersion(heartbeat->mPolicyVersion);
   }
-  CarryOut(mCore.OnMessage(
+  PerformAll(mCore.OnMessage(
     aEvent.mEntry, std::move(aEvent.mMessage), trefoilio::MonotonicNow()));
 }
 
 void
 UpstreamService::On(const EntryDown& aEvent)
 {
-  CarryOut(mCore.OnEntryDown(aEvent.mEntry, trefoilio::MonotonicNow()));
+  PerformAll(mCore.OnEntryDown(aEvent.mEntry, trefoilio::MonotonicNow()));
 }
 
 void
 UpstreamService::On(Head aEvent)
 {
-  const auto found = mRunning.find(aEvent.mKey);
-  if (found == mRunning.end()) {
+  const auto found = mRunningCalls.find(aEvent.mKey);
+  if (found == mRunningCalls.end()) {
     return;
   }
   found->second.mStatus = aEvent.mStatus;
-  if (found->second.mTokenStream && TurnedAway(aEvent.mStatus)) {
+  if (found->second.mTokenStream && IsRejection(aEvent.mStatus)) {
     return;
   }
-  CarryOut(mCore.OnCall(CallHead{ .mKey = aEvent.mKey,
-                                  .mStatus = aEvent.mStatus,
-                                  .mHeaders = std::move(aEvent.mHeaders) },
-                        trefoilio::MonotonicNow()));
+  PerformAll(mCore.OnCall(CallHead{ .mKey = aEvent.mKey,
+                                    .mStatus = aEvent.mStatus,
+                                    .mHeaders = std::move(aEvent.mHeaders) },
+                          trefoilio::MonotonicNow()));
 }
 
 void
 UpstreamService::On(Data aEvent)
 {
-  const auto found = mRunning.find(aEvent.mKey);
-  if (found == mRunning.end()) {
+  const auto found = mRunningCalls.find(aEvent.mKey);
+  if (found == mRunningCalls.end()) {
     return;
   }
-  Running& running = found->second;
+  RunningCall& call = found->second;
   mWatch.Received(aEvent.mKey, trefoilio::MonotonicNow());
   CallData data{ .mKey = aEvent.mKey };
-  if (running.mTokenStream && TurnedAway(running.mStatus)) {
+  if (call.mTokenStream && IsRejection(call.mStatus)) {
     return;
   }
-  if (running.mTokenStream && running.mStatus < kFirstError) {
-    EventBatch batch = running.mEvents.Add(aEvent.mData);
+  if (call.mTokenStream && call.mStatus < kMinErrorStatus) {
+    EventBatch batch = call.mEvents.Add(aEvent.mData);
     data.mData = std::move(batch.mData);
     data.mTokens = batch.mTokens;
   } else {
@@ -171,28 +172,28 @@
   }
   if (!data.mData.empty()) {
     mMetrics.Count("upstream_tokens_total", "", data.mTokens);
-    CarryOut(mCore.OnCall(std::move(data), trefoilio::MonotonicNow()));
+    PerformAll(mCore.OnCall(std::move(data), trefoilio::MonotonicNow()));
   }
 }
 
 void
 UpstreamService::On(const End& aEvent)
 {
-  const auto found = mRunning.find(aEvent.mKey);
-  if (found == mRunning.end()) {
+  const auto found = mRunningCalls.find(aEvent.mKey);
+  if (found == mRunningCalls.end()) {
     return;
   }
-  const Running running = std::move(found->second);
-  mRunning.erase(found);
+  const RunningCall call = std::move(found->second);
+  mRunningCalls.erase(found);
   mWatch.Ended(aEvent.mKey);
-  CarryOut(mCore.OnCall(Conclude(aEvent.mKey, running, aEvent.mEnd),
-                        trefoilio::MonotonicNow()));
+  PerformAll(mCore.OnCall(CallResult(aEvent.mKey, call, aEvent.mEnd),
+                          trefoilio::MonotonicNow()));
 }
 
 CallEvent
-UpstreamService::Conclude(const AttemptKey& aKey,
-                          const Running& aRunning,
-                          trefoilio::CallEnd aEnd) const
+UpstreamService::CallResult(const AttemptKey& aKey,
+                            const RunningCall& aCall,
+                            trefoilio::CallEnd aEnd) const
 {
   using trefoilio::CallEnd;
   if (aEnd == CallEnd::NeverSent) {
@@ -200,34 +201,34 @@
                        .mKind = ErrorKind::UpstreamUnreachable,
                        .mRan = Ran::No };
   }
-  if (aEnd == CallEnd::Whole && aRunning.mTokenStream &&
-      TurnedAway(aRunning.mStatus)) {
+  if (aEnd == CallEnd::Whole && aCall.mTokenStream &&
+      IsRejection(aCall.mStatus)) {
     return CallFailed{ .mKey = aKey,
                        .mKind = ErrorKind::UpstreamRefused,
                        .mRan = Ran::No };
   }
-  const bool unfinished = aRunning.mTokenStream &&
-                          aRunning.mStatus < kFirstError &&
-                          !aRunning.mEvents.Done();
+  const bool unfinished = aCall.mTokenStream &&
+                          aCall.mStatus < kMinErrorStatus &&
+                          !aCall.mEvents.Done();
   if (aEnd == CallEnd::Broken || unfinished) {
     return CallFailed{ .mKey = aKey,
                        .mKind = ErrorKind::UpstreamFailed,
                        .mRan = Ran::Maybe };
   }
   return CallDone{ .mKey = aKey,
-                   .mPromptTokens = aRunning.mEvents.PromptTokens(),
-                   .mOutputTokens = aRunning.mEvents.OutputTokens() };
+                   .mPromptTokens = aCall.mEvents.PromptTokens(),
+                   .mOutputTokens = aCall.mEvents.OutputTokens() };
 }
 
 void
 UpstreamService::On(const SetDraining& aEvent)
 {
   const Millis now = trefoilio::MonotonicNow();
-  CarryOut(aEvent.mDraining ? mCore.Drain(now) : mCore.Undrain(now));
+  PerformAll(aEvent.mDraining ? mCore.Drain(now) : mCore.Undrain(now));
 }
 
 void
-UpstreamService::PassOnVersion(uint64_t aVersion)
+UpstreamService::ForwardPolicyVersion(uint64_t aVersion)
 {
   if (aVersion > mPolicyVersion) {
     mPolicyVersion = aVersion;
@@ -236,50 +237,50 @@
 }
 
 void
-UpstreamService::On(const StateQuestion& aQuestion)
+UpstreamService::On(const StateQuery& aQuery)
 {
-  aQuestion.Answer(mCore.DumpState(trefoilio::MonotonicNow()));
+  aQuery.Answer(mCore.DumpState(trefoilio::MonotonicNow()));
 }
 
 void
 UpstreamService::EndSilentCalls(Millis aNow)
 {
   for (const AttemptKey& key : mWatch.TakeSilent(aNow)) {
-    const auto found = mRunning.find(key);
-    if (found == mRunning.end()) {
+    const auto found = mRunningCalls.find(key);
+    if (found == mRunningCalls.end()) {
       continue;
     }
     mMetrics.Count("calls_silent_total");
     mCalls->Cancel(found->second.mCall);
-    mRunning.erase(found);
-    CarryOut(mCore.OnCall(CallFailed{ .mKey = key,
-                                      .mKind = ErrorKind::UpstreamFailed,
-                                      .mRan = Ran::Maybe },
-                          aNow));
+    mRunningCalls.erase(found);
+    PerformAll(mCore.OnCall(CallFailed{ .mKey = key,
+                                        .mKind = ErrorKind::UpstreamFailed,
+                                        .mRan = Ran::Maybe },
+                            aNow));
   }
 }
 
 void
-UpstreamService::CarryOut(SidecarActions aActions)
+UpstreamService::PerformAll(SidecarActions aActions)
 {
   for (SidecarAction& action : aActions) {
-    std::visit([this](auto& aOne) { Do(std::move(aOne)); }, action);
+    std::visit([this](auto& aOne) { Perform(std::move(aOne)); }, action);
   }
 }
 
 void
-UpstreamService::Do(const SendToEntry& aAction)
+UpstreamService::Perform(const SendToEntry& aAction)
 {
   mServer.Send(aAction.mEntry, aAction.mMessage);
 }
 
 void
-UpstreamService::Do(StartCall aAction)
+UpstreamService::Perform(StartCall aAction)
 {
   const AttemptKey key = aAction.mKey;
-  Running& running = mRunning[key];
-  running.mTokenStream = aAction.mCall.mTokenStream;
-  if (running.mTokenStream) {
+  RunningCall& call = mRunningCalls[key];
+  call.mTokenStream = aAction.mCall.mTokenStream;
+  if (call.mTokenStream) {
     mWatch.Started(key, trefoilio::MonotonicNow());
   }
   mMetrics.Count("calls_started_total");
@@ -297,7 +298,7 @@
         mRing.Push(End{ key, aEnd });
       }
   };
-  running.mCall = mCalls->Start(ToHttp(aAction), std::move(hooks));
+  call.mCall = mCalls->Start(ToHttp(aAction), std::move(hooks));
 }
 
 trefoilio::HttpRequest
@@ -318,16 +319,16 @@
 }
 
 void
-UpstreamService::Do(const CancelCall& aAction)
+UpstreamService::Perform(const CancelCall& aAction)
 {
-  const auto found = mRunning.find(aAction.mKey);
-  if (found == mRunning.end()) {
+  const auto found = mRunningCalls.find(aAction.mKey);
+  if (found == mRunningCalls.end()) {
     return;
   }
   mMetrics.Count("calls_cancelled_total");
   mWatch.Ended(aAction.mKey);
   mCalls->Cancel(found->second.mCall);
-  mRunning.erase(found);
+  mRunningCalls.erase(found);
 }
 
 } // namespace trefoilarch
--- a/src/trefoilarchd/upstreamservice.h
+++ b/src/trefoilarchd/upstreamservice.h
@@ -2,7 +2,7 @@
 
 #include "eventsplitter.h"
 #include "sidecarserver.h"
-#include "statequestion.h"
+#include "statequery.h"
 
 #include "libtrefoilarch/callwatch.h"
 #include "libtrefoilarch/sidecarcore.h"
@@ -20,11 +20,10 @@
 
 namespace trefoilarch {
 
-/** How an UpstreamService works. */
 struct UpstreamOptions
 {
   SidecarOptions mCore;
-  std::string mUrl; /**< `http://ADDRESS:PORT`, perhaps with a path */
+  std::string mUrl; /**< `http://ADDRESS:PORT`, optionally with a path */
   std::string mKey; /**< bearer token for the upstream, or empty */
   size_t mRingCapacity = 65536;
   CallWatchOptions mWatch;
@@ -32,8 +31,8 @@
 };
 
 /**
- * The sidecar's decision thread: feeds the SidecarCore with entries' messages
- * and the upstream's answers, and carries out what it says.
+ * The sidecar's decision thread: passes entries' messages and the upstream's
+ * responses to the SidecarCore and performs the resulting actions.
  */
 class UpstreamService final : public trefoilio::Service
 {
@@ -51,11 +50,11 @@
 
   void Drain();
   void Undrain();
-  /** After Drain(): everything that ran is over and delivered. */
+  /** After Drain(): whether all requests have ended and been delivered. */
   bool Idle() const { return mIdle; }
 
 private:
-  struct FromEntry
+  struct MessageReceived
   {
     EntryId mEntry;
     EntryMessage mMessage;
@@ -84,11 +83,16 @@
   {
     bool mDraining = false;
   };
-  using Event = std::
-    variant<FromEntry, EntryDown, Head, Data, End, SetDraining, StateQuestion>;
+  using Event = std::variant<MessageReceived,
+                             EntryDown,
+                             Head,
+                             Data,
+                             End,
+                             SetDraining,
+                             StateQuery>;
 
-  /** One call that the upstream is running. */
-  struct Running
+  /** A call that the upstream is processing. */
+  struct RunningCall
   {
     uint64_t mCall = 0;
     bool mTokenStream = false;
@@ -97,35 +101,35 @@
   };
 
   void Run();
-  void On(FromEntry aEvent);
+  void On(MessageReceived aEvent);
   void On(const EntryDown& aEvent);
   void On(Head aEvent);
   void On(Data aEvent);
   void On(const End& aEvent);
   void On(const SetDraining& aEvent);
-  /** A sidecar keeps no policy; it lets entries hear of each other's. */
-  void PassOnVersion(uint64_t aVersion);
-  void On(const StateQuestion& aQuestion);
-  CallEvent Conclude(const AttemptKey& aKey,
-                     const Running& aRunning,
-                     trefoilio::CallEnd aEnd) const;
-  /** Gives up calls whose connection has gone silent for good. */
+  /** A sidecar has no policy; it forwards versions between entries. */
+  void ForwardPolicyVersion(uint64_t aVersion);
+  void On(const StateQuery& aQuery);
+  CallEvent CallResult(const AttemptKey& aKey,
+                       const RunningCall& aCall,
+                       trefoilio::CallEnd aEnd) const;
+  /** Cancels calls whose connection has been silent for too long. */
   void EndSilentCalls(Millis aNow);
-  void CarryOut(SidecarActions aActions);
-  void Do(const SendToEntry& aAction);
-  void Do(StartCall aAction);
-  void Do(const CancelCall& aAction);
+  void PerformAll(SidecarActions aActions);
+  void Perform(const SendToEntry& aAction);
+  void Perform(StartCall aAction);
+  void Perform(const CancelCall& aAction);
   trefoilio::HttpRequest ToHttp(StartCall& aAction) const;
-  Millis Wait() const;
+  Millis TimeToNextWake() const;
 
   UpstreamOptions mOptions;
   trefoilio::Metrics& mMetrics;
   SidecarCore mCore;
   CallWatch mWatch;
-  /** Mutable: a state dump asks the decision thread for its state. */
+  /** Mutable because DumpState() queries the decision thread. */
   mutable trefoilio::BoundedRing<Event> mRing;
   SidecarServer mServer;
-  std::unordered_map<AttemptKey, Running> mRunning;
+  std::unordered_map<AttemptKey, RunningCall> mRunningCalls;
   uint64_t mPolicyVersion = 0;
   std::atomic<bool> mIdle = false;
   std::unique_ptr<trefoilio::CallRunner> mCalls;
--- a/src/trefoilarchd/wirecodec.cpp
+++ b/src/trefoilarchd/wirecodec.cpp
@@ -46,7 +46,7 @@
   return headers;
 }
 
-/** An error kind from a peer; Internal where this version has none such. */
+/** Reads an error kind; Internal if this version does not know it. */
 ErrorKind
 TakeKind(uint32_t aWire)
 {
--- a/src/trefoilarchd/wirecodec.h
+++ b/src/trefoilarchd/wirecodec.h
@@ -8,13 +8,13 @@
 
 namespace trefoilarch {
 
-/** The typed message as it goes over the wire. */
+/** Converts a typed message to its wire format. */
 wire::EntryEnvelope
 Encode(const EntryMessage& aMessage);
 wire::SidecarEnvelope
 Encode(const SidecarMessage& aMessage);
 
-/** Empty where the envelope holds no message that this version knows. */
+/** Returns nullopt if the envelope holds no message this version knows. */
 std::optional<EntryMessage>
 Decode(wire::EntryEnvelope aEnvelope);
 std::optional<SidecarMessage>
--- a/tests/daemon/eventstreamtest.cpp
+++ b/tests/daemon/eventstreamtest.cpp
@@ -20,7 +20,7 @@
          "\n\n";
 }
 
-/** A stream cut into pieces at random places. */
+/** Splits a stream into pieces at random positions. */
 std::vector<std::string>
 Pieces(const std::string& aStream)
 {
@@ -35,7 +35,7 @@
 
 } // namespace
 
-Test(eventsplitter, keeps_every_byte_and_cuts_only_between_events)
+Test(eventsplitter, keeps_every_byte_and_splits_only_between_events)
 {
   const bool holds = rc::check([] {
     const auto words = *rc::gen::container<std::vector<std::string>>(
@@ -64,15 +64,15 @@
   cr_assert(holds);
 }
 
-Test(eventsplitter, an_answer_without_its_end_is_not_done)
+Test(eventsplitter, is_not_done_without_the_done_event)
 {
   EventSplitter splitter;
   splitter.Add(Event("a") + "data: [DO");
   cr_assert(!splitter.Done());
-  cr_assert(splitter.Rest() == "data: [DO");
+  cr_assert(splitter.Remainder() == "data: [DO");
 }
 
-Test(answerassembler, puts_the_text_together)
+Test(answerassembler, assembles_the_text)
 {
   const bool holds = rc::check([] {
     const auto words = *rc::gen::container<std::vector<std::string>>(
@@ -88,7 +88,7 @@
     for (const std::string& piece : Pieces(stream)) {
       assembler.Add(piece);
     }
-    RC_ASSERT(assembler.Whole());
+    RC_ASSERT(assembler.IsComplete());
     const auto answer = nlohmann::json::parse(assembler.Json());
     RC_ASSERT(answer["object"] == "chat.completion");
     RC_ASSERT(answer["choices"][0]["message"]["content"] == text + "!");
@@ -96,7 +96,7 @@
   cr_assert(holds);
 }
 
-Test(answerassembler, joins_tool_calls_by_their_index)
+Test(answerassembler, joins_tool_calls_by_index)
 {
   AnswerAssembler assembler;
   assembler.Add(
--- a/tests/daemon/fleetstatustest.cpp
+++ b/tests/daemon/fleetstatustest.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-Test(fleetstatus, tells_each_state_and_drains_by_either_word)
+Test(fleetstatus, reports_each_state_and_draining_by_sidecar_or_policy)
 {
   json dump = { { "entry", "e" },
                 { "policy_version", 3 },
--- a/tests/daemon/hostlisttest.cpp
+++ b/tests/daemon/hostlisttest.cpp
@@ -14,9 +14,9 @@
   R"([{"targets":["127.0.0.1:1"],"labels":{"role":"sidecar","upstream":"a"}},)"
   R"({"targets":["127.0.0.1:2"],"labels":{"role":"entry","host":"b"}}])";
 
-/** A platform's host list that may be told apart by a tag. */
+/** Serves a host list, with a tag unless aTag is empty. */
 HttpReply
-List(const HttpRequest& aRequest, const std::string& aTag)
+HostListReply(const HttpRequest& aRequest, const std::string& aTag)
 {
   HttpReply reply;
   if (aTag.empty()) {
@@ -38,7 +38,9 @@
     : mTag(std::move(aTag))
     , mServer(
         {},
-        [this](const HttpRequest& aRequest) { return List(aRequest, mTag); },
+        [this](const HttpRequest& aRequest) {
+          return HostListReply(aRequest, mTag);
+        },
         [](trefoilio::BadInput) { return HttpReply{ .mStatus = 400 }; })
     , mClient({ .mUrl = "http://127.0.0.1:" + std::to_string(mServer.Port()) })
   {
@@ -51,7 +53,7 @@
 
 } // namespace
 
-Test(hostlist, with_a_tag_comes_once)
+Test(hostlist, with_a_tag_is_sent_once)
 {
   Platform platform("\"7\"");
   const auto first = platform.mClient.ReadHosts();
@@ -60,7 +62,7 @@
   cr_assert(first->mTag == "\"7\"");
   const auto second = platform.mClient.ReadHosts(first->mTag);
   cr_assert(second, "nothing read");
-  cr_assert(!second->mMembership, "whole again, tag %s", second->mTag.c_str());
+  cr_assert(!second->mMembership, "sent again, tag %s", second->mTag.c_str());
   cr_assert(second->mBytes == 0);
   cr_assert(second->mTag == first->mTag);
   platform.mTag = "\"8\"";
@@ -68,7 +70,7 @@
   cr_assert(third && third->mMembership == first->mMembership);
 }
 
-Test(hostlist, without_a_tag_comes_whole_each_time)
+Test(hostlist, without_a_tag_is_sent_in_full_each_time)
 {
   Platform platform("");
   for (int i = 0; i < 2; ++i) {
--- a/tests/daemon/wirecodectest.cpp
+++ b/tests/daemon/wirecodectest.cpp
@@ -16,7 +16,7 @@
 }
 
 Millis
-AnySpan()
+AnyDuration()
 {
   return Millis(*rc::gen::inRange<int64_t>(0, 1 << 30));
 }
@@ -54,10 +54,10 @@
   offer.mLevel.mTier = *rc::gen::inRange<Tier>(0, kTierCount);
   offer.mLevel.mFloor = *rc::gen::inRange(0, 100) / 100.0;
   offer.mLevel.mWeight = *rc::gen::inRange(1, 100) / 10.0;
-  offer.mLevel.mFirstTokenTarget = AnySpan();
-  offer.mLevel.mBetweenTokenTarget = AnySpan();
-  offer.mDeadline = AnySpan();
-  offer.mFirstTokenDue = AnySpan();
+  offer.mLevel.mFirstTokenTarget = AnyDuration();
+  offer.mLevel.mBetweenTokenTarget = AnyDuration();
+  offer.mDeadline = AnyDuration();
+  offer.mFirstTokenDue = AnyDuration();
   offer.mPromptTokens = *rc::gen::arbitrary<uint32_t>();
   offer.mOutputTokens = *rc::gen::arbitrary<uint32_t>();
   offer.mPrefixHash = *rc::gen::arbitrary<uint64_t>();
@@ -102,9 +102,9 @@
       return Welcome{ AnyText(), number,   AnyText(), { { "k", AnyText() } },
                       number,    AnyLoad() };
     case 1:
-      return Grant{ AnyKey(), AnySpan() };
+      return Grant{ AnyKey(), AnyDuration() };
     case 2:
-      return Decline{ AnyKey(), ErrorKind::DeadlineUnmeetable, AnySpan() };
+      return Decline{ AnyKey(), ErrorKind::DeadlineUnmeetable, AnyDuration() };
     case 3:
       return Voided{ AnyKey(), number };
     case 4:
@@ -123,14 +123,14 @@
   }
 }
 
-/** Through the bytes that go over the wire. */
+/** Serializes and parses an envelope. */
 template<typename Envelope>
 Envelope
 OverTheWire(const Envelope& aEnvelope)
 {
-  Envelope arrived;
-  cr_assert(arrived.ParseFromString(aEnvelope.SerializeAsString()));
-  return arrived;
+  Envelope received;
+  cr_assert(received.ParseFromString(aEnvelope.SerializeAsString()));
+  return received;
 }
 
 } // namespace
@@ -153,7 +153,7 @@
   cr_assert(holds);
 }
 
-Test(wirecodec, an_unknown_message_is_none)
+Test(wirecodec, an_unknown_message_is_not_decoded)
 {
   cr_assert(!Decode(wire::EntryEnvelope()));
   cr_assert(!Decode(wire::SidecarEnvelope()));
