--- a/src/trefoilarchd/callerservice.cpp
+++ b/src/trefoilarchd/callerservice.cpp
@@ -58,18 +58,18 @@
 public:
   explicit OpenCount(std::atomic<size_t>& aCount)
     : mCount(aCount)
-    , mBefore(aCount.fetch_add(1))
+    , mPreviousCount(aCount.fetch_add(1))
   {
   }
   ~OpenCount() { mCount.fetch_sub(1); }
   OpenCount(const OpenCount&) = delete;
   OpenCount& operator=(const OpenCount&) = delete;
 
-  size_t Before() const { return mBefore; }
+  size_t PreviousCount() const { return mPreviousCount; }
 
 private:
   std::atomic<size_t>& mCount;
-  size_t mBefore;
+  size_t mPreviousCount;
 };
 
 CallerService::CallerService(CallerOptions aOptions,
@@ -91,7 +91,7 @@
 CallerService::Start(trefoilio::Kernel& aKernel)
 {
   mRouter = &aKernel.Find<RouterService>(RouterService::kName);
-  mClaims.emplace(aKernel.Find<ClaimService>(ClaimService::kName));
+  mClaimGate.emplace(aKernel.Find<ClaimService>(ClaimService::kName));
   mServer = std::make_unique<trefoilio::HttpServer>(
     mOptions.mHttp,
     [this](const HttpRequest& aHttp) { return Handle(aHttp); },
@@ -212,14 +212,14 @@
 {
   const Millis arrived = trefoilio::MonotonicNow();
   auto open = std::make_shared<OpenCount>(mOpenRequests);
-  if (open->Before() >= mOptions.mMaxOpen) {
+  if (open->PreviousCount() >= mOptions.mMaxOpen) {
     return Fail(
       Refusal{ .mKind = ErrorKind::TooManyOpen, .mRetryAfter = kRetryAfter });
   }
   BOOST_LEAF_AUTO(classifier, CurrentPolicyClassifier());
   BOOST_LEAF_AUTO(classified, classifier->Classify(aRequest.mClaims));
   BOOST_LEAF_AUTO(admission,
-                  mClaims->Admit(aRequest, classified.mIdempotent, aId));
+                  mClaimGate->Admit(aRequest, classified.mIdempotent, aId));
   if (admission.mRepeat) {
     mMetrics.Count("answers_repeated_total");
     return std::move(*admission.mRepeat);
--- a/src/trefoilarchd/callerservice.h
+++ b/src/trefoilarchd/callerservice.h
@@ -77,7 +77,7 @@
   CallerOptions mOptions;
   trefoilio::Metrics& mMetrics;
   RouterService* mRouter = nullptr;
-  std::optional<ClaimGate> mClaims;
+  std::optional<ClaimGate> mClaimGate;
   std::atomic<bool> mDraining = false;
   std::atomic<size_t> mOpenRequests = 0;
   std::mutex mRandomMutex;
--- a/src/trefoilarchd/claimservice.h
+++ b/src/trefoilarchd/claimservice.h
@@ -107,7 +107,7 @@
   ClaimPeerClient mPeers;
 
   mutable std::mutex mMutex;
-  std::unique_ptr<Claims> mCore; /**< under mMutex */
+  std::unique_ptr<Claims> mCore; /**< guarded by mMutex */
   /** Used by the decision thread only. */
   std::unordered_map<RequestId, std::shared_ptr<Waiter>> mWaiting;
   std::atomic<bool> mStopping{ false };
--- a/src/trefoilarchd/grpcserverservice.h
+++ b/src/trefoilarchd/grpcserverservice.h
@@ -20,7 +20,7 @@
 public:
   static constexpr const char* kName = "grpc";
 
-  /** aListenAddress is `ADDRESS:PORT`; port 0 takes any free one. */
+  /** aListenAddress is `ADDRESS:PORT`; port 0 selects a free one. */
   GrpcServerService(std::string aListenAddress,
                     std::vector<grpc::Service*> aServices);
   ~GrpcServerService() override;
--- a/src/trefoilarchd/platformclient.cpp
+++ b/src/trefoilarchd/platformclient.cpp
@@ -296,15 +296,15 @@
 }
 
 std::optional<HostListResult>
-PlatformClient::ReadHosts(const std::string& aKnownTag) const
+PlatformClient::ReadHosts(const std::string& aPreviousTag) const
 {
   trefoilio::HttpHeaders headers;
-  if (!aKnownTag.empty()) {
-    headers.emplace_back("If-None-Match", aKnownTag);
+  if (!aPreviousTag.empty()) {
+    headers.emplace_back("If-None-Match", aPreviousTag);
   }
   const auto reply = Send("GET", "/hosts", "", std::move(headers));
   if (reply && reply->mStatus == kNotModified) {
-    return HostListResult{ .mTag = aKnownTag };
+    return HostListResult{ .mTag = aPreviousTag };
   }
   auto membership =
     IsSuccess(reply) ? ParseHostList(reply->mBody) : std::nullopt;
--- a/src/trefoilarchd/platformclient.h
+++ b/src/trefoilarchd/platformclient.h
@@ -119,11 +119,11 @@
 
   /**
    * Reads the host list; nullopt on failure or an invalid list. A platform
-   * that sends tags does not resend a list that still has aKnownTag (RFC 9110,
-   * ETag and If-None-Match).
+   * that sends tags does not resend a list that still has aPreviousTag (RFC
+   * 9110, ETag and If-None-Match).
    */
   std::optional<HostListResult> ReadHosts(
-    const std::string& aKnownTag = "") const;
+    const std::string& aPreviousTag = "") const;
 
 private:
   std::optional<trefoilio::HttpReply> Send(
--- a/src/trefoilarchd/process.h
+++ b/src/trefoilarchd/process.h
@@ -28,7 +28,7 @@
   virtual void Stop() = 0;
 };
 
-/** Create the process of each role. */
+/** Creates a process of one role. */
 std::unique_ptr<Process>
 MakeEntryProcess(const trefoilio::Settings& aSettings);
 std::unique_ptr<Process>
--- a/src/trefoilarchd/sidecarserver.cpp
+++ b/src/trefoilarchd/sidecarserver.cpp
@@ -43,7 +43,7 @@
     std::map<EntryId, std::shared_ptr<ServerChannel>> channels;
     {
       const std::lock_guard lock(mMutex);
-      channels = mNewest;
+      channels = mNewestChannels;
     }
     for (const auto& [entry, channel] : channels) {
       channel->Close();
@@ -60,8 +60,9 @@
     EntryId entry;
     {
       const std::lock_guard lock(mMutex);
-      const auto found = mEntryOf.find(aChannel.get());
-      if (found == mEntryOf.end() || mNewest[found->second] != aChannel) {
+      const auto found = mEntryByChannel.find(aChannel.get());
+      if (found == mEntryByChannel.end() ||
+          mNewestChannels[found->second] != aChannel) {
         return;
       }
       entry = found->second;
@@ -76,8 +77,8 @@
     std::shared_ptr<ServerChannel> superseded;
     {
       const std::lock_guard lock(mMutex);
-      mEntryOf[aChannel.get()] = aEntry;
-      superseded = std::exchange(mNewest[aEntry], aChannel);
+      mEntryByChannel[aChannel.get()] = aEntry;
+      superseded = std::exchange(mNewestChannels[aEntry], aChannel);
     }
     if (superseded && superseded != aChannel) {
       superseded->Close();
@@ -89,17 +90,17 @@
     EntryId entry;
     {
       const std::lock_guard lock(mMutex);
-      const auto found = mEntryOf.find(aChannel.get());
-      if (found == mEntryOf.end()) {
+      const auto found = mEntryByChannel.find(aChannel.get());
+      if (found == mEntryByChannel.end()) {
         return;
       }
       entry = std::move(found->second);
-      mEntryOf.erase(found);
-      const auto newest = mNewest.find(entry);
-      if (newest == mNewest.end() || newest->second != aChannel) {
+      mEntryByChannel.erase(found);
+      const auto newest = mNewestChannels.find(entry);
+      if (newest == mNewestChannels.end() || newest->second != aChannel) {
         return;
       }
-      mNewest.erase(newest);
+      mNewestChannels.erase(newest);
     }
     mHooks.mOnDown(std::move(entry));
   }
@@ -107,14 +108,14 @@
   std::shared_ptr<ServerChannel> NewestOf(const EntryId& aEntry)
   {
     const std::lock_guard lock(mMutex);
-    const auto found = mNewest.find(aEntry);
-    return found == mNewest.end() ? nullptr : found->second;
+    const auto found = mNewestChannels.find(aEntry);
+    return found == mNewestChannels.end() ? nullptr : found->second;
   }
 
   SidecarServerHooks mHooks;
   std::mutex mMutex;
-  std::map<const ServerChannel*, EntryId> mEntryOf;
-  std::map<EntryId, std::shared_ptr<ServerChannel>> mNewest;
+  std::map<const ServerChannel*, EntryId> mEntryByChannel;
+  std::map<EntryId, std::shared_ptr<ServerChannel>> mNewestChannels;
 };
 
 SidecarServer::SidecarServer(SidecarServerHooks aHooks)
