--- a/src/trefoilarchd/entryprocess.cpp
+++ b/src/trefoilarchd/entryprocess.cpp
@@ -67,9 +67,9 @@
     PlatformClientOptions{ .mUrl = aSettings.Text("platform") });
 }
 
-/** The sidecars of the setting `--sidecars`. */
+/** Returns the sidecars given by the setting `--sidecars`. */
 Membership
-FixedMembers(const Settings& aSettings)
+FixedMembership(const Settings& aSettings)
 {
   Membership members;
   for (const auto& [name, address] : aSettings.LabelMap("sidecars")) {
@@ -105,16 +105,16 @@
   return peers;
 }
 
-/** The daemon that callers reach. */
+/** The daemon that serves callers. */
 class EntryProcess final : public Process
 {
 public:
   explicit EntryProcess(const Settings& aSettings)
     : mName(aSettings.Text("name"))
     , mPlatform(PlatformFrom(aSettings))
-    , mPeerServer(
+    , mPolicyPeerServer(
         [this](uint64_t aAfter) { return mPolicy->DeltaAfter(aAfter); })
-    , mClaimPeers([this](RequestId aId) { return mClaims->Report(aId); })
+    , mClaimPeerServer([this](RequestId aId) { return mClaims->Report(aId); })
   {
     mPolicy = Add(kPolicyName,
                   std::make_unique<PolicyService>(PolicyServiceOptions{
@@ -127,14 +127,15 @@
     mMembership = Add(
       kMembershipName,
       std::make_unique<MembershipService>(MembershipOptionsFrom(aSettings)));
-    mPeers = Add(GrpcServerService::kName,
-                 std::make_unique<GrpcServerService>(
-                   aSettings.Text("peer-listen"),
-                   std::vector<grpc::Service*>{ &mPeerServer, &mClaimPeers }));
+    mGrpcServer = Add(
+      GrpcServerService::kName,
+      std::make_unique<GrpcServerService>(
+        aSettings.Text("peer-listen"),
+        std::vector<grpc::Service*>{ &mPolicyPeerServer, &mClaimPeerServer }));
     mClaims = Add(ClaimService::kName,
                   std::make_unique<ClaimService>(ClaimServiceOptions{
                     .mPlatform = mPlatform,
-                    .mAddress = [this] { return mPeers->Address(); },
+                    .mAddress = [this] { return mGrpcServer->Address(); },
                     .mClaims = { .mSeed = DrawIncarnation() },
                     .mMetrics = &mMetrics }));
     CallerOptions callers = CallerOptionsFrom(aSettings);
@@ -145,7 +146,7 @@
     mOperators = Add(OperatorService::kName,
                      std::make_unique<OperatorService>(
                        OperatorOptionsFrom(aSettings), mMetrics));
-    Join();
+    ConnectServices();
   }
 
   void Start() override { mKernel.StartAll(); }
@@ -154,7 +155,7 @@
   {
     return { "entry " + mName + " " + mCallers->Address(),
              "operator " + mName + " " + mOperators->Address(),
-             "peer " + mName + " " + mPeers->Address() };
+             "peer " + mName + " " + mGrpcServer->Address() };
   }
 
   std::string NotReady() const override
@@ -163,10 +164,10 @@
       return "stopping";
     }
     if (mPolicy->Version() == 0) {
-      return mPolicy->Known() ? "no policy has been set"
-                              : "no policy is known yet";
+      return mPolicy->IsLoaded() ? "no policy has been set"
+                                 : "no policy is known yet";
     }
-    if (!mMembership->Known()) {
+    if (!mMembership->IsLoaded()) {
       return "no host list is known yet";
     }
     return mRouter->Settled() ? "" : "the sidecars have not answered yet";
@@ -194,14 +195,14 @@
     return service;
   }
 
-  /** The hooks by which the services tell each other what is new. */
-  void Join()
+  /** Sets the hooks through which the services notify each other. */
+  void ConnectServices()
   {
     mPolicy->Subscribe([this](std::shared_ptr<const Classifier> aClassifier) {
       mRouter->SetClassifier(std::move(aClassifier));
     });
     mRouter->SetVersionHook(
-      [this](uint64_t aVersion) { mPolicy->NoteVersion(aVersion); });
+      [this](uint64_t aVersion) { mPolicy->OnRemoteVersion(aVersion); });
     mMembership->Subscribe([this](const Membership& aMembership) {
       mRouter->SetSidecars(Sidecars(aMembership));
       mPolicy->SetPeers(PeerAddresses(aMembership));
@@ -214,7 +215,7 @@
     MembershipServiceOptions options{ .mSeed = DrawIncarnation() };
     options.mEntry = mName;
     options.mSubsetSize = aSettings.Integer("subset-size");
-    options.mFixed = FixedMembers(aSettings);
+    options.mFixed = FixedMembership(aSettings);
     if (options.mFixed.mSidecars.empty()) {
       options.mPlatform = mPlatform;
     }
@@ -245,13 +246,13 @@
   std::string mName;
   trefoilio::Metrics mMetrics;
   std::shared_ptr<const PlatformClient> mPlatform;
-  PolicyPeerServer mPeerServer;
-  ClaimPeerServer mClaimPeers;
+  PolicyPeerServer mPolicyPeerServer;
+  ClaimPeerServer mClaimPeerServer;
   trefoilio::Kernel mKernel;
   PolicyService* mPolicy = nullptr;
   RouterService* mRouter = nullptr;
   MembershipService* mMembership = nullptr;
-  GrpcServerService* mPeers = nullptr;
+  GrpcServerService* mGrpcServer = nullptr;
   ClaimService* mClaims = nullptr;
   CallerService* mCallers = nullptr;
   OperatorService* mOperators = nullptr;
