--- a/src/libtrefoilio/base64.cpp
+++ b/src/libtrefoilio/base64.cpp
@@ -11,17 +11,17 @@
 
 namespace iterators = boost::archive::iterators;
 
-constexpr int kBitsOfDigit = 6;
-constexpr int kBitsOfByte = 8;
-constexpr size_t kDigitsOfGroup = 4;
-constexpr size_t kMostPadding = 2;
+constexpr int kBitsPerDigit = 6;
+constexpr int kBitsPerByte = 8;
+constexpr size_t kDigitsPerGroup = 4;
+constexpr size_t kMaxPadding = 2;
 
 using Encoded = iterators::base64_from_binary<
-  iterators::transform_width<const char*, kBitsOfDigit, kBitsOfByte>>;
+  iterators::transform_width<const char*, kBitsPerDigit, kBitsPerByte>>;
 using Decoded =
   iterators::transform_width<iterators::binary_from_base64<const char*>,
-                             kBitsOfByte,
-                             kBitsOfDigit>;
+                             kBitsPerByte,
+                             kBitsPerDigit>;
 
 } // namespace
 
@@ -30,7 +30,7 @@
 {
   std::string text(Encoded(aBytes.data()),
                    Encoded(aBytes.data() + aBytes.size()));
-  while (text.size() % kDigitsOfGroup != 0) {
+  while (text.size() % kDigitsPerGroup != 0) {
     text += '=';
   }
   return text;
@@ -39,17 +39,17 @@
 std::optional<std::string>
 FromBase64(std::string_view aText)
 {
-  if (aText.size() % kDigitsOfGroup != 0) {
+  if (aText.size() % kDigitsPerGroup != 0) {
     return std::nullopt;
   }
   std::string_view digits = aText;
-  while (digits.ends_with('=') && aText.size() - digits.size() < kMostPadding) {
+  while (digits.ends_with('=') && aText.size() - digits.size() < kMaxPadding) {
     digits.remove_suffix(1);
   }
-  if (digits.ends_with('=') || digits.size() % kDigitsOfGroup == 1) {
+  if (digits.ends_with('=') || digits.size() % kDigitsPerGroup == 1) {
     return std::nullopt;
   }
-  const size_t bytes = digits.size() * kBitsOfDigit / kBitsOfByte;
+  const size_t bytes = digits.size() * kBitsPerDigit / kBitsPerByte;
   std::string decoded;
   decoded.reserve(bytes);
   try {
--- a/src/libtrefoilio/base64.h
+++ b/src/libtrefoilio/base64.h
@@ -6,11 +6,11 @@
 
 namespace trefoilio {
 
-/** Standard base64 with padding (RFC 4648), by Boost's iterators. */
+/** Encodes bytes as standard padded base64 (RFC 4648). */
 std::string
 ToBase64(std::string_view aBytes);
 
-/** Empty where the text is not base64. */
+/** Decodes padded base64; returns nothing if the text is invalid. */
 std::optional<std::string>
 FromBase64(std::string_view aText);
 
--- a/src/libtrefoilio/boundedring.h
+++ b/src/libtrefoilio/boundedring.h
@@ -13,8 +13,8 @@
 namespace trefoilio {
 
 /**
- * Joins the threads of two duties. Holds at most a fixed number of items; a
- * closed ring takes no more and gives out what is left.
+ * Bounded blocking queue between threads. Once closed, it rejects new items
+ * but still returns those that it holds.
  */
 template<typename T>
 class BoundedRing
@@ -25,7 +25,7 @@
   {
   }
 
-  /** False where the ring is full or closed. */
+  /** Returns false if the ring is full or closed. */
   bool TryPush(T aItem)
   {
     {
@@ -35,42 +35,42 @@
       }
       mItems.push_back(std::move(aItem));
     }
-    mFilled.notify_one();
+    mNotEmpty.notify_one();
     return true;
   }
 
-  /** Waits for a place; false where the ring is or gets closed. */
+  /** Waits until the ring has capacity; returns false once it is closed. */
   bool Push(T aItem)
   {
     {
       std::unique_lock lock(mMutex);
-      mEmptied.wait(lock,
+      mNotFull.wait(lock,
                     [this] { return mClosed || mItems.size() < mCapacity; });
       if (mClosed) {
         return false;
       }
       mItems.push_back(std::move(aItem));
     }
-    mFilled.notify_one();
+    mNotEmpty.notify_one();
     return true;
   }
 
-  /** Waits for an item for at most the given span. */
-  std::optional<T> PopFor(trefoilarch::Millis aSpan)
+  /** Waits for an item until the timeout. */
+  std::optional<T> PopFor(trefoilarch::Millis aTimeout)
   {
     std::optional<T> item;
     {
       std::unique_lock lock(mMutex);
-      mFilled.wait_for(lock, std::chrono::milliseconds(aSpan.Count()), [this] {
-        return mClosed || !mItems.empty();
-      });
+      mNotEmpty.wait_for(lock,
+                         std::chrono::milliseconds(aTimeout.Count()),
+                         [this] { return mClosed || !mItems.empty(); });
       if (mItems.empty()) {
         return std::nullopt;
       }
       item.emplace(std::move(mItems.front()));
       mItems.pop_front();
     }
-    mEmptied.notify_one();
+    mNotFull.notify_one();
     return item;
   }
 
@@ -80,8 +80,8 @@
       std::lock_guard lock(mMutex);
       mClosed = true;
     }
-    mFilled.notify_all();
-    mEmptied.notify_all();
+    mNotEmpty.notify_all();
+    mNotFull.notify_all();
   }
 
   bool Closed() const
@@ -99,8 +99,8 @@
 private:
   const size_t mCapacity;
   mutable std::mutex mMutex;
-  std::condition_variable mFilled;
-  std::condition_variable mEmptied;
+  std::condition_variable mNotEmpty;
+  std::condition_variable mNotFull;
   std::deque<T> mItems;
   bool mClosed = false;
 };
--- a/src/libtrefoilio/callrunner.cpp
+++ b/src/libtrefoilio/callrunner.cpp
@@ -17,17 +17,17 @@
 
 namespace {
 
-constexpr int kLongestWaitMillis = 1000;
-constexpr long kIdleConnectionsKept = 64;
+constexpr int kMaxPollMillis = 1000;
+constexpr long kMaxIdleConnections = 64;
 
 void
-SetUpOnce()
+InitializeLibcurl()
 {
   static std::once_flag sDone;
   std::call_once(sDone, [] { curl_global_init(CURL_GLOBAL_ALL); });
 }
 
-/** A reset connection must not end the process. */
+/** Prevents a write to a reset connection from ending the process. */
 void
 BlockBrokenPipeSignal()
 {
@@ -50,14 +50,15 @@
   explicit Impl(CallRunnerOptions aOptions)
     : mOptions(aOptions)
   {
-    SetUpOnce();
+    InitializeLibcurl();
     mMulti.reset(curl_multi_init());
     if (!mMulti) {
-      throw std::runtime_error("cannot set up libcurl");
+      throw std::runtime_error("cannot initialize libcurl");
     }
-    const auto most = static_cast<long>(mOptions.mMaxConnections);
-    curl_multi_setopt(mMulti.get(), CURLMOPT_MAX_TOTAL_CONNECTIONS, most);
-    curl_multi_setopt(mMulti.get(), CURLMOPT_MAXCONNECTS, kIdleConnectionsKept);
+    const auto maxConnections = static_cast<long>(mOptions.mMaxConnections);
+    curl_multi_setopt(
+      mMulti.get(), CURLMOPT_MAX_TOTAL_CONNECTIONS, maxConnections);
+    curl_multi_setopt(mMulti.get(), CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
     curl_multi_setopt(mMulti.get(), CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
     mThread = std::thread([this] { Run(); });
   }
@@ -79,7 +80,7 @@
       id, std::move(aRequest), std::move(aHooks), mOptions.mConnectMillis);
     {
       std::lock_guard lock(mMutex);
-      mStarts.push_back(std::move(call));
+      mPendingStarts.push_back(std::move(call));
     }
     curl_multi_wakeup(mMulti.get());
     return id;
@@ -89,7 +90,7 @@
   {
     {
       std::lock_guard lock(mMutex);
-      mCancels.push_back(aCall);
+      mPendingCancels.push_back(aCall);
     }
     curl_multi_wakeup(mMulti.get());
   }
@@ -99,12 +100,12 @@
   {
     BlockBrokenPipeSignal();
     while (!mStop) {
-      TakeOrders();
+      TakeCommands();
       int running = 0;
       curl_multi_perform(mMulti.get(), &running);
-      FinishEnded();
-      if (!OrdersWait()) {
-        curl_multi_poll(mMulti.get(), nullptr, 0, kLongestWaitMillis, nullptr);
+      FinishCompletedCalls();
+      if (!HasPendingCommands()) {
+        curl_multi_poll(mMulti.get(), nullptr, 0, kMaxPollMillis, nullptr);
       }
     }
     for (auto& [id, call] : mCalls) {
@@ -113,20 +114,20 @@
     mCalls.clear();
   }
 
-  bool OrdersWait()
+  bool HasPendingCommands()
   {
     std::lock_guard lock(mMutex);
-    return !mStarts.empty() || !mCancels.empty();
+    return !mPendingStarts.empty() || !mPendingCancels.empty();
   }
 
-  void TakeOrders()
+  void TakeCommands()
   {
     std::vector<std::unique_ptr<CurlCall>> starts;
     std::vector<uint64_t> cancels;
     {
       std::lock_guard lock(mMutex);
-      starts.swap(mStarts);
-      cancels.swap(mCancels);
+      starts.swap(mPendingStarts);
+      cancels.swap(mPendingCancels);
     }
     for (auto& call : starts) {
       curl_multi_add_handle(mMulti.get(), call->Handle());
@@ -137,7 +138,7 @@
     }
   }
 
-  /** Removing a call that is under way closes its connection. */
+  /** Removes a call; if it is in progress, this closes its connection. */
   std::unique_ptr<CurlCall> Remove(uint64_t aId)
   {
     const auto found = mCalls.find(aId);
@@ -150,7 +151,7 @@
     return call;
   }
 
-  void FinishEnded()
+  void FinishCompletedCalls()
   {
     int left = 0;
     while (CURLMsg* message = curl_multi_info_read(mMulti.get(), &left)) {
@@ -158,18 +159,18 @@
         continue;
       }
       const CURLcode result = message->data.result;
-      CurlCall* ended = CurlCall::Of(message->easy_handle);
+      CurlCall* ended = CurlCall::FromHandle(message->easy_handle);
       const auto call = Remove(ended->Id());
-      if (call && !CancelWaits(call->Id())) {
+      if (call && !IsCancelPending(call->Id())) {
         call->Finish(result);
       }
     }
   }
 
-  bool CancelWaits(uint64_t aId)
+  bool IsCancelPending(uint64_t aId)
   {
     std::lock_guard lock(mMutex);
-    return std::ranges::find(mCancels, aId) != mCancels.end();
+    return std::ranges::find(mPendingCancels, aId) != mPendingCancels.end();
   }
 
   const CallRunnerOptions mOptions;
@@ -177,9 +178,9 @@
   std::atomic<uint64_t> mLastId = 0;
   std::atomic<bool> mStop = false;
   std::mutex mMutex;
-  std::vector<std::unique_ptr<CurlCall>> mStarts;
-  std::vector<uint64_t> mCancels;
-  /** Of the runner's thread alone. */
+  std::vector<std::unique_ptr<CurlCall>> mPendingStarts;
+  std::vector<uint64_t> mPendingCancels;
+  /** Accessed only by the runner's thread. */
   std::unordered_map<uint64_t, std::unique_ptr<CurlCall>> mCalls;
   std::thread mThread;
 };
--- a/src/libtrefoilio/callrunner.h
+++ b/src/libtrefoilio/callrunner.h
@@ -9,15 +9,15 @@
 
 namespace trefoilio {
 
-/** How a call ended. */
+/** Result of a finished call. */
 enum class CallEnd
 {
   Whole,
-  NeverSent, /**< no connection was made: the upstream has seen nothing */
-  Broken,    /**< anything else; the upstream may have run it */
+  NeverSent, /**< no connection was made; the upstream received nothing */
+  Broken,    /**< any other failure; the upstream may have run the call */
 };
 
-/** Callbacks of one call; all on the runner's own thread. */
+/** Callbacks of one call, all invoked on the runner's thread. */
 struct CallHooks
 {
   std::function<void(int aStatus, HttpHeaders aHeaders)> mOnHead{};
@@ -33,9 +33,9 @@
 };
 
 /**
- * Runs any number of HTTP calls at once on one thread, by libcurl's multi
- * interface: a call can be cancelled at any moment, silent or not, which the
- * ulfius client cannot do.
+ * Runs concurrent HTTP calls on one thread with libcurl's multi interface.
+ * Unlike the ulfius client, it can cancel a call at any time, even while the
+ * connection is idle.
  */
 class CallRunner
 {
@@ -45,7 +45,7 @@
   CallRunner(const CallRunner&) = delete;
   CallRunner& operator=(const CallRunner&) = delete;
 
-  /** Starts a call; mTarget is the whole URL. The id is not 0. */
+  /** Starts a call and returns its nonzero id; mTarget is the full URL. */
   uint64_t Start(HttpRequest aRequest, CallHooks aHooks);
 
   /**
--- a/src/libtrefoilio/connectionwatch.cpp
+++ b/src/libtrefoilio/connectionwatch.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick{ 50 };
-/** How long a refused sender may go on while it reads its answer. */
-constexpr std::chrono::milliseconds kLinger{ 1000 };
+constexpr std::chrono::milliseconds kCheckInterval{ 50 };
+/** How long a rejected sender may keep its connection to read the response. */
+constexpr std::chrono::milliseconds kRejectLinger{ 1000 };
 
 uint64_t
 BytesReceived(int aSocket)
@@ -35,9 +35,9 @@
 }
 
 ConnectionWatch::ConnectionWatch(ConnectionWatchOptions aOptions,
-                                 AnswerMaker aMakeAnswer)
+                                 ResponseBuilder aBuildResponse)
   : mOptions(aOptions)
-  , mMakeAnswer(std::move(aMakeAnswer))
+  , mBuildResponse(std::move(aBuildResponse))
   , mThread([this] { Run(); })
 {
 }
@@ -60,7 +60,7 @@
     if (mConnections.size() >= mOptions.mMaxConnections) {
       CloseOldestIdle();
     }
-    mConnections[aSocket] = Connection{ .mSince = Clock::now() };
+    mConnections[aSocket] = Connection{ .mStateSince = Clock::now() };
   }
   mChanged.notify_one();
 }
@@ -73,22 +73,22 @@
 }
 
 void
-ConnectionWatch::RequestBegan(int aSocket)
+ConnectionWatch::RequestStarted(int aSocket)
 {
   std::lock_guard lock(mMutex);
   Connection& connection = mConnections[aSocket];
   if (connection.mState == State::Idle) {
     connection.mState = State::Receiving;
-    connection.mSince = Clock::now();
+    connection.mStateSince = Clock::now();
   }
 }
 
 bool
-ConnectionWatch::RequestWhole(int aSocket)
+ConnectionWatch::RequestComplete(int aSocket)
 {
   std::lock_guard lock(mMutex);
   Connection& connection = mConnections[aSocket];
-  if (connection.mState == State::Refused) {
+  if (connection.mState == State::Rejected) {
     return false;
   }
   connection.mState = State::Answering;
@@ -96,21 +96,21 @@
 }
 
 bool
-ConnectionWatch::RequestOver(int aSocket)
+ConnectionWatch::ResponseFinished(int aSocket)
 {
   std::lock_guard lock(mMutex);
   Connection& connection = mConnections[aSocket];
-  if (connection.mState == State::Refused) {
+  if (connection.mState == State::Rejected) {
     return true;
   }
   connection.mState = State::Idle;
-  connection.mSince = Clock::now();
-  connection.mBytesBefore = BytesReceived(aSocket);
+  connection.mStateSince = Clock::now();
+  connection.mPreviousBytes = BytesReceived(aSocket);
   return false;
 }
 
 bool
-ConnectionWatch::Crowded() const
+ConnectionWatch::OverLimit() const
 {
   std::lock_guard lock(mMutex);
   return mConnections.size() > mOptions.mMaxConnections;
@@ -122,34 +122,34 @@
   std::unique_lock lock(mMutex);
   while (!mStop) {
     mChanged.wait(lock, [this] { return mStop || !mConnections.empty(); });
-    mChanged.wait_for(lock, kTick, [this] { return mStop; });
+    mChanged.wait_for(lock, kCheckInterval, [this] { return mStop; });
     const Clock::time_point now = Clock::now();
     for (auto& [socket, connection] : mConnections) {
-      LookAt(socket, connection, now);
+      CheckConnection(socket, connection, now);
     }
   }
 }
 
 void
-ConnectionWatch::LookAt(int aSocket,
-                        Connection& aConnection,
-                        Clock::time_point aNow)
+ConnectionWatch::CheckConnection(int aSocket,
+                                 Connection& aConnection,
+                                 Clock::time_point aNow)
 {
-  const auto age = aNow - aConnection.mSince;
+  const auto age = aNow - aConnection.mStateSince;
   switch (aConnection.mState) {
     case State::Idle:
-      LookAtIdle(aSocket, aConnection, aNow);
+      CheckIdle(aSocket, aConnection, aNow);
       break;
     case State::Receiving:
-      if (BytesReceived(aSocket) - aConnection.mBytesBefore >
-          mOptions.mMostRequestBytes) {
-        Refuse(aSocket, aConnection, WatchVerdict::TooManyBytes);
-      } else if (age > mOptions.mReceiveSpan) {
-        Refuse(aSocket, aConnection, WatchVerdict::TooSlow);
+      if (BytesReceived(aSocket) - aConnection.mPreviousBytes >
+          mOptions.mMaxRequestBytes) {
+        Reject(aSocket, aConnection, RejectReason::TooManyBytes);
+      } else if (age > mOptions.mReceiveTimeout) {
+        Reject(aSocket, aConnection, RejectReason::TooSlow);
       }
       break;
-    case State::Refused:
-      if (age > kLinger) {
+    case State::Rejected:
+      if (age > kRejectLinger) {
         shutdown(aSocket, SHUT_RDWR);
       }
       break;
@@ -159,31 +159,31 @@
 }
 
 void
-ConnectionWatch::LookAtIdle(int aSocket,
-                            Connection& aConnection,
-                            Clock::time_point aNow)
+ConnectionWatch::CheckIdle(int aSocket,
+                           Connection& aConnection,
+                           Clock::time_point aNow)
 {
-  const auto age = aNow - aConnection.mSince;
-  if (age > mOptions.mIdleSpan) {
+  const auto age = aNow - aConnection.mStateSince;
+  if (age > mOptions.mIdleTimeout) {
     shutdown(aSocket, SHUT_RDWR);
     return;
   }
-  const bool worthAsking = age > mOptions.mReceiveSpan;
-  if (worthAsking && BytesReceived(aSocket) > aConnection.mBytesBefore) {
-    Refuse(aSocket, aConnection, WatchVerdict::TooSlow);
+  const bool receiveTimedOut = age > mOptions.mReceiveTimeout;
+  if (receiveTimedOut && BytesReceived(aSocket) > aConnection.mPreviousBytes) {
+    Reject(aSocket, aConnection, RejectReason::TooSlow);
   }
 }
 
 void
-ConnectionWatch::Refuse(int aSocket,
+ConnectionWatch::Reject(int aSocket,
                         Connection& aConnection,
-                        WatchVerdict aVerdict)
+                        RejectReason aReason)
 {
-  const std::string answer = mMakeAnswer(aVerdict);
-  send(aSocket, answer.data(), answer.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+  const std::string response = mBuildResponse(aReason);
+  send(aSocket, response.data(), response.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
   shutdown(aSocket, SHUT_WR);
-  aConnection.mState = State::Refused;
-  aConnection.mSince = Clock::now();
+  aConnection.mState = State::Rejected;
+  aConnection.mStateSince = Clock::now();
 }
 
 void
@@ -193,7 +193,7 @@
   for (auto it = mConnections.begin(); it != mConnections.end(); ++it) {
     if (it->second.mState == State::Idle &&
         (oldest == mConnections.end() ||
-         it->second.mSince < oldest->second.mSince)) {
+         it->second.mStateSince < oldest->second.mStateSince)) {
       oldest = it;
     }
   }
--- a/src/libtrefoilio/connectionwatch.h
+++ b/src/libtrefoilio/connectionwatch.h
@@ -12,57 +12,58 @@
 
 namespace trefoilio {
 
-/** What a ConnectionWatch allows; times in steady clock terms. */
+/** Limits of a ConnectionWatch; durations use the steady clock. */
 struct ConnectionWatchOptions
 {
-  uint64_t mMostRequestBytes = 0;
-  std::chrono::milliseconds mReceiveSpan{ 10000 };
-  std::chrono::milliseconds mIdleSpan{ 60000 };
+  uint64_t mMaxRequestBytes = 0;
+  std::chrono::milliseconds mReceiveTimeout{ 10000 };
+  std::chrono::milliseconds mIdleTimeout{ 60000 };
   size_t mMaxConnections = 1000;
 };
 
-/** Why the watch refused a request that was still arriving. */
-enum class WatchVerdict
+/** Why a request was rejected before it was received completely. */
+enum class RejectReason
 {
   TooManyBytes,
   TooSlow,
 };
 
 /**
- * Looks after a server's connections on a thread of its own, since
- * libmicrohttpd knows only a timeout for idleness and reads a body whatever
- * its length: ends requests that arrive too slowly or grow too long, with an
- * answer, and connections that idle for too long. What a connection has
- * received is asked of the kernel (TCP_INFO).
+ * Enforces receive limits on a server's connections from its own thread,
+ * since libmicrohttpd has only an idle timeout and reads bodies of any
+ * length. Rejects requests that arrive too slowly or are too large with a
+ * response, and closes connections that are idle for too long. Received byte
+ * counts come from the operating system (TCP_INFO).
  */
 class ConnectionWatch
 {
 public:
-  /** Makes the whole answer, head and body, that a refused request gets. */
-  using AnswerMaker = std::function<std::string(WatchVerdict)>;
+  /** Builds the complete response, head and body, of a rejected request. */
+  using ResponseBuilder = std::function<std::string(RejectReason)>;
 
-  ConnectionWatch(ConnectionWatchOptions aOptions, AnswerMaker aMakeAnswer);
+  ConnectionWatch(ConnectionWatchOptions aOptions,
+                  ResponseBuilder aBuildResponse);
   ~ConnectionWatch();
   ConnectionWatch(const ConnectionWatch&) = delete;
   ConnectionWatch& operator=(const ConnectionWatch&) = delete;
 
-  /** A connection is open; it idles until its first request. */
+  /** Registers a new connection, idle until its first request. */
   void Opened(int aSocket);
 
-  /** Called before the socket is closed. */
+  /** Unregisters a connection; call before its socket is closed. */
   void Closed(int aSocket);
 
-  /** The first line of a request has arrived. */
-  void RequestBegan(int aSocket);
+  /** Call when the first line of a request has been received. */
+  void RequestStarted(int aSocket);
 
-  /** The request is whole; false where it was refused meanwhile. */
-  bool RequestWhole(int aSocket);
+  /** Call when a request is complete; returns false if it was rejected. */
+  bool RequestComplete(int aSocket);
 
-  /** The answer is over; true where the watch had refused the request. */
-  bool RequestOver(int aSocket);
+  /** Call when a response has ended; returns true if it was a rejection. */
+  bool ResponseFinished(int aSocket);
 
-  /** Whether more connections are open than allowed. */
-  bool Crowded() const;
+  /** Returns true if more connections are open than allowed. */
+  bool OverLimit() const;
 
 private:
   using Clock = std::chrono::steady_clock;
@@ -72,24 +73,26 @@
     Idle,
     Receiving,
     Answering,
-    Refused,
+    Rejected,
   };
 
   struct Connection
   {
     State mState = State::Idle;
-    Clock::time_point mSince;
-    uint64_t mBytesBefore = 0;
+    Clock::time_point mStateSince;
+    uint64_t mPreviousBytes = 0;
   };
 
   void Run();
-  void LookAt(int aSocket, Connection& aConnection, Clock::time_point aNow);
-  void LookAtIdle(int aSocket, Connection& aConnection, Clock::time_point aNow);
-  void Refuse(int aSocket, Connection& aConnection, WatchVerdict aVerdict);
+  void CheckConnection(int aSocket,
+                       Connection& aConnection,
+                       Clock::time_point aNow);
+  void CheckIdle(int aSocket, Connection& aConnection, Clock::time_point aNow);
+  void Reject(int aSocket, Connection& aConnection, RejectReason aReason);
   void CloseOldestIdle();
 
   const ConnectionWatchOptions mOptions;
-  const AnswerMaker mMakeAnswer;
+  const ResponseBuilder mBuildResponse;
   mutable std::mutex mMutex;
   std::condition_variable mChanged;
   bool mStop = false;
@@ -97,7 +100,7 @@
   std::thread mThread;
 };
 
-/** True once the peer has closed its end or the connection broke. */
+/** Returns true once the peer has closed its end or the connection failed. */
 bool
 PeerLeft(int aSocket);
 
--- a/src/libtrefoilio/curlcall.cpp
+++ b/src/libtrefoilio/curlcall.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-/** A pooled connection older than this is not used again; seconds. */
-constexpr long kIdleSeconds = 3;
+/** Pooled connections idle for longer are not reused; seconds. */
+constexpr long kMaxIdleSeconds = 3;
 constexpr long kKeepAliveSeconds = 1;
 constexpr int kFirstFinalStatus = 200;
 
-/** What belongs to a connection and not to the request. */
+/** Headers that apply to the connection and are not forwarded. */
 constexpr std::array<std::string_view, 6> kConnectionHeaders{
   "Host",   "Content-Length", "Transfer-Encoding",
   "Expect", "Connection",     "Keep-Alive"
 };
 
 bool
-OfConnection(std::string_view aName)
+IsConnectionHeader(std::string_view aName)
 {
-  return std::ranges::any_of(kConnectionHeaders, [&](std::string_view aOne) {
-    return SameHeaderName(aName, aOne);
+  return std::ranges::any_of(kConnectionHeaders, [&](std::string_view aHeader) {
+    return SameHeaderName(aName, aHeader);
   });
 }
 
@@ -38,9 +38,9 @@
   return aText.substr(first, aText.find_last_not_of(blanks) - first + 1);
 }
 
-/** The number in a line such as `HTTP/1.1 200 OK`; 0 where there is none. */
+/** Parses a status line such as `HTTP/1.1 200 OK`; 0 if it has no code. */
 int
-StatusIn(std::string_view aLine)
+ParseStatus(std::string_view aLine)
 {
   const size_t blank = aLine.find(' ');
   if (blank == std::string_view::npos) {
@@ -61,7 +61,7 @@
   , mHandle(curl_easy_init())
 {
   if (!mHandle) {
-    throw std::runtime_error("cannot set up a libcurl handle");
+    throw std::runtime_error("cannot create a libcurl handle");
   }
   SetTarget(aConnectMillis);
   SetBody();
@@ -70,7 +70,7 @@
 }
 
 CurlCall*
-CurlCall::Of(CURL* aHandle)
+CurlCall::FromHandle(CURL* aHandle)
 {
   void* call = nullptr;
   curl_easy_getinfo(aHandle, CURLINFO_PRIVATE, &call);
@@ -96,7 +96,7 @@
   curl_easy_setopt(handle, CURLOPT_TCP_KEEPIDLE, kKeepAliveSeconds);
   curl_easy_setopt(handle, CURLOPT_TCP_KEEPINTVL, kKeepAliveSeconds);
   curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, aConnectMillis);
-  curl_easy_setopt(handle, CURLOPT_MAXAGE_CONN, kIdleSeconds);
+  curl_easy_setopt(handle, CURLOPT_MAXAGE_CONN, kMaxIdleSeconds);
 }
 
 void
@@ -104,9 +104,9 @@
 {
   CURL* handle = mHandle.get();
   const std::string& method = mRequest.mMethod;
-  const bool takesBody =
+  const bool sendsBody =
     !mRequest.mBody.empty() || method == "POST" || method == "PUT";
-  if (takesBody) {
+  if (sendsBody) {
     curl_easy_setopt(handle, CURLOPT_POST, 1L);
     curl_easy_setopt(handle, CURLOPT_POSTFIELDS, mRequest.mBody.data());
     curl_easy_setopt(handle,
@@ -121,12 +121,12 @@
 void
 CurlCall::AppendHeader(const std::string& aLine)
 {
-  curl_slist* longer = curl_slist_append(mList.get(), aLine.c_str());
-  if (!longer) {
+  curl_slist* extended = curl_slist_append(mHeaderList.get(), aLine.c_str());
+  if (!extended) {
     throw std::bad_alloc();
   }
-  [[maybe_unused]] curl_slist* same = mList.release();
-  mList.reset(longer);
+  [[maybe_unused]] curl_slist* released = mHeaderList.release();
+  mHeaderList.reset(extended);
 }
 
 void
@@ -137,14 +137,14 @@
     AppendHeader("Content-Type:");
   }
   for (const auto& [name, value] : mRequest.mHeaders) {
-    if (!SafeHeader(name, value) || OfConnection(name)) {
+    if (!SafeHeader(name, value) || IsConnectionHeader(name)) {
       continue;
     }
     std::string line = name;
     line += value.empty() ? ";" : ": ";
     AppendHeader(line.append(value));
   }
-  curl_easy_setopt(mHandle.get(), CURLOPT_HTTPHEADER, mList.get());
+  curl_easy_setopt(mHandle.get(), CURLOPT_HTTPHEADER, mHeaderList.get());
 }
 
 void
@@ -173,18 +173,18 @@
 size_t
 CurlCall::OnHeader(char* aText, size_t, size_t aLength, void* aSelf)
 {
-  static_cast<CurlCall*>(aSelf)->TakeHeaderLine({ aText, aLength });
+  static_cast<CurlCall*>(aSelf)->ReadHeaderLine({ aText, aLength });
   return aLength;
 }
 
 void
-CurlCall::TakeHeaderLine(std::string_view aLine)
+CurlCall::ReadHeaderLine(std::string_view aLine)
 {
-  if (mHeadGiven) {
+  if (mHeadDelivered) {
     return;
   }
   if (aLine.starts_with("HTTP/")) {
-    mStatus = StatusIn(aLine);
+    mStatus = ParseStatus(aLine);
     mHeaders.clear();
     return;
   }
@@ -197,7 +197,7 @@
     return;
   }
   if (mStatus >= kFirstFinalStatus) {
-    mHeadGiven = true;
+    mHeadDelivered = true;
     if (mHooks.mOnHead) {
       mHooks.mOnHead(mStatus, std::move(mHeaders));
     }
@@ -220,7 +220,7 @@
   if (!mHooks.mOnEnd) {
     return;
   }
-  if (aResult == CURLE_OK && mHeadGiven) {
+  if (aResult == CURLE_OK && mHeadDelivered) {
     mHooks.mOnEnd(CallEnd::Whole);
   } else {
     mHooks.mOnEnd(mSent ? CallEnd::Broken : CallEnd::NeverSent);
--- a/src/libtrefoilio/curlcall.h
+++ b/src/libtrefoilio/curlcall.h
@@ -9,10 +9,9 @@
 namespace trefoilio {
 
 /**
- * One call as libcurl sees it. The request is sent at most once: libcurl by
- * itself sends again what it sent over a reused connection that then turned
- * out to be dead, so the hook it calls right before each sending refuses the
- * second one.
+ * One libcurl transfer. The request is sent at most once: libcurl resends a
+ * request when a reused connection turns out to be closed, so the callback
+ * before each send aborts the second one.
  */
 class CurlCall
 {
@@ -24,13 +23,13 @@
   CurlCall(const CurlCall&) = delete;
   CurlCall& operator=(const CurlCall&) = delete;
 
-  /** The call that a handle belongs to. */
-  static CurlCall* Of(CURL* aHandle);
+  /** Returns the call that owns the handle. */
+  static CurlCall* FromHandle(CURL* aHandle);
 
   uint64_t Id() const { return mId; }
   CURL* Handle() const { return mHandle.get(); }
 
-  /** Tells the hooks how the call ended. */
+  /** Reports the result to the mOnEnd hook. */
   void Finish(CURLcode aResult);
 
 private:
@@ -52,17 +51,17 @@
   static int BeforeSending(void* aSelf, char*, char*, int, int);
   static size_t OnHeader(char* aText, size_t, size_t aLength, void* aSelf);
   static size_t OnBody(char* aText, size_t, size_t aLength, void* aSelf);
-  void TakeHeaderLine(std::string_view aLine);
+  void ReadHeaderLine(std::string_view aLine);
 
   const uint64_t mId;
   const HttpRequest mRequest;
   const CallHooks mHooks;
-  std::unique_ptr<curl_slist, ListCleaner> mList;
+  std::unique_ptr<curl_slist, ListCleaner> mHeaderList;
   std::unique_ptr<CURL, HandleCleaner> mHandle;
   int mStatus = 0;
   HttpHeaders mHeaders;
   bool mSent = false;
-  bool mHeadGiven = false;
+  bool mHeadDelivered = false;
 };
 
 } // namespace trefoilio
--- a/src/libtrefoilio/httpclient.cpp
+++ b/src/libtrefoilio/httpclient.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Cleans up what an ulfius structure owns. */
+/** Owns an ulfius structure and its contents. */
 template<typename T, int (*Init)(T*), int (*Clean)(T*)>
 class Owned
 {
@@ -30,22 +30,24 @@
   Owned<_u_response, ulfius_init_response, ulfius_clean_response>;
 
 void
-SetUpOnce()
+InitializeUlfius()
 {
   static std::once_flag sDone;
   std::call_once(sDone, [] { ulfius_global_init(); });
 }
 
-/** ulfius counts whole seconds, and takes none for no limit. */
+/** ulfius timeouts are in seconds, and 0 means no limit. */
 unsigned long
-WholeSeconds(trefoilarch::Millis aSpan)
+RoundUpToSeconds(trefoilarch::Millis aDuration)
 {
-  const int64_t millis = std::max<int64_t>(aSpan.Count(), 1);
+  const int64_t millis = std::max<int64_t>(aDuration.Count(), 1);
   return static_cast<unsigned long>((millis + 999) / 1000);
 }
 
 void
-Fill(_u_request& aTo, const HttpRequest& aFrom, trefoilarch::Millis aTimeout)
+FillRequest(_u_request& aTo,
+            const HttpRequest& aFrom,
+            trefoilarch::Millis aTimeout)
 {
   ulfius_set_request_properties(&aTo,
                                 U_OPT_HTTP_VERB,
@@ -57,7 +59,7 @@
                                 U_OPT_FOLLOW_REDIRECT,
                                 0,
                                 U_OPT_TIMEOUT,
-                                WholeSeconds(aTimeout),
+                                RoundUpToSeconds(aTimeout),
                                 U_OPT_NONE);
   for (const auto& [name, value] : aFrom.mHeaders) {
     if (SafeHeader(name, value)) {
@@ -74,7 +76,7 @@
 }
 
 HttpReply
-Read(const _u_response& aResponse)
+ReadResponse(const _u_response& aResponse)
 {
   HttpReply reply;
   reply.mStatus = static_cast<int>(aResponse.status);
@@ -95,14 +97,14 @@
 std::optional<HttpReply>
 SendHttp(const HttpRequest& aRequest, trefoilarch::Millis aTimeout)
 {
-  SetUpOnce();
+  InitializeUlfius();
   OwnedRequest request;
   OwnedResponse response;
-  Fill(*&request, aRequest, aTimeout);
+  FillRequest(*&request, aRequest, aTimeout);
   if (ulfius_send_http_request(&request, &response) != U_OK) {
     return std::nullopt;
   }
-  return Read(*&response);
+  return ReadResponse(*&response);
 }
 
 } // namespace trefoilio
--- a/src/libtrefoilio/httpclient.h
+++ b/src/libtrefoilio/httpclient.h
@@ -9,8 +9,8 @@
 namespace trefoilio {
 
 /**
- * Sends a request through the ulfius client and waits for the whole answer;
- * empty where there was none in time. mTarget is the whole URL.
+ * Sends a request with the ulfius client and waits for the complete response;
+ * returns nothing on failure or timeout. mTarget is the full URL.
  */
 std::optional<HttpReply>
 SendHttp(const HttpRequest& aRequest, trefoilarch::Millis aTimeout);
--- a/src/libtrefoilio/httpserver.cpp
+++ b/src/libtrefoilio/httpserver.cpp
@@ -17,14 +17,14 @@
 
 namespace {
 
-constexpr size_t kStreamBlock = size_t{ 16 } * 1024;
-constexpr size_t kThreadStack = size_t{ 1024 } * 1024;
-/** What libmicrohttpd needs besides the header bytes themselves. */
-constexpr size_t kPoolSpare = size_t{ 16 } * 1024;
-/** Chunked bodies arrive with lengths between their bytes. */
-constexpr size_t kFramingSpare = size_t{ 64 } * 1024;
-
-/** One connection; its requests come one after another. */
+constexpr size_t kStreamBlockBytes = size_t{ 16 } * 1024;
+constexpr size_t kThreadStackBytes = size_t{ 1024 } * 1024;
+/** Memory that libmicrohttpd needs in addition to the headers. */
+constexpr size_t kPoolReserveBytes = size_t{ 16 } * 1024;
+/** Allowance for the chunk lengths within chunked bodies. */
+constexpr size_t kFramingReserveBytes = size_t{ 64 } * 1024;
+
+/** State of one connection, which serves one request at a time. */
 struct Connection
 {
   int mSocket = -1;
@@ -32,7 +32,7 @@
   std::shared_ptr<StreamState> mStream;
 };
 
-/** The connection that this thread serves: each has a thread of its own. */
+/** The connection served by this thread; each has its own thread. */
 thread_local Connection* sConnection = nullptr;
 
 int
@@ -80,10 +80,10 @@
 }
 
 ssize_t
-ReadStream(void* aState, uint64_t, char* aOut, size_t aMost)
+ReadStream(void* aState, uint64_t, char* aOut, size_t aMaxBytes)
 {
   return (*static_cast<std::shared_ptr<StreamState>*>(aState))
-    ->Read(aOut, aMost);
+    ->Read(aOut, aMaxBytes);
 }
 
 void
@@ -105,7 +105,7 @@
 }
 
 std::string
-RawAnswer(const HttpReply& aReply)
+SerializeReply(const HttpReply& aReply)
 {
   std::string text = "HTTP/1.1 " + std::to_string(aReply.mStatus) + " Refused";
   text += "\r\nConnection: close\r\nContent-Length: " +
@@ -128,12 +128,12 @@
     , mHandler(std::move(aHandler))
     , mBadInput(std::move(aBadInput))
     , mWatch(WatchOptions(),
-             [this](WatchVerdict aVerdict) { return Refusal(aVerdict); })
+             [this](RejectReason aReason) { return RejectResponse(aReason); })
     , mListener(mOptions.mAddress, mOptions.mPort)
     , mPort(mListener.Port())
   {
     if (ulfius_init_instance(&mInstance, mPort, nullptr, nullptr) != U_OK) {
-      throw std::runtime_error("cannot make the HTTP server");
+      throw std::runtime_error("cannot create the HTTP server");
     }
     mInstance.max_post_body_size = mOptions.mMostBody + 1;
     mInstance.check_utf8 = 0;
@@ -160,18 +160,18 @@
   ConnectionWatchOptions WatchOptions() const
   {
     const size_t body = mOptions.mMostBody;
-    return { .mMostRequestBytes =
-               body + body / 8 + mOptions.mMaxHeaderBytes + kFramingSpare,
-             .mReceiveSpan = std::chrono::seconds(mOptions.mReceiveSeconds),
-             .mIdleSpan = std::chrono::seconds(mOptions.mIdleSeconds),
+    return { .mMaxRequestBytes = body + body / 8 + mOptions.mMaxHeaderBytes +
+                                 kFramingReserveBytes,
+             .mReceiveTimeout = std::chrono::seconds(mOptions.mReceiveSeconds),
+             .mIdleTimeout = std::chrono::seconds(mOptions.mIdleSeconds),
              .mMaxConnections = mOptions.mMaxConnections };
   }
 
-  /** The daemon holds some more than allowed, so that these get an answer. */
+  /** Above mMaxConnections, so that excess connections get a response. */
   unsigned HardConnectionLimit() const
   {
-    const size_t most = mOptions.mMaxConnections;
-    return static_cast<unsigned>(most + most / 4 + 16);
+    const size_t limit = mOptions.mMaxConnections;
+    return static_cast<unsigned>(limit + limit / 4 + 16);
   }
 
   bool StartDaemon()
@@ -180,7 +180,7 @@
       return reinterpret_cast<intptr_t>(aCallback);
     };
     const auto pool =
-      static_cast<intptr_t>(2 * mOptions.mMaxHeaderBytes + kPoolSpare);
+      static_cast<intptr_t>(2 * mOptions.mMaxHeaderBytes + kPoolReserveBytes);
     MHD_OptionItem items[] = {
       { MHD_OPTION_NOTIFY_COMPLETED, pointer(&OnCompleted), this },
       { MHD_OPTION_URI_LOG_CALLBACK, pointer(&OnUri), this },
@@ -191,7 +191,7 @@
         nullptr },
       { MHD_OPTION_CONNECTION_MEMORY_LIMIT, pool, nullptr },
       { MHD_OPTION_THREAD_STACK_SIZE,
-        static_cast<intptr_t>(kThreadStack),
+        static_cast<intptr_t>(kThreadStackBytes),
         nullptr },
       { MHD_OPTION_END, 0, nullptr },
     };
@@ -222,17 +222,17 @@
     }
     auto connection = std::make_unique<Connection>();
     connection->mSocket = SocketOf(aConnection);
-    self->Tune(connection->mSocket);
+    self->SetSocketOptions(connection->mSocket);
     self->mWatch.Opened(connection->mSocket);
     *aContext = connection.release();
   }
 
-  void Tune(int aSocket) const
+  void SetSocketOptions(int aSocket) const
   {
     const int on = 1;
     setsockopt(aSocket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    const unsigned most = mOptions.mUnacknowledgedMillis;
-    setsockopt(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, &most, sizeof most);
+    const unsigned limit = mOptions.mUnacknowledgedMillis;
+    setsockopt(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
   }
 
   static void* OnUri(void* aSelf, const char* aUri, MHD_Connection* aConnection)
@@ -241,7 +241,7 @@
     sConnection = ContextOf(aConnection);
     if (sConnection) {
       sConnection->mReachedHandler = false;
-      self->mWatch.RequestBegan(sConnection->mSocket);
+      self->mWatch.RequestStarted(sConnection->mSocket);
     }
     return ulfius_uri_logger(&self->mInstance, aUri);
   }
@@ -264,8 +264,8 @@
       aConnection.mStream->Close();
       aConnection.mStream.reset();
     }
-    const bool refused = mWatch.RequestOver(aConnection.mSocket);
-    if (!refused && !aConnection.mReachedHandler) {
+    const bool rejected = mWatch.ResponseFinished(aConnection.mSocket);
+    if (!rejected && !aConnection.mReachedHandler) {
       mBadInput(BadInput::Malformed);
     }
   }
@@ -277,7 +277,7 @@
     auto* self = static_cast<Impl*>(aSelf);
     Connection& connection = *sConnection;
     connection.mReachedHandler = true;
-    if (!self->mWatch.RequestWhole(connection.mSocket)) {
+    if (!self->mWatch.RequestComplete(connection.mSocket)) {
       ulfius_set_empty_body_response(aResponse, 400);
       return U_CALLBACK_COMPLETE;
     }
@@ -300,7 +300,7 @@
     if (HeaderBytes(aRequest) > mOptions.mMaxHeaderBytes) {
       return mBadInput(BadInput::HeaderTooLarge);
     }
-    if (mWatch.Crowded()) {
+    if (mWatch.OverLimit()) {
       HttpReply reply = mBadInput(BadInput::TooManyConnections);
       reply.mHeaders.emplace_back("Connection", "close");
       return reply;
@@ -310,7 +310,7 @@
 
   static void Send(const HttpReply& aReply,
                    Connection& aConnection,
-                   bool aEndsByClosing,
+                   bool aCloseDelimited,
                    _u_response& aResponse)
   {
     WriteHeaders(aReply, aResponse);
@@ -325,26 +325,26 @@
       return;
     }
     aConnection.mStream = std::make_shared<StreamState>(
-      aReply.mStream, aReply.mOnClosed, aConnection.mSocket, aEndsByClosing);
-    auto* held = new std::shared_ptr<StreamState>(aConnection.mStream);
+      aReply.mStream, aReply.mOnClosed, aConnection.mSocket, aCloseDelimited);
+    auto* streamOwner = new std::shared_ptr<StreamState>(aConnection.mStream);
     const int result = ulfius_set_stream_response(&aResponse,
                                                   status,
                                                   &ReadStream,
                                                   &FreeStream,
                                                   U_STREAM_SIZE_UNKNOWN,
-                                                  kStreamBlock,
-                                                  held);
+                                                  kStreamBlockBytes,
+                                                  streamOwner);
     if (result != U_OK) {
-      FreeStream(held);
+      FreeStream(streamOwner);
     }
   }
 
-  std::string Refusal(WatchVerdict aVerdict) const
+  std::string RejectResponse(RejectReason aReason) const
   {
-    const BadInput kind = aVerdict == WatchVerdict::TooSlow
+    const BadInput kind = aReason == RejectReason::TooSlow
                             ? BadInput::SlowSender
                             : BadInput::BodyTooLarge;
-    return RawAnswer(mBadInput(kind));
+    return SerializeReply(mBadInput(kind));
   }
 
   const HttpServerOptions mOptions;
--- a/src/libtrefoilio/httpserver.h
+++ b/src/libtrefoilio/httpserver.h
@@ -9,7 +9,7 @@
 
 namespace trefoilio {
 
-/** Where and how much an HttpServer accepts. */
+/** Listen address and limits of an HttpServer. */
 struct HttpServerOptions
 {
   std::string mAddress = "127.0.0.1";
@@ -17,36 +17,36 @@
   size_t mMostBody = size_t{ 4 } * 1024 * 1024;
   size_t mMaxHeaderBytes = size_t{ 16 } * 1024;
   size_t mMaxConnections = 1000;
-  /** A request that is not whole after this is given up; seconds. */
+  /** Requests not received completely after this are rejected; seconds. */
   unsigned mReceiveSeconds = 10;
-  /** A connection without a request for so long is closed; seconds. */
+  /** Connections without a request for this long are closed; seconds. */
   unsigned mIdleSeconds = 60;
-  /** A caller that takes no byte of its answer for so long is given up. */
+  /** Callers that acknowledge no data for this long are disconnected. */
   unsigned mUnacknowledgedMillis = 10000;
 };
 
-/** Why a request never reached the handler. */
+/** Why a request did not reach the handler. */
 enum class BadInput
 {
   BodyTooLarge,
   HeaderTooLarge,
-  Malformed,          /**< not HTTP, or cut off before it was whole */
-  SlowSender,         /**< not whole within mReceiveSeconds */
+  Malformed,          /**< not HTTP, or truncated */
+  SlowSender,         /**< incomplete after mReceiveSeconds */
   TooManyConnections, /**< above mMaxConnections */
 };
 
-/** An HTTP server on ulfius; its threads live as long as the object. */
+/** HTTP server based on ulfius; its threads live as long as the object. */
 class HttpServer
 {
 public:
   using Handler = std::function<HttpReply(const HttpRequest&)>;
   /**
-   * Makes the answer to bad input, and counts it. Called once for each, also
-   * where no answer can be sent any more.
+   * Builds the response to bad input and counts it. Called once for each,
+   * even if no response can be sent.
    */
   using BadInputHandler = std::function<HttpReply(BadInput)>;
 
-  /** Listens at once; throws std::runtime_error where it cannot. */
+  /** Starts listening; throws std::runtime_error on failure. */
   HttpServer(HttpServerOptions aOptions,
              Handler aHandler,
              BadInputHandler aBadInput);
--- a/src/libtrefoilio/kernel.cpp
+++ b/src/libtrefoilio/kernel.cpp
@@ -19,7 +19,7 @@
 {
   for (const Entry& entry : mEntries) {
     if (entry.mName == aName) {
-      throw std::invalid_argument("two services are called " + aName);
+      throw std::invalid_argument("duplicate service name " + aName);
     }
   }
   mEntries.push_back(
@@ -34,7 +34,7 @@
       return *entry.mService;
     }
   }
-  throw std::out_of_range("no service is called " + std::string(aName));
+  throw std::out_of_range("unknown service " + std::string(aName));
 }
 
 void
--- a/src/libtrefoilio/kernel.h
+++ b/src/libtrefoilio/kernel.h
@@ -10,9 +10,8 @@
 namespace trefoilio {
 
 /**
- * The micro-kernel of a process: owns its services, starts them in the order
- * of registration, stops them in the opposite order, and lets them find each
- * other by name.
+ * Service container of a process. Owns the services, starts them in
+ * registration order, stops them in reverse order, and looks them up by name.
  */
 class Kernel
 {
@@ -22,12 +21,12 @@
   Kernel(const Kernel&) = delete;
   Kernel& operator=(const Kernel&) = delete;
 
-  /** Names are unique; throws std::invalid_argument otherwise. */
+  /** Adds a service; throws std::invalid_argument if the name is taken. */
   void Register(std::string aName, std::unique_ptr<Service> aService);
 
   /**
-   * The service of that name and type; throws std::out_of_range where there
-   * is none, which is a mistake of the program and not of its user.
+   * Returns the service of that name and type; throws std::out_of_range if
+   * there is none, which is a programming error.
    */
   template<typename T>
   T& Find(std::string_view aName) const
@@ -38,7 +37,7 @@
   void StartAll();
   void StopAll();
 
-  /** One JSON object with a member for each service. */
+  /** Returns a JSON object with a member for each service. */
   std::string DumpState() const;
 
 private:
--- a/src/libtrefoilio/listensocket.cpp
+++ b/src/libtrefoilio/listensocket.cpp
@@ -34,12 +34,14 @@
 
 ListenSocket::ListenSocket(const std::string& aAddress, uint16_t aPort)
 {
-  const auto place = Resolve(aAddress, aPort);
-  mSocket = socket(
-    place->ai_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, IPPROTO_TCP);
+  const auto endpoint = Resolve(aAddress, aPort);
+  mSocket = socket(endpoint->ai_family,
+                   SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC,
+                   IPPROTO_TCP);
   const int on = 1;
   setsockopt(mSocket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (mSocket < 0 || bind(mSocket, place->ai_addr, place->ai_addrlen) != 0 ||
+  if (mSocket < 0 ||
+      bind(mSocket, endpoint->ai_addr, endpoint->ai_addrlen) != 0 ||
       listen(mSocket, kBacklog) != 0) {
     const std::string reason = std::strerror(errno);
     if (mSocket >= 0) {
@@ -60,13 +62,13 @@
 uint16_t
 ListenSocket::Port() const
 {
-  sockaddr_storage place{};
-  socklen_t length = sizeof place;
-  getsockname(mSocket, reinterpret_cast<sockaddr*>(&place), &length);
-  if (place.ss_family == AF_INET6) {
-    return ntohs(reinterpret_cast<const sockaddr_in6*>(&place)->sin6_port);
+  sockaddr_storage endpoint{};
+  socklen_t length = sizeof endpoint;
+  getsockname(mSocket, reinterpret_cast<sockaddr*>(&endpoint), &length);
+  if (endpoint.ss_family == AF_INET6) {
+    return ntohs(reinterpret_cast<const sockaddr_in6*>(&endpoint)->sin6_port);
   }
-  return ntohs(reinterpret_cast<const sockaddr_in*>(&place)->sin_port);
+  return ntohs(reinterpret_cast<const sockaddr_in*>(&endpoint)->sin_port);
 }
 
 } // namespace trefoilio
--- a/src/libtrefoilio/listensocket.h
+++ b/src/libtrefoilio/listensocket.h
@@ -6,13 +6,13 @@
 namespace trefoilio {
 
 /**
- * A listening TCP socket: ulfius itself refuses port 0, and only a socket of
- * our own tells the port it got.
+ * A listening TCP socket. ulfius rejects port 0, so the socket is created
+ * here, where the assigned port can be queried.
  */
 class ListenSocket
 {
 public:
-  /** A numeric IP; throws std::runtime_error where it cannot listen. */
+  /** Listens on a numeric IP; throws std::runtime_error on failure. */
   ListenSocket(const std::string& aAddress, uint16_t aPort);
   ~ListenSocket();
   ListenSocket(const ListenSocket&) = delete;
@@ -21,7 +21,7 @@
   int Socket() const { return mSocket; }
   uint16_t Port() const;
 
-  /** Another owner closes it from now on. */
+  /** Releases ownership; the new owner closes the socket. */
   void Release() { mSocket = -1; }
 
 private:
--- a/src/libtrefoilio/logs.cpp
+++ b/src/libtrefoilio/logs.cpp
@@ -71,19 +71,20 @@
 } // namespace
 
 void
-SetUpLogs(LogLevel aLeast, std::string aProcess)
+SetUpLogs(LogLevel aMinLevel, std::string aProcess)
 {
   ProcessName() = std::move(aProcess);
   el::Configurations settings;
   settings.setToDefault();
   settings.setGlobally(el::ConfigurationType::ToFile, "false");
   settings.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
-  const auto set = [&](el::Level aLevel, LogLevel aOwn, const char* aName) {
-    settings.set(aLevel, el::ConfigurationType::Format, LineFormat(aName));
-    settings.set(aLevel,
-                 el::ConfigurationType::Enabled,
-                 aOwn >= aLeast ? "true" : "false");
-  };
+  const auto set =
+    [&](el::Level aLevel, LogLevel aLogLevel, const char* aName) {
+      settings.set(aLevel, el::ConfigurationType::Format, LineFormat(aName));
+      settings.set(aLevel,
+                   el::ConfigurationType::Enabled,
+                   aLogLevel >= aMinLevel ? "true" : "false");
+    };
   set(el::Level::Debug, LogLevel::Debug, "debug");
   set(el::Level::Info, LogLevel::Info, "info");
   set(el::Level::Warning, LogLevel::Warning, "warning");
--- a/src/libtrefoilio/logs.h
+++ b/src/libtrefoilio/logs.h
@@ -15,20 +15,20 @@
   Error,
 };
 
-/** One key=value of a line. */
+/** One key=value pair of a log line. */
 struct LogField
 {
   std::string_view mKey;
   std::string mValue;
 };
 
-/** Sets up easylogging++ for the process: standard error, one line each. */
+/** Configures easylogging++ to write single lines to standard error. */
 void
-SetUpLogs(LogLevel aLeast, std::string aProcess);
+SetUpLogs(LogLevel aMinLevel, std::string aProcess);
 
 /**
- * Writes one line for a change of state: event=... key=value... Values are
- * quoted where they need it; never request text, tokens or keys.
+ * Logs a state change as one line: event=... key=value... Quotes values where
+ * needed. Must not be given request text, tokens or keys.
  */
 void
 LogState(LogLevel aLevel,
--- a/src/libtrefoilio/metrics.cpp
+++ b/src/libtrefoilio/metrics.cpp
@@ -17,21 +17,23 @@
 
 namespace bh = boost::histogram;
 
-/** Upper bounds; in milliseconds from a network turn to a long answer. */
-constexpr std::array kBounds{ 0.1,    0.2,    0.5,   1.0,   2.0,   5.0,   10.0,
-                              20.0,   50.0,   100.0, 200.0, 320.0, 500.0, 1000.,
-                              2000.0, 5000.0, 10e3,  30e3,  60e3,  300e3 };
+/** Bucket bounds in ms, from network round trips to long responses. */
+constexpr std::array kBucketBounds{ 0.1,    0.2,   0.5,   1.0,   2.0,
+                                    5.0,    10.0,  20.0,  50.0,  100.0,
+                                    200.0,  320.0, 500.0, 1000., 2000.0,
+                                    5000.0, 10e3,  30e3,  60e3,  300e3 };
 
-/** Numbers from here on are written with an exponent. */
-constexpr double kLongestPlain = 1e15;
+/** Larger numbers are written with an exponent. */
+constexpr double kMinExponentValue = 1e15;
 
 using Axis = bh::axis::variable<double>;
 using Buckets = bh::histogram<std::tuple<Axis>, bh::dense_storage<uint64_t>>;
 
-/** A Boost.Histogram with the sum that Prometheus asks for. */
-struct Series
+/** A Boost.Histogram with the sum that Prometheus requires. */
+struct HistogramSeries
 {
-  Buckets mBuckets{ std::make_tuple(Axis(kBounds.begin(), kBounds.end())) };
+  Buckets mBuckets{ std::make_tuple(
+    Axis(kBucketBounds.begin(), kBucketBounds.end())) };
   double mSum = 0;
 };
 
@@ -42,7 +44,7 @@
 
 template<typename T>
 T&
-Place(ByName<T>& aAll, std::string_view aName, std::string_view aLabel)
+FindOrInsert(ByName<T>& aAll, std::string_view aName, std::string_view aLabel)
 {
   auto named = aAll.find(aName);
   if (named == aAll.end()) {
@@ -56,30 +58,30 @@
 }
 
 std::string
-Number(double aValue)
+FormatNumber(double aValue)
 {
   if (!std::isfinite(aValue)) {
     return std::isnan(aValue) ? "NaN" : (aValue > 0 ? "+Inf" : "-Inf");
   }
   std::array<char, 32> text{};
   char* const last = text.data() + text.size();
-  const bool longer = std::abs(aValue) >= kLongestPlain;
+  const bool useExponent = std::abs(aValue) >= kMinExponentValue;
   const auto form =
-    longer ? std::chars_format::general : std::chars_format::fixed;
+    useExponent ? std::chars_format::general : std::chars_format::fixed;
   const auto end = std::to_chars(text.data(), last, aValue, form).ptr;
   return { text.data(), end };
 }
 
 std::string
-Braced(std::string_view aLabel, std::string_view aMore = "")
+BracedLabels(std::string_view aLabel, std::string_view aExtraLabel = "")
 {
-  if (aLabel.empty() && aMore.empty()) {
+  if (aLabel.empty() && aExtraLabel.empty()) {
     return "";
   }
   std::string text = "{";
   text.append(aLabel);
-  text.append(aLabel.empty() || aMore.empty() ? "" : ",");
-  return text.append(aMore).append("}");
+  text.append(aLabel.empty() || aExtraLabel.empty() ? "" : ",");
+  return text.append(aExtraLabel).append("}");
 }
 
 using Descriptions = std::map<std::string, std::string, std::less<>>;
@@ -101,46 +103,46 @@
 
 template<typename T>
 void
-AppendPlain(std::string& aText,
-            const Descriptions& aHelp,
-            const ByName<T>& aAll,
-            std::string_view aType)
+AppendScalars(std::string& aText,
+              const Descriptions& aHelp,
+              const ByName<T>& aAll,
+              std::string_view aType)
 {
   for (const auto& [name, labels] : aAll) {
     AppendType(aText, aHelp, name, aType);
     for (const auto& [label, value] : labels) {
-      aText.append(name).append(Braced(label)).append(" ");
+      aText.append(name).append(BracedLabels(label)).append(" ");
       if constexpr (std::is_integral_v<T>) {
         aText.append(std::to_string(value)).append("\n");
       } else {
-        aText.append(Number(value)).append("\n");
+        aText.append(FormatNumber(value)).append("\n");
       }
     }
   }
 }
 
 void
-AppendSeries(std::string& aText,
-             const std::string& aName,
-             const std::string& aLabel,
-             const Series& aSeries)
+AppendHistogram(std::string& aText,
+                const std::string& aName,
+                const std::string& aLabel,
+                const HistogramSeries& aSeries)
 {
   uint64_t total = 0;
   const auto line = [&](const std::string& aBound) {
     aText.append(aName).append("_bucket");
-    aText.append(Braced(aLabel, "le=\"" + aBound + "\""));
+    aText.append(BracedLabels(aLabel, "le=\"" + aBound + "\""));
     aText.append(" ").append(std::to_string(total)).append("\n");
   };
   int bucket = -1;
-  for (const double bound : kBounds) {
+  for (const double bound : kBucketBounds) {
     total += aSeries.mBuckets.at(bucket++);
-    line(Number(bound));
+    line(FormatNumber(bound));
   }
   total += aSeries.mBuckets.at(bucket);
   line("+Inf");
-  aText.append(aName).append("_sum").append(Braced(aLabel)).append(" ");
-  aText.append(Number(aSeries.mSum)).append("\n");
-  aText.append(aName).append("_count").append(Braced(aLabel)).append(" ");
+  aText.append(aName).append("_sum").append(BracedLabels(aLabel)).append(" ");
+  aText.append(FormatNumber(aSeries.mSum)).append("\n");
+  aText.append(aName).append("_count").append(BracedLabels(aLabel)).append(" ");
   aText.append(std::to_string(total)).append("\n");
 }
 
@@ -153,7 +155,7 @@
   Descriptions mHelp;
   ByName<uint64_t> mCounters;
   ByName<double> mGauges;
-  ByName<Series> mSeries;
+  ByName<HistogramSeries> mSeries;
 };
 
 Metrics::Metrics()
@@ -174,7 +176,7 @@
 Metrics::Count(std::string_view aName, std::string_view aLabel, uint64_t aBy)
 {
   std::lock_guard lock(mImpl->mMutex);
-  Place(mImpl->mCounters, aName, aLabel) += aBy;
+  FindOrInsert(mImpl->mCounters, aName, aLabel) += aBy;
 }
 
 void
@@ -183,7 +185,7 @@
                   std::string_view aLabel)
 {
   std::lock_guard lock(mImpl->mMutex);
-  Place(mImpl->mGauges, aName, aLabel) = aValue;
+  FindOrInsert(mImpl->mGauges, aName, aLabel) = aValue;
 }
 
 void
@@ -191,7 +193,7 @@
 {
   constexpr double lowest = -std::numeric_limits<double>::infinity();
   std::lock_guard lock(mImpl->mMutex);
-  Series& series = Place(mImpl->mSeries, aName, aLabel);
+  HistogramSeries& series = FindOrInsert(mImpl->mSeries, aName, aLabel);
   series.mBuckets(std::nextafter(aValue, lowest));
   series.mSum += aValue;
 }
@@ -214,12 +216,12 @@
   std::lock_guard lock(mImpl->mMutex);
   std::string text;
   const Descriptions& help = mImpl->mHelp;
-  AppendPlain(text, help, mImpl->mCounters, "counter");
-  AppendPlain(text, help, mImpl->mGauges, "gauge");
+  AppendScalars(text, help, mImpl->mCounters, "counter");
+  AppendScalars(text, help, mImpl->mGauges, "gauge");
   for (const auto& [name, labels] : mImpl->mSeries) {
     AppendType(text, help, name, "histogram");
     for (const auto& [label, series] : labels) {
-      AppendSeries(text, name, label, series);
+      AppendHistogram(text, name, label, series);
     }
   }
   return text;
--- a/src/libtrefoilio/metrics.h
+++ b/src/libtrefoilio/metrics.h
@@ -9,8 +9,8 @@
 
 /**
  * Counters, gauges and latency histograms (Boost.Histogram) of one process,
- * written in the Prometheus text format. Thread-safe. Names are snake case;
- * aLabel is one ready-made `key="value"` list or empty.
+ * exported in the Prometheus text format. Thread-safe. Names are in snake
+ * case; aLabel is a formatted `key="value"` list or empty.
  */
 class Metrics
 {
@@ -20,7 +20,7 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  /** A metric's meaning, one line, for whoever reads Text(). */
+  /** Sets the one-line help text of a metric. */
   void Describe(std::string_view aName, std::string_view aHelp);
   void Count(std::string_view aName,
              std::string_view aLabel = "",
@@ -28,13 +28,13 @@
   void SetGauge(std::string_view aName,
                 double aValue,
                 std::string_view aLabel = "");
-  /** Adds one measured value, usually in milliseconds. */
+  /** Adds a value to a histogram, usually in milliseconds. */
   void Observe(std::string_view aName,
                double aValue,
                std::string_view aLabel = "");
   uint64_t CounterValue(std::string_view aName,
                         std::string_view aLabel = "") const;
-  /** All of it in the Prometheus text format. */
+  /** Returns all metrics in the Prometheus text format. */
   std::string Text() const;
 
 private:
--- a/src/libtrefoilio/service.h
+++ b/src/libtrefoilio/service.h
@@ -6,19 +6,19 @@
 
 class Kernel;
 
-/** One duty of a process. The kernel owns, starts and stops it. */
+/** A component of a process, owned, started and stopped by the Kernel. */
 class Service
 {
 public:
   virtual ~Service() = default;
 
-  /** Finds the services it needs by name and starts its threads. */
+  /** Looks up the services that it needs and starts its threads. */
   virtual void Start(Kernel& aKernel) = 0;
 
-  /** Finishes what is under way; returns when the threads are joined. */
+  /** Finishes work in progress and joins the threads. */
   virtual void Stop() = 0;
 
-  /** Its state as JSON text, for the dump; no request text or secrets. */
+  /** Returns its state as JSON, without request text or secrets. */
   virtual std::string DumpState() const = 0;
 };
 
--- a/src/libtrefoilio/settings.cpp
+++ b/src/libtrefoilio/settings.cpp
@@ -53,52 +53,52 @@
   return text.str();
 }
 
-/** `--flag=value` as the two arguments that TCLAP expects. */
+/** Splits `--flag=value` into the two arguments that TCLAP expects. */
 std::vector<std::string>
-Separated(int aCount, const char* const* aArguments)
+SplitAssignments(int aCount, const char* const* aArguments)
 {
-  std::vector<std::string> separated;
+  std::vector<std::string> split;
   for (int i = 0; i < aCount; ++i) {
     const std::string text = aArguments[i];
     const size_t equals = text.find('=');
     if (i > 0 && text.starts_with("--") && equals != std::string::npos) {
-      separated.push_back(text.substr(0, equals));
-      separated.push_back(text.substr(equals + 1));
+      split.push_back(text.substr(0, equals));
+      split.push_back(text.substr(equals + 1));
     } else {
-      separated.push_back(text);
+      split.push_back(text);
     }
   }
-  return separated;
+  return split;
 }
 
-/** The flags of one process as TCLAP reads them. */
+/** Parses the flags of one process with TCLAP. */
 class FlagReader
 {
 public:
   FlagReader(const std::string& aAbout, const std::vector<SettingSpec>& aSpecs)
-    : mLine(aAbout, ' ', std::string(kVersion), false)
+    : mCommandLine(aAbout, ' ', std::string(kVersion), false)
   {
-    mLine.setExceptionHandling(false);
+    mCommandLine.setExceptionHandling(false);
     for (const SettingSpec& spec : aSpecs) {
       mFlags.push_back(std::make_unique<TCLAP::ValueArg<std::string>>(
-        "", spec.mName, spec.mHelp, false, "", "value", mLine));
+        "", spec.mName, spec.mHelp, false, "", "value", mCommandLine));
     }
-    mLine.add(mRest);
+    mCommandLine.add(mUnknownArguments);
   }
 
-  /** Adds a fault where a flag stands twice, lacks a value or is unknown. */
+  /** Adds an error for each flag that is repeated, unknown or has no value. */
   void Read(int aCount,
             const char* const* aArguments,
             std::vector<std::string>& aFaults)
   {
-    std::vector<std::string> arguments = Separated(aCount, aArguments);
+    std::vector<std::string> arguments = SplitAssignments(aCount, aArguments);
     try {
-      mLine.parse(arguments);
+      mCommandLine.parse(arguments);
     } catch (const TCLAP::ArgException& fault) {
       aFaults.push_back(fault.argId() + " " + fault.error());
-      mBroken = true;
+      mParseFailed = true;
     }
-    for (const std::string& text : mRest.getValue()) {
+    for (const std::string& text : mUnknownArguments.getValue()) {
       aFaults.push_back("unknown argument " + text + "; see --help");
     }
   }
@@ -112,39 +112,39 @@
   bool Check() const { return mCheck.getValue(); }
   bool Version() const { return mVersion.getValue(); }
   bool Help() const { return mHelp.getValue(); }
-  /** Reading ended early, so that a flag may seem missing which is not. */
-  bool Broken() const { return mBroken; }
+  /** Parsing stopped early, so flags may be missing from the result. */
+  bool ParseFailed() const { return mParseFailed; }
 
 private:
-  TCLAP::CmdLine mLine;
-  TCLAP::SwitchArg mCheck{ "", "check", "validate and exit", mLine };
-  TCLAP::SwitchArg mVersion{ "", "version", "print the version", mLine };
-  TCLAP::SwitchArg mHelp{ "h", "help", "print this", mLine };
+  TCLAP::CmdLine mCommandLine;
+  TCLAP::SwitchArg mCheck{ "", "check", "validate and exit", mCommandLine };
+  TCLAP::SwitchArg mVersion{ "", "version", "print the version", mCommandLine };
+  TCLAP::SwitchArg mHelp{ "h", "help", "print this", mCommandLine };
   std::vector<std::unique_ptr<TCLAP::ValueArg<std::string>>> mFlags;
-  TCLAP::UnlabeledMultiArg<std::string> mRest{ "rest",
-                                               "unknown ones",
-                                               false,
-                                               "text" };
-  bool mBroken = false;
+  TCLAP::UnlabeledMultiArg<std::string> mUnknownArguments{ "rest",
+                                                           "unknown ones",
+                                                           false,
+                                                           "text" };
+  bool mParseFailed = false;
 };
 
 bool
-IsInteger(const std::string& aText, int64_t& aValue)
+ParseInteger(const std::string& aText, int64_t& aValue)
 {
   const char* end = aText.data() + aText.size();
   const auto [stop, error] = std::from_chars(aText.data(), end, aValue);
   return error == std::errc() && stop == end;
 }
 
-/** The text as a decimal number; nothing for any other text. */
+/** Parses a decimal number; returns nothing for other text. */
 std::optional<double>
-ReadNumber(const std::string& aText)
+ParseNumber(const std::string& aText)
 {
   double value = 0;
   const char* end = aText.data() + aText.size();
   const auto [stop, error] = std::from_chars(aText.data(), end, value);
-  const bool whole = error == std::errc() && stop == end;
-  return whole ? std::optional(value) : std::nullopt;
+  const bool complete = error == std::errc() && stop == end;
+  return complete ? std::optional(value) : std::nullopt;
 }
 
 bool
@@ -163,7 +163,7 @@
     const std::string part(aText.substr(0, dot));
     int64_t value = -1;
     if (part.find_first_not_of(digits) != std::string::npos ||
-        !IsInteger(part, value) || value > 255) {
+        !ParseInteger(part, value) || value > 255) {
       return false;
     }
     ++parts;
@@ -183,8 +183,8 @@
   }
   int64_t port = -1;
   return IsNumericAddress(aText.substr(0, colon)) &&
-         IsInteger(std::string(aText.substr(colon + 1)), port) && port >= 0 &&
-         port <= 65535;
+         ParseInteger(std::string(aText.substr(colon + 1)), port) &&
+         port >= 0 && port <= 65535;
 }
 
 bool
@@ -208,17 +208,17 @@
   return true;
 }
 
-/** A setting as it was given, if it was. */
-struct Given
+/** The value given for a setting, if any. */
+struct SettingValue
 {
-  std::string mSource; /**< the flag, and the variable where it was that */
+  std::string mSource; /**< the flag, and the variable if it was used */
   std::optional<std::string> mValue{};
 };
 
-Given
-Find(const SettingSpec& aSpec,
-     const std::optional<std::string>& aFlag,
-     const std::function<const char*(const char*)>& aEnvironment)
+SettingValue
+FindValue(const SettingSpec& aSpec,
+          const std::optional<std::string>& aFlag,
+          const std::function<const char*(const char*)>& aEnvironment)
 {
   const std::string flag = "--" + aSpec.mName;
   if (aFlag) {
@@ -231,9 +231,9 @@
   return { .mSource = flag };
 }
 
-/** What is wrong with a setting; empty where nothing is. */
+/** Returns an error message, or empty text if the setting is valid. */
 std::string
-Fault(const SettingSpec& aSpec, const Given& aGiven)
+Validate(const SettingSpec& aSpec, const SettingValue& aGiven)
 {
   if (aSpec.mRequired && !aGiven.mValue) {
     return aGiven.mSource + " must be given: " + aSpec.mHelp;
@@ -251,30 +251,30 @@
 } // namespace
 
 std::function<std::string(const std::string&)>
-IntegerBetween(int64_t aLeast, int64_t aMost)
+IntegerBetween(int64_t aMin, int64_t aMax)
 {
   return [=](const std::string& aText) -> std::string {
     int64_t value = 0;
-    if (IsInteger(aText, value) && value >= aLeast && value <= aMost) {
+    if (ParseInteger(aText, value) && value >= aMin && value <= aMax) {
       return "";
     }
-    return "an integer from " + std::to_string(aLeast) + " to " +
-           std::to_string(aMost);
+    return "an integer from " + std::to_string(aMin) + " to " +
+           std::to_string(aMax);
   };
 }
 
 std::function<std::string(const std::string&)>
-NumberBetween(double aLeast, double aMost)
+NumberBetween(double aMin, double aMax)
 {
   return [=](const std::string& aText) -> std::string {
-    // An infinity is beyond every bound, and no comparison holds for NaN.
-    const std::optional<double> value = ReadNumber(aText);
-    if (value && *value >= aLeast && *value <= aMost) {
+    // Infinity is out of range, and every comparison with NaN is false.
+    const std::optional<double> value = ParseNumber(aText);
+    if (value && *value >= aMin && *value <= aMax) {
       return "";
     }
     std::ostringstream range;
     range.precision(std::numeric_limits<double>::digits10);
-    range << "a number from " << aLeast << " to " << aMost;
+    range << "a number from " << aMin << " to " << aMax;
     return range.str();
   };
 }
@@ -310,9 +310,9 @@
   return [](const std::string& aText) -> std::string {
     constexpr std::string_view scheme = "http://";
     if (aText.starts_with(scheme)) {
-      std::string place = aText.substr(scheme.size());
-      place = place.substr(0, place.find('/'));
-      if (IsNumericEndpoint(place)) {
+      std::string endpoint = aText.substr(scheme.size());
+      endpoint = endpoint.substr(0, endpoint.find('/'));
+      if (IsNumericEndpoint(endpoint)) {
         return "";
       }
     }
@@ -346,7 +346,7 @@
 Settings::Integer(const std::string& aName) const
 {
   int64_t value = 0;
-  if (!IsInteger(mValues.at(aName), value)) {
+  if (!ParseInteger(mValues.at(aName), value)) {
     throw std::logic_error(aName + " is not checked to be an integer");
   }
   return value;
@@ -355,7 +355,7 @@
 double
 Settings::Number(const std::string& aName) const
 {
-  const std::optional<double> value = ReadNumber(mValues.at(aName));
+  const std::optional<double> value = ParseNumber(mValues.at(aName));
   if (!value) {
     throw std::logic_error(aName + " is not checked to be a number");
   }
@@ -404,9 +404,10 @@
   Settings settings;
   settings.mCheckOnly = flags.Check();
   for (size_t i = 0; i < mSpecs.size(); ++i) {
-    const Given given = Find(mSpecs[i], flags.Value(i), aEnvironment);
-    const bool unread = !given.mValue && flags.Broken();
-    const std::string fault = unread ? "" : Fault(mSpecs[i], given);
+    const SettingValue given =
+      FindValue(mSpecs[i], flags.Value(i), aEnvironment);
+    const bool unparsed = !given.mValue && flags.ParseFailed();
+    const std::string fault = unparsed ? "" : Validate(mSpecs[i], given);
     if (!fault.empty()) {
       outcome.mFaults.push_back(fault);
     }
--- a/src/libtrefoilio/settings.h
+++ b/src/libtrefoilio/settings.h
@@ -9,38 +9,38 @@
 
 namespace trefoilio {
 
-/** One setting: a flag `--name` and a variable `TREFOILARCH_NAME`. */
+/** One setting: a flag `--name` or a variable `TREFOILARCH_NAME`. */
 struct SettingSpec
 {
-  std::string mName;      /**< with dashes, without the leading ones */
+  std::string mName;      /**< in kebab case, without leading dashes */
   std::string mHelp;      /**< one line, with the unit */
   std::string mDefault{}; /**< empty and mRequired: must be given */
   bool mRequired = false;
-  /** Empty where the text is accepted, else the accepted range in words. */
+  /** Returns empty text for a valid value, else the accepted range. */
   std::function<std::string(const std::string&)> mCheck{};
 };
 
-/** Ready checks for SettingSpec::mCheck. */
+/** Checks for SettingSpec::mCheck. */
 std::function<std::string(const std::string&)>
-IntegerBetween(int64_t aLeast, int64_t aMost);
-/** A finite decimal number, perhaps with a fraction. */
+IntegerBetween(int64_t aMin, int64_t aMax);
+/** A finite decimal number, optionally with a fraction. */
 std::function<std::string(const std::string&)>
-NumberBetween(double aLeast, double aMost);
+NumberBetween(double aMin, double aMax);
 std::function<std::string(const std::string&)>
 OneOf(std::vector<std::string> aChoices);
 /** `ADDRESS:PORT` with a numeric IP. */
 std::function<std::string(const std::string&)>
 NumericEndpoint();
-/** `http://ADDRESS:PORT`, perhaps with a path. */
+/** `http://ADDRESS:PORT`, optionally with a path. */
 std::function<std::string(const std::string&)>
 HttpUrl();
-/** `key=value,...`, may be empty. */
+/** `key=value,...` or empty text. */
 std::function<std::string(const std::string&)>
 LabelList();
 std::function<std::string(const std::string&)>
 NotEmpty();
 
-/** The settings of a process, read and validated. */
+/** Validated settings of a process. */
 class Settings
 {
 public:
@@ -48,7 +48,7 @@
   int64_t Integer(const std::string& aName) const;
   double Number(const std::string& aName) const;
   std::map<std::string, std::string> LabelMap(const std::string& aName) const;
-  /** `--check` was given: report and exit. */
+  /** True if `--check` was given: validate and exit. */
   bool CheckOnly() const { return mCheckOnly; }
 
 private:
@@ -57,19 +57,19 @@
   bool mCheckOnly = false;
 };
 
-/** What reading the settings led to. */
+/** Result of reading the settings. */
 struct SettingsOutcome
 {
   std::optional<Settings> mSettings;
-  /** Each fault names its flag and the accepted range; all are listed. */
+  /** All errors, each with its flag and the accepted range. */
   std::vector<std::string> mFaults;
   /** `--help` or `--version`: print this and exit with 0. */
   std::optional<std::string> mText;
 };
 
 /**
- * Reads flags by TCLAP and then the environment (the flag wins), and checks
- * every value. Knows `--check`, `--version` and `--help` besides.
+ * Reads settings from flags (with TCLAP) and the environment, and validates
+ * them. Flags take precedence. Also handles `--check`, `--version`, `--help`.
  */
 class SettingsReader
 {
--- a/src/libtrefoilio/streamstate.cpp
+++ b/src/libtrefoilio/streamstate.cpp
@@ -14,14 +14,15 @@
 namespace {
 
 /**
- * Ends a connection by a TCP reset at once. Lingering for no time would not
- * do: libmicrohttpd shuts its end down first, and the caller would see that.
+ * Resets a TCP connection immediately. A zero linger time is not enough:
+ * libmicrohttpd shuts down its end first, which the caller would see as a
+ * regular close.
  */
 void
 Reset(int aSocket)
 {
-  const sockaddr nowhere{ .sa_family = AF_UNSPEC, .sa_data = {} };
-  (void)connect(aSocket, &nowhere, sizeof nowhere);
+  const sockaddr unspecified{ .sa_family = AF_UNSPEC, .sa_data = {} };
+  (void)connect(aSocket, &unspecified, sizeof unspecified);
 }
 
 } // namespace
@@ -29,11 +30,11 @@
 StreamState::StreamState(StreamSource aSource,
                          std::function<void()> aOnClosed,
                          int aSocket,
-                         bool aEndsByClosing)
+                         bool aCloseDelimited)
   : mSource(std::move(aSource))
   , mOnClosed(std::move(aOnClosed))
   , mSocket(aSocket)
-  , mEndsByClosing(aEndsByClosing)
+  , mCloseDelimited(aCloseDelimited)
 {
 }
 
@@ -43,14 +44,15 @@
 }
 
 ssize_t
-StreamState::Read(char* aOut, size_t aMost)
+StreamState::Read(char* aOut, size_t aMaxBytes)
 {
-  if (mTaken == mPending.size() && !Refill()) {
-    return mLast == StreamStep::End ? MHD_CONTENT_READER_END_OF_STREAM : Cut();
+  if (mPendingOffset == mPending.size() && !Refill()) {
+    return mLastStep == StreamStep::End ? MHD_CONTENT_READER_END_OF_STREAM
+                                        : Cut();
   }
-  const size_t count = std::min(aMost, mPending.size() - mTaken);
-  std::copy_n(mPending.data() + mTaken, count, aOut);
-  mTaken += count;
+  const size_t count = std::min(aMaxBytes, mPending.size() - mPendingOffset);
+  std::copy_n(mPending.data() + mPendingOffset, count, aOut);
+  mPendingOffset += count;
   return static_cast<ssize_t>(count);
 }
 
@@ -58,11 +60,11 @@
 StreamState::Refill()
 {
   mPending.clear();
-  mTaken = 0;
-  while (mPending.empty() && mLast == StreamStep::Data) {
-    mLast = mSource(mPending);
-    if (mLast == StreamStep::Data && PeerLeft(mSocket)) {
-      mLast = StreamStep::Cut;
+  mPendingOffset = 0;
+  while (mPending.empty() && mLastStep == StreamStep::Data) {
+    mLastStep = mSource(mPending);
+    if (mLastStep == StreamStep::Data && PeerLeft(mSocket)) {
+      mLastStep = StreamStep::Cut;
       mPending.clear();
     }
   }
@@ -72,7 +74,7 @@
 ssize_t
 StreamState::Cut()
 {
-  if (mEndsByClosing) {
+  if (mCloseDelimited) {
     Reset(mSocket);
   }
   return MHD_CONTENT_READER_END_WITH_ERROR;
--- a/src/libtrefoilio/streamstate.h
+++ b/src/libtrefoilio/streamstate.h
@@ -10,21 +10,21 @@
 
 namespace trefoilio {
 
-/** A streamed answer on its way out; reports its end exactly once. */
+/** A streamed response in progress; reports its end exactly once. */
 class StreamState
 {
 public:
-  /** aEndsByClosing: without chunks, so that only a reset shows a cut. */
+  /** aCloseDelimited: not chunked; only a reset reveals truncation. */
   StreamState(StreamSource aSource,
               std::function<void()> aOnClosed,
               int aSocket,
-              bool aEndsByClosing);
+              bool aCloseDelimited);
   ~StreamState();
   StreamState(const StreamState&) = delete;
   StreamState& operator=(const StreamState&) = delete;
 
-  /** As libmicrohttpd wants it: bytes written, or how the body ended. */
-  ssize_t Read(char* aOut, size_t aMost);
+  /** libmicrohttpd reader: returns the bytes written or an end code. */
+  ssize_t Read(char* aOut, size_t aMaxBytes);
 
   void Close();
 
@@ -35,10 +35,10 @@
   StreamSource mSource;
   std::function<void()> mOnClosed;
   const int mSocket;
-  const bool mEndsByClosing;
+  const bool mCloseDelimited;
   std::string mPending;
-  size_t mTaken = 0;
-  StreamStep mLast = StreamStep::Data;
+  size_t mPendingOffset = 0;
+  StreamStep mLastStep = StreamStep::Data;
   std::atomic<bool> mClosed = false;
 };
 
--- a/src/libtrefoilio/systemclock.h
+++ b/src/libtrefoilio/systemclock.h
@@ -4,11 +4,11 @@
 
 namespace trefoilio {
 
-/** The machine's monotonic clock. */
+/** Returns the time of the monotonic clock. */
 trefoilarch::Millis
 MonotonicNow();
 
-/** Seconds since 1970, for people's eyes alone. */
+/** Returns seconds since 1970; only for display. */
 int64_t
 UnixSeconds();
 
--- a/tests/unit/answercheckertest.cpp
+++ b/tests/unit/answercheckertest.cpp
@@ -24,14 +24,14 @@
 }
 
 trefoilio::HttpRequest
-Sent(const TraceRequest& aRequest, const std::string& aMark)
+BuildSentRequest(const TraceRequest& aRequest, const std::string& aMark)
 {
   return BuildRequest(aRequest, aMark, "http://127.0.0.1:1", {});
 }
 
-/** The streamed body that an engine gives to the request. */
+/** The streamed body with which an engine answers the request. */
 std::string
-StreamOf(const trefoilio::HttpRequest& aSent)
+StreamedBody(const trefoilio::HttpRequest& aSent)
 {
   const standin::CompletionText text(
     standin::AnswerTo(json::parse(aSent.mBody)), "base");
@@ -44,10 +44,10 @@
 }
 
 CallOutcome
-Judge(const TraceRequest& aRequest,
-      const trefoilio::HttpRequest& aSent,
-      const std::string& aBody,
-      CallEnd aEnd = CallEnd::Whole)
+CheckAnswer(const TraceRequest& aRequest,
+            const trefoilio::HttpRequest& aSent,
+            const std::string& aBody,
+            CallEnd aEnd = CallEnd::Whole)
 {
   AnswerChecker checker(aRequest, aSent);
   checker.TakeHead(200, {});
@@ -65,15 +65,16 @@
   const bool holds = rc::check([] {
     const TraceRequest request =
       StreamedRequest(*rc::gen::inRange<size_t>(1, 30));
-    const auto sent = Sent(request, "a");
-    const std::string body = StreamOf(sent);
-    RC_ASSERT(Judge(request, sent, body) == CallOutcome::Whole);
+    const auto sent = BuildSentRequest(request, "a");
+    const std::string body = StreamedBody(sent);
+    RC_ASSERT(CheckAnswer(request, sent, body) == CallOutcome::Whole);
     const auto cut = *rc::gen::inRange<size_t>(0, body.size());
-    RC_ASSERT(Judge(request, sent, body.substr(0, cut)) != CallOutcome::Whole);
+    RC_ASSERT(CheckAnswer(request, sent, body.substr(0, cut)) !=
+              CallOutcome::Whole);
     std::string changed = body;
     const auto place = *rc::gen::inRange<size_t>(0, body.size());
     changed[place] = static_cast<char>(changed[place] + 1);
-    RC_ASSERT(Judge(request, sent, changed) != CallOutcome::Whole);
+    RC_ASSERT(CheckAnswer(request, sent, changed) != CallOutcome::Whole);
   });
   cr_assert(holds);
 }
@@ -81,33 +82,34 @@
 Test(answerchecker, another_requests_answer_is_wrong)
 {
   const TraceRequest request = StreamedRequest(5);
-  const auto sent = Sent(request, "a");
-  const std::string crossed = StreamOf(Sent(request, "b"));
-  cr_assert(Judge(request, sent, crossed) == CallOutcome::Wrong);
-  cr_assert(Judge(request, sent, StreamOf(sent) + crossed) ==
+  const auto sent = BuildSentRequest(request, "a");
+  const std::string crossed = StreamedBody(BuildSentRequest(request, "b"));
+  cr_assert(CheckAnswer(request, sent, crossed) == CallOutcome::Wrong);
+  cr_assert(CheckAnswer(request, sent, StreamedBody(sent) + crossed) ==
             CallOutcome::Wrong);
 }
 
 Test(answerchecker, comments_are_skipped_and_a_broken_end_is_seen)
 {
   const TraceRequest request = StreamedRequest(5);
-  const auto sent = Sent(request, "a");
-  const std::string body = ": keep-alive\n\n" + StreamOf(sent);
-  cr_assert(Judge(request, sent, body) == CallOutcome::Whole);
-  cr_assert(Judge(request, sent, body, CallEnd::Broken) != CallOutcome::Whole);
+  const auto sent = BuildSentRequest(request, "a");
+  const std::string body = ": keep-alive\n\n" + StreamedBody(sent);
+  cr_assert(CheckAnswer(request, sent, body) == CallOutcome::Whole);
+  cr_assert(CheckAnswer(request, sent, body, CallEnd::Broken) !=
+            CallOutcome::Whole);
 }
 
 Test(answerchecker, an_error_event_is_an_honest_failure)
 {
   const TraceRequest request = StreamedRequest(50);
-  const auto sent = Sent(request, "a");
-  const std::string whole = StreamOf(sent);
+  const auto sent = BuildSentRequest(request, "a");
+  const std::string whole = StreamedBody(sent);
   const std::string start = whole.substr(0, whole.find("\n\n") + 2);
   const std::string error = "event: error\ndata: {\"error\":{\"kind\":"
                             "\"upstream_failed\",\"ran\":\"maybe\"}}\n\n";
-  cr_assert(Judge(request, sent, start + error, CallEnd::Broken) ==
+  cr_assert(CheckAnswer(request, sent, start + error, CallEnd::Broken) ==
             CallOutcome::Failed);
-  cr_assert(Judge(request, sent, start, CallEnd::Broken) ==
+  cr_assert(CheckAnswer(request, sent, start, CallEnd::Broken) ==
             CallOutcome::Unanswered);
 }
 
@@ -115,12 +117,12 @@
 {
   TraceRequest request = StreamedRequest(50);
   request.mStream = false;
-  const auto sent = Sent(request, "a");
+  const auto sent = BuildSentRequest(request, "a");
   const std::string error = "  {\"error\":{\"kind\":\"upstream_failed\","
                             "\"ran\":\"maybe\"}}";
-  cr_assert(Judge(request, sent, error, CallEnd::Broken) ==
+  cr_assert(CheckAnswer(request, sent, error, CallEnd::Broken) ==
             CallOutcome::Failed);
-  cr_assert(Judge(request, sent, error) == CallOutcome::Wrong);
-  cr_assert(Judge(request, sent, "  ", CallEnd::Broken) ==
+  cr_assert(CheckAnswer(request, sent, error) == CallOutcome::Wrong);
+  cr_assert(CheckAnswer(request, sent, "  ", CallEnd::Broken) ==
             CallOutcome::Unanswered);
 }
--- a/tests/unit/callrunnertest.cpp
+++ b/tests/unit/callrunnertest.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** Takes connections one by one and lets the test play the upstream. */
+/** Accepts connections one by one; the test acts as the upstream. */
 class Upstream
 {
 public:
@@ -30,7 +30,7 @@
     return "http://127.0.0.1:" + std::to_string(mListener.Port()) + "/x";
   }
 
-  /** The next connection within the span; -1 where none comes. */
+  /** Accepts the next connection; returns -1 on timeout. */
   int Accept(int aMillis = 20000) const
   {
     pollfd entry{ .fd = mListener.Socket(), .events = POLLIN, .revents = 0 };
@@ -45,11 +45,11 @@
 };
 
 std::string
-ReadRequest(int aSocket, std::string_view aEnd)
+ReadRequest(int aSocket, std::string_view aTerminator)
 {
   std::string text;
   char block[4096];
-  while (text.find(aEnd) == std::string::npos) {
+  while (text.find(aTerminator) == std::string::npos) {
     const ssize_t count = recv(aSocket, block, sizeof block, 0);
     if (count <= 0) {
       break;
@@ -65,24 +65,27 @@
   send(aSocket, aText.data(), aText.size(), MSG_NOSIGNAL);
 }
 
-/** Starts a call and gives how it will have ended. */
+/** Starts a call and returns a future for its end. */
 std::future<CallEnd>
-Begin(CallRunner& aRunner, const std::string& aMethod, const std::string& aUrl)
+StartCall(CallRunner& aRunner,
+          const std::string& aMethod,
+          const std::string& aUrl)
 {
   auto ended = std::make_shared<std::promise<CallEnd>>();
   std::future<CallEnd> future = ended->get_future();
-  aRunner.Start(
-    { .mMethod = aMethod,
-      .mTarget = aUrl,
-      .mHeaders = { { "X-Good", "1" }, { "X-Bad", "1\r\nY: 2" } },
-      .mBody = aMethod == "POST" ? "{end}" : "" },
-    { .mOnEnd = [ended](CallEnd aEnd) { ended->set_value(aEnd); } });
+  aRunner.Start({ .mMethod = aMethod,
+                  .mTarget = aUrl,
+                  .mHeaders = { { "X-Good", "1" }, { "X-Bad", "1\r\nY: 2" } },
+                  .mBody = aMethod == "POST" ? "{end}" : "" },
+                { .mOnEnd = [ended](CallEnd aTerminator) {
+                  ended->set_value(aTerminator);
+                } });
   return future;
 }
 
-/** How the call ended; a call that hangs counts as no end at all. */
+/** Waits for the call to end; returns nothing if it hangs. */
 std::optional<CallEnd>
-End(std::future<CallEnd>& aEnded)
+WaitForEnd(std::future<CallEnd>& aEnded)
 {
   if (aEnded.wait_for(std::chrono::seconds(20)) != std::future_status::ready) {
     return std::nullopt;
@@ -100,8 +103,8 @@
     url = gone.Url();
   }
   CallRunner runner({});
-  auto ended = Begin(runner, "POST", url);
-  cr_assert(End(ended) == CallEnd::NeverSent);
+  auto ended = StartCall(runner, "POST", url);
+  cr_assert(WaitForEnd(ended) == CallEnd::NeverSent);
 }
 
 Test(callrunner, connection_is_used_again_but_nothing_is_sent_twice)
@@ -110,19 +113,19 @@
     const std::string_view end = method == "POST" ? "{end}" : "\r\n\r\n";
     const Upstream upstream;
     CallRunner runner({});
-    auto first = Begin(runner, method, upstream.Url());
+    auto first = StartCall(runner, method, upstream.Url());
     const int socket = upstream.Accept();
     const std::string request = ReadRequest(socket, end);
     cr_assert(request.starts_with(method + " /x HTTP/1.1\r\n"));
     cr_assert(request.find("X-Good: 1\r\n") != std::string::npos);
     cr_assert(request.find("Y: 2") == std::string::npos);
     Write(socket, "HTTP/1.1 204 None\r\n\r\n");
-    cr_assert(End(first) == CallEnd::Whole);
+    cr_assert(WaitForEnd(first) == CallEnd::Whole);
 
-    auto second = Begin(runner, method, upstream.Url());
+    auto second = StartCall(runner, method, upstream.Url());
     cr_assert(ReadRequest(socket, end) == request);
     close(socket);
-    cr_assert(End(second) == CallEnd::Broken);
+    cr_assert(WaitForEnd(second) == CallEnd::Broken);
     const int again = upstream.Accept(300);
     cr_assert(again == -1 || ReadRequest(again, end).empty());
   }
@@ -155,11 +158,11 @@
          "HTTP/1.1 200 OK\r\n",
          "HTTP/1.1 100 Continue\r\n\r\n",
          "" }) {
-    auto ended = Begin(runner, "POST", upstream.Url());
+    auto ended = StartCall(runner, "POST", upstream.Url());
     const int socket = upstream.Accept();
     ReadRequest(socket, "{end}");
     Write(socket, answer);
     close(socket);
-    cr_assert(End(ended) == CallEnd::Broken);
+    cr_assert(WaitForEnd(ended) == CallEnd::Broken);
   }
 }
--- a/tests/unit/httpservertest.cpp
+++ b/tests/unit/httpservertest.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-/** Long enough never to matter unless something hangs. */
-constexpr std::chrono::seconds kHang{ 20 };
+/** Only exceeded if something hangs. */
+constexpr std::chrono::seconds kHangTimeout{ 20 };
 
-/** Counts up; others wait for a count. */
+/** Counter that threads can wait on. */
 class Counter
 {
 public:
@@ -36,10 +36,10 @@
     mChanged.notify_all();
   }
 
-  bool Reaches(int aCount, std::chrono::milliseconds aSpan = kHang)
+  bool Reaches(int aCount, std::chrono::milliseconds aTimeout = kHangTimeout)
   {
     std::unique_lock lock(mMutex);
-    return mChanged.wait_for(lock, aSpan, [&] { return mCount >= aCount; });
+    return mChanged.wait_for(lock, aTimeout, [&] { return mCount >= aCount; });
   }
 
   int Value()
@@ -54,7 +54,7 @@
   int mCount = 0;
 };
 
-/** Records what a call's hooks were told. */
+/** Records the callbacks of a call. */
 class Recorder
 {
 public:
@@ -72,7 +72,7 @@
                    std::lock_guard lock(mMutex);
                    mBody += aData;
                  }
-                 mPieces.Add();
+                 mChunks.Add();
                },
              .mOnEnd =
                [this](CallEnd aEnd) {
@@ -87,7 +87,7 @@
     return mBody;
   }
 
-  Counter mPieces;
+  Counter mChunks;
   Counter mEnds;
   std::atomic<CallEnd> mEnd = CallEnd::Whole;
   std::atomic<int> mStatus = 0;
@@ -98,7 +98,7 @@
   std::string mBody;
 };
 
-/** Ten numbered lines, then the given end. */
+/** Produces ten numbered lines, then the given end. */
 StreamSource
 TenLines(StreamStep aEnd)
 {
@@ -111,7 +111,7 @@
   };
 }
 
-/** Lines for ever, one each 20 ms. */
+/** Produces an unlimited number of lines, one every 20 ms. */
 StreamSource
 Endless()
 {
@@ -122,7 +122,7 @@
   };
 }
 
-/** A server whose answers depend on the path. */
+/** A server whose response depends on the path. */
 class Fixture
 {
 public:
@@ -264,7 +264,7 @@
   Recorder stream;
   const uint64_t call = runner.Start(
     { .mMethod = "POST", .mTarget = fixture.Url("/endless") }, stream.Hooks());
-  cr_assert(stream.mPieces.Reaches(3));
+  cr_assert(stream.mChunks.Reaches(3));
   runner.Cancel(call);
   cr_assert(fixture.mClosed.Reaches(1));
 
@@ -388,8 +388,8 @@
     { .mMethod = "GET", .mTarget = fixture.Url("/endless") }, first.Hooks());
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/endless") },
                second.Hooks());
-  cr_assert(first.mPieces.Reaches(1));
-  cr_assert(second.mPieces.Reaches(1));
+  cr_assert(first.mChunks.Reaches(1));
+  cr_assert(second.mChunks.Reaches(1));
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/") },
                third.Hooks());
   cr_assert(third.mEnds.Reaches(1));
--- a/tests/unit/kerneltest.cpp
+++ b/tests/unit/kerneltest.cpp
@@ -8,56 +8,60 @@
 
 namespace {
 
-/** Notes what happens to it. */
-class Noted : public Service
+/** Records its starts, stops and destruction. */
+class RecordingService : public Service
 {
 public:
-  Noted(std::string aName, std::string& aNotes, std::string aNeeds = "")
+  RecordingService(std::string aName,
+                   std::string& aEvents,
+                   std::string aDependency = "")
     : mName(std::move(aName))
-    , mNotes(aNotes)
-    , mNeeds(std::move(aNeeds))
+    , mEvents(aEvents)
+    , mDependency(std::move(aDependency))
   {
   }
-  ~Noted() override { mNotes += "~" + mName; }
+  ~RecordingService() override { mEvents += "~" + mName; }
 
   void Start(Kernel& aKernel) override
   {
-    if (!mNeeds.empty()) {
-      mNotes += aKernel.Find<Noted>(mNeeds).mName + "<";
+    if (!mDependency.empty()) {
+      mEvents += aKernel.Find<RecordingService>(mDependency).mName + "<";
     }
-    mNotes += "+" + mName;
+    mEvents += "+" + mName;
   }
-  void Stop() override { mNotes += "-" + mName; }
+  void Stop() override { mEvents += "-" + mName; }
   std::string DumpState() const override { return "{\"on\":true}"; }
 
 private:
   const std::string mName;
-  std::string& mNotes;
-  const std::string mNeeds;
+  std::string& mEvents;
+  const std::string mDependency;
 };
 
 } // namespace
 
 Test(kernel, starts_in_order_and_stops_in_the_opposite)
 {
-  std::string notes;
+  std::string events;
   {
     Kernel kernel;
-    kernel.Register("a", std::make_unique<Noted>("a", notes));
-    kernel.Register("b\"", std::make_unique<Noted>("b", notes, "a"));
+    kernel.Register("a", std::make_unique<RecordingService>("a", events));
+    kernel.Register("b\"",
+                    std::make_unique<RecordingService>("b", events, "a"));
     kernel.StartAll();
     cr_assert(kernel.DumpState() ==
               "{\"a\":{\"on\":true},\"b\\\"\":{\"on\":true}}");
   }
-  cr_assert(notes == "+aa<+b-b-a~b~a", "%s", notes.c_str());
+  cr_assert(events == "+aa<+b-b-a~b~a", "%s", events.c_str());
 }
 
 Test(kernel, failed_start_stops_what_had_started)
 {
-  std::string notes;
+  std::string events;
   Kernel kernel;
-  kernel.Register("a", std::make_unique<Noted>("a", notes));
-  kernel.Register("b", std::make_unique<Noted>("b", notes, "missing"));
+  kernel.Register("a", std::make_unique<RecordingService>("a", events));
+  kernel.Register("b",
+                  std::make_unique<RecordingService>("b", events, "missing"));
   bool thrown = false;
   try {
     kernel.StartAll();
@@ -65,10 +69,10 @@
     thrown = true;
   }
   cr_assert(thrown);
-  cr_assert(notes == "+a-a");
+  cr_assert(events == "+a-a");
   thrown = false;
   try {
-    kernel.Register("a", std::make_unique<Noted>("a", notes));
+    kernel.Register("a", std::make_unique<RecordingService>("a", events));
   } catch (const std::invalid_argument&) {
     thrown = true;
   }
--- a/tests/unit/metricstest.cpp
+++ b/tests/unit/metricstest.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 bool
-Has(const std::string& aText, const std::string& aLine)
+HasLine(const std::string& aText, const std::string& aLine)
 {
   return ("\n" + aText).find("\n" + aLine + "\n") != std::string::npos;
 }
@@ -29,19 +29,19 @@
     metrics.Observe("turn_ms", value, "hop=\"x\"");
   }
   const std::string text = metrics.Text();
-  cr_assert(Has(text, "# TYPE requests_total counter"));
-  cr_assert(Has(text, "requests_total{class=\"a\"} 3"));
-  cr_assert(Has(text, "requests_total 1"));
-  cr_assert(Has(text, "# TYPE open gauge\nopen 0.25"));
-  cr_assert(Has(text, "# TYPE turn_ms histogram"));
-  cr_assert(Has(text, "turn_ms_bucket{hop=\"x\",le=\"0.1\"} 1"));
-  cr_assert(Has(text, "turn_ms_bucket{hop=\"x\",le=\"1\"} 2"));
-  cr_assert(Has(text, "turn_ms_bucket{hop=\"x\",le=\"2\"} 3"));
-  cr_assert(Has(text, "turn_ms_bucket{hop=\"x\",le=\"5\"} 4"));
-  cr_assert(Has(text, "turn_ms_bucket{hop=\"x\",le=\"300000\"} 4"));
-  cr_assert(Has(text, "turn_ms_bucket{hop=\"x\",le=\"+Inf\"} 5"));
-  cr_assert(Has(text, "turn_ms_sum{hop=\"x\"} 1000000007.5"));
-  cr_assert(Has(text, "turn_ms_count{hop=\"x\"} 5"));
+  cr_assert(HasLine(text, "# TYPE requests_total counter"));
+  cr_assert(HasLine(text, "requests_total{class=\"a\"} 3"));
+  cr_assert(HasLine(text, "requests_total 1"));
+  cr_assert(HasLine(text, "# TYPE open gauge\nopen 0.25"));
+  cr_assert(HasLine(text, "# TYPE turn_ms histogram"));
+  cr_assert(HasLine(text, "turn_ms_bucket{hop=\"x\",le=\"0.1\"} 1"));
+  cr_assert(HasLine(text, "turn_ms_bucket{hop=\"x\",le=\"1\"} 2"));
+  cr_assert(HasLine(text, "turn_ms_bucket{hop=\"x\",le=\"2\"} 3"));
+  cr_assert(HasLine(text, "turn_ms_bucket{hop=\"x\",le=\"5\"} 4"));
+  cr_assert(HasLine(text, "turn_ms_bucket{hop=\"x\",le=\"300000\"} 4"));
+  cr_assert(HasLine(text, "turn_ms_bucket{hop=\"x\",le=\"+Inf\"} 5"));
+  cr_assert(HasLine(text, "turn_ms_sum{hop=\"x\"} 1000000007.5"));
+  cr_assert(HasLine(text, "turn_ms_count{hop=\"x\"} 5"));
   cr_assert(metrics.CounterValue("requests_total", "class=\"a\"") == 3);
   cr_assert(metrics.CounterValue("requests_total", "class=\"b\"") == 0);
 }
@@ -51,10 +51,10 @@
   Metrics metrics;
   metrics.Describe("open", "Requests without an answer.");
   metrics.SetGauge("open", 2);
-  cr_assert(Has(metrics.Text(),
-                "# HELP open Requests without an answer.\n"
-                "# TYPE open gauge\n"
-                "open 2"));
+  cr_assert(HasLine(metrics.Text(),
+                    "# HELP open Requests without an answer.\n"
+                    "# TYPE open gauge\n"
+                    "open 2"));
 }
 
 Test(metrics, no_count_is_lost_between_threads)
@@ -73,5 +73,5 @@
     thread.join();
   }
   cr_assert(metrics.CounterValue("steps_total") == 40000);
-  cr_assert(Has(metrics.Text(), "span_ms_count 40000"));
+  cr_assert(HasLine(metrics.Text(), "span_ms_count 40000"));
 }
--- a/tests/unit/rawsocket.h
+++ b/tests/unit/rawsocket.h
@@ -11,19 +11,20 @@
 #include <string>
 #include <string_view>
 
-/** A plain TCP connection to loopback, for what no HTTP client would send. */
+/** A plain TCP connection to loopback, for sending invalid HTTP. */
 class RawSocket
 {
 public:
   explicit RawSocket(uint16_t aPort)
     : mSocket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
   {
-    sockaddr_in place{};
-    place.sin_family = AF_INET;
-    place.sin_port = htons(aPort);
-    place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    mOpen =
-      connect(mSocket, reinterpret_cast<sockaddr*>(&place), sizeof place) == 0;
+    sockaddr_in endpoint{};
+    endpoint.sin_family = AF_INET;
+    endpoint.sin_port = htons(aPort);
+    endpoint.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    mOpen = connect(mSocket,
+                    reinterpret_cast<sockaddr*>(&endpoint),
+                    sizeof endpoint) == 0;
   }
 
   ~RawSocket() { close(mSocket); }
@@ -45,7 +46,7 @@
     return true;
   }
 
-  /** Reads until the text is seen, the peer closes or time is over. */
+  /** Reads until the text is found, the peer closes or the timeout. */
   std::string ReadUntil(std::string_view aText, int aMillis = 10000)
   {
     std::string read;
@@ -63,10 +64,10 @@
     return read;
   }
 
-  /** Whether the last read ended by a reset and not by a close. */
+  /** Returns true if the last read ended with a reset, not a close. */
   bool Reset() const { return mReset; }
 
-  /** All until the peer closes; no text has this form. */
+  /** Reads until the peer closes; no response contains this byte. */
   std::string ReadAll() { return ReadUntil(std::string(1, '\x01')); }
 
 private:
--- a/tests/unit/settingstest.cpp
+++ b/tests/unit/settingstest.cpp
@@ -40,10 +40,10 @@
 }
 
 bool
-Faults(const SettingsOutcome& aOutcome, const std::string& aText)
+HasFault(const SettingsOutcome& aOutcome, const std::string& aText)
 {
-  return std::ranges::any_of(aOutcome.mFaults, [&](const std::string& aOne) {
-    return aOne.find(aText) != std::string::npos;
+  return std::ranges::any_of(aOutcome.mFaults, [&](const std::string& aFault) {
+    return aFault.find(aText) != std::string::npos;
   });
 }
 
@@ -71,15 +71,16 @@
     Read({ "--most-open", "101", "--bogus", "--labels", "=x", "--check" },
          { { "TREFOILARCH_ROLE", "king" } });
   cr_assert(!outcome.mSettings);
-  cr_assert(Faults(outcome, "--listen must be given"));
-  cr_assert(Faults(outcome, "--most-open must be an integer from 1 to 100"));
-  cr_assert(Faults(outcome, "--bogus"));
-  cr_assert(Faults(outcome, "--labels must be key=value"));
-  cr_assert(Faults(outcome, "(TREFOILARCH_ROLE) must be one of entry sidecar"));
+  cr_assert(HasFault(outcome, "--listen must be given"));
+  cr_assert(HasFault(outcome, "--most-open must be an integer from 1 to 100"));
+  cr_assert(HasFault(outcome, "--bogus"));
+  cr_assert(HasFault(outcome, "--labels must be key=value"));
+  cr_assert(
+    HasFault(outcome, "(TREFOILARCH_ROLE) must be one of entry sidecar"));
   cr_assert(outcome.mFaults.size() == 5);
   cr_assert(Read({ "--listen=127.0.0.1:0", "--labels=" }).mSettings);
-  cr_assert(Faults(Read({ "--listen" }), "--listen"));
-  cr_assert(Faults(Read({ "--role", "entry", "--role", "entry" }), "--role"));
+  cr_assert(HasFault(Read({ "--listen" }), "--listen"));
+  cr_assert(HasFault(Read({ "--role", "entry", "--role", "entry" }), "--role"));
 }
 
 Test(settings, endpoints_are_numeric)
