--- a/src/trefoilload/answerchecker.cpp
+++ b/src/trefoilload/answerchecker.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 standin::CompletionText
-ExpectedOf(const TraceRequest& aRequest, const trefoilio::HttpRequest& aSent)
+BuildExpected(const TraceRequest& aRequest, const trefoilio::HttpRequest& aSent)
 {
   const bool chat = aRequest.mService.empty();
   const json body = chat ? json::parse(aSent.mBody) : json::object();
@@ -47,9 +47,9 @@
 AnswerChecker::AnswerChecker(const TraceRequest& aRequest,
                              const trefoilio::HttpRequest& aSent)
   : mRequest(aRequest)
-  , mSent(aSent)
-  , mExpected(ExpectedOf(aRequest, aSent))
-  , mStreamed(mExpected)
+  , mSentRequest(aSent)
+  , mExpected(BuildExpected(aRequest, aSent))
+  , mStreamedAnswer(mExpected)
 {
 }
 
@@ -74,15 +74,15 @@
     mBody += aData;
     return;
   }
-  if (mStreamed.Feed(aData) == 0) {
+  if (mStreamedAnswer.Feed(aData) == 0) {
     return;
   }
   if (mRecord.mFirst == 0) {
     mRecord.mFirst = aNow;
   } else {
-    mRecord.mLongestGap = std::max(mRecord.mLongestGap, aNow - mLastToken);
+    mRecord.mLongestGap = std::max(mRecord.mLongestGap, aNow - mLastTokenAt);
   }
-  mLastToken = aNow;
+  mLastTokenAt = aNow;
 }
 
 void
@@ -90,48 +90,48 @@
 {
   mRecord.mEnded = aNow;
   mRecord.mFirst = mRecord.mFirst == 0 ? aNow : mRecord.mFirst;
-  mRecord.mOutcome = Judge(aEnd == CallEnd::Whole);
+  mRecord.mOutcome = Evaluate(aEnd == CallEnd::Whole);
 }
 
 CallOutcome
-AnswerChecker::Judge(bool aComplete)
+AnswerChecker::Evaluate(bool aComplete)
 {
   if (mRecord.mStatus == 0) {
     return CallOutcome::Unanswered;
   }
   if (IsStream()) {
-    return JudgeStream(aComplete);
+    return EvaluateStream(aComplete);
   }
   if (!aComplete) {
-    return JudgeCutBody();
+    return EvaluateTruncatedBody();
   }
   if (mRecord.mStatus != 200) {
-    return JudgeError();
+    return EvaluateError();
   }
   mRecord.mTokens = mRequest.mService.empty() ? mExpected.Tokens() : 1;
-  return IsRightBody() ? CallOutcome::Whole : CallOutcome::Wrong;
+  return MatchesExpectedBody() ? CallOutcome::Whole : CallOutcome::Wrong;
 }
 
 CallOutcome
-AnswerChecker::JudgeStream(bool aComplete)
+AnswerChecker::EvaluateStream(bool aComplete)
 {
-  mRecord.mTokens = mStreamed.Tokens();
-  mRecord.mKind = mStreamed.ErrorKind();
-  mRecord.mRan = mStreamed.ErrorRan();
-  if (mStreamed.Wrong()) {
+  mRecord.mTokens = mStreamedAnswer.Tokens();
+  mRecord.mKind = mStreamedAnswer.ErrorKind();
+  mRecord.mRan = mStreamedAnswer.ErrorRan();
+  if (mStreamedAnswer.Wrong()) {
     return CallOutcome::Wrong;
   }
-  if (aComplete && mStreamed.IsWhole()) {
+  if (aComplete && mStreamedAnswer.IsWhole()) {
     return CallOutcome::Whole;
   }
-  if (mStreamed.Done()) {
+  if (mStreamedAnswer.Done()) {
     return CallOutcome::Wrong;
   }
   return mRecord.mKind.empty() ? CallOutcome::Unanswered : CallOutcome::Failed;
 }
 
 CallOutcome
-AnswerChecker::JudgeError()
+AnswerChecker::EvaluateError()
 {
   const json body = json::parse(mBody, nullptr, false);
   if (!body.is_object() || !body.contains("error") ||
@@ -149,24 +149,24 @@
 }
 
 CallOutcome
-AnswerChecker::JudgeCutBody()
+AnswerChecker::EvaluateTruncatedBody()
 {
-  const bool honest = JudgeError() != CallOutcome::Wrong;
-  return honest ? CallOutcome::Failed : CallOutcome::Unanswered;
+  const bool reported = EvaluateError() != CallOutcome::Wrong;
+  return reported ? CallOutcome::Failed : CallOutcome::Unanswered;
 }
 
 bool
-AnswerChecker::IsRightBody() const
+AnswerChecker::MatchesExpectedBody() const
 {
   const json body = json::parse(mBody, nullptr, false);
   if (mRequest.mService.empty()) {
     return body == json::parse(mExpected.WholeBody());
   }
-  const std::string& target = mSent.mTarget;
-  return body.is_object() && body.value("method", "") == mSent.mMethod &&
+  const std::string& target = mSentRequest.mTarget;
+  return body.is_object() && body.value("method", "") == mSentRequest.mMethod &&
          body.value("path", "none") == target.substr(target.find("/calls/")) &&
          body.value("body_hash", "") ==
-           std::to_string(standin::HashOf(mSent.mBody));
+           std::to_string(standin::HashOf(mSentRequest.mBody));
 }
 
 } // namespace trefoilload
--- a/src/trefoilload/answerchecker.h
+++ b/src/trefoilload/answerchecker.h
@@ -11,7 +11,7 @@
 
 namespace trefoilload {
 
-/** Follows one call and judges its answer byte for byte. */
+/** Tracks one call and verifies its response byte for byte. */
 class AnswerChecker
 {
 public:
@@ -26,20 +26,20 @@
 
 private:
   bool IsStream() const;
-  CallOutcome Judge(bool aComplete);
-  CallOutcome JudgeStream(bool aComplete);
-  CallOutcome JudgeError();
-  /** A head was sent, and the body broke off: with an error in it or not. */
-  CallOutcome JudgeCutBody();
-  bool IsRightBody() const;
+  CallOutcome Evaluate(bool aComplete);
+  CallOutcome EvaluateStream(bool aComplete);
+  CallOutcome EvaluateError();
+  /** Evaluates a body that was truncated, with or without an error in it. */
+  CallOutcome EvaluateTruncatedBody();
+  bool MatchesExpectedBody() const;
 
   const TraceRequest& mRequest;
-  const trefoilio::HttpRequest& mSent;
+  const trefoilio::HttpRequest& mSentRequest;
   standin::CompletionText mExpected;
-  standin::StreamedAnswer mStreamed;
+  standin::StreamedAnswer mStreamedAnswer;
   std::string mBody;
   CallRecord mRecord;
-  int64_t mLastToken = 0;
+  int64_t mLastTokenAt = 0;
 };
 
 } // namespace trefoilload
--- a/src/trefoilload/callrecord.h
+++ b/src/trefoilload/callrecord.h
@@ -6,34 +6,34 @@
 
 namespace trefoilload {
 
-/** How a request ended for its caller. */
+/** Outcome of a request as seen by its caller. */
 enum class CallOutcome
 {
-  Open,       /**< has not ended */
-  Whole,      /**< the whole answer and no other */
-  Refused,    /**< an error answer that says it has not run */
-  Failed,     /**< accepted, but ended in an honest error */
-  Wrong,      /**< bytes that are not its answer, or a cut that looks whole */
-  Unanswered, /**< no answer, or cut without a word */
+  Open,       /**< still in progress */
+  Whole,      /**< the complete expected response */
+  Refused,    /**< an error response that reports it has not run */
+  Failed,     /**< accepted, but ended with a reported error */
+  Wrong,      /**< unexpected bytes, or truncated but ended as complete */
+  Unanswered, /**< no response, or truncated without an error */
 };
 
 std::string
 Name(CallOutcome aOutcome);
 
-/** What a caller saw of one request; times are milliseconds of the run. */
+/** What a caller observed of a request; times in ms since the run's start. */
 struct CallRecord
 {
   CallOutcome mOutcome = CallOutcome::Open;
-  std::string mMark; /**< names the request's executions */
+  std::string mMark; /**< identifies the request's executions */
   int mStatus = 0;
-  std::string mRequestId; /**< as the entry gave it */
-  std::string mKind;      /**< of an error */
-  std::string mRan;       /**< of an error */
+  std::string mRequestId; /**< assigned by the entry */
+  std::string mKind;      /**< error kind */
+  std::string mRan;       /**< error's `ran` */
   int64_t mRetryAfter = 0;
   int64_t mSent = 0;
-  int64_t mFirst = 0; /**< first token, or the whole answer */
+  int64_t mFirst = 0; /**< first token, or the complete response */
   int64_t mEnded = 0;
-  int64_t mLongestGap = 0; /**< between two tokens */
+  int64_t mLongestGap = 0; /**< between consecutive tokens */
   size_t mTokens = 0;
 };
 
--- a/src/trefoilload/classtargets.cpp
+++ b/src/trefoilload/classtargets.cpp
@@ -41,12 +41,12 @@
     return first <= aTarget.mFirstToken;
   }
   const auto gaps = static_cast<int64_t>(aRecord.mTokens) - 1;
-  const int64_t spread = aTarget.mBetweenTokens * gaps;
+  const int64_t allGaps = aTarget.mBetweenTokens * gaps;
   if (!aRequest.mStream) {
-    return aRecord.mEnded - aRecord.mSent <= aTarget.mFirstToken + spread;
+    return aRecord.mEnded - aRecord.mSent <= aTarget.mFirstToken + allGaps;
   }
   return first <= aTarget.mFirstToken &&
-         aRecord.mEnded - aRecord.mFirst <= spread + aTarget.mBetweenTokens;
+         aRecord.mEnded - aRecord.mFirst <= allGaps + aTarget.mBetweenTokens;
 }
 
 bool
--- a/src/trefoilload/classtargets.h
+++ b/src/trefoilload/classtargets.h
@@ -9,7 +9,7 @@
 
 namespace trefoilload {
 
-/** What a class is owed, from the policy; milliseconds. */
+/** Latency targets of a class from the policy; milliseconds. */
 struct ClassTarget
 {
   int64_t mFirstToken = 1000;
@@ -22,24 +22,24 @@
 using ClassTargets = std::map<std::string, ClassTarget>;
 
 /**
- * Reads the classes of a policy file as `trefoilarchctl policy set` takes it.
- * Throws std::runtime_error where it cannot.
+ * Reads the classes of a policy file in the format of `trefoilarchctl policy
+ * set`. Throws std::runtime_error on failure.
  */
 ClassTargets
 ReadClassTargets(const std::string& aPolicyFile);
 
 /**
- * Whether an answer met its class's latency target. A stream: its first token
- * in time and the mean time between tokens within the target. A whole answer:
- * by the time a stream would have ended. A service call: by the first-token
- * target.
+ * Returns true if a response met its class's latency target. A stream must
+ * meet the first-token target and the mean time between tokens; a response
+ * without streaming must arrive by the time a stream would have ended, and a
+ * service call within the first-token target.
  */
 bool
 MeetsTarget(const TraceRequest& aRequest,
             const CallRecord& aRecord,
             const ClassTarget& aTarget);
 
-/** Whether the whole answer came by the class's deadline. */
+/** Returns true if the response was complete by the class's deadline. */
 bool
 MeetsDeadline(const CallRecord& aRecord, const ClassTarget& aTarget);
 
--- a/src/trefoilload/executions.cpp
+++ b/src/trefoilload/executions.cpp
@@ -14,9 +14,9 @@
 
 constexpr trefoilarch::Millis kFetchTimeout(10000);
 
-/** The mark of an execution: of a service, the end of its path. */
+/** Mark of an execution; for a service call, the last path segment. */
 std::string
-MarkOf(const json& aExecution)
+ExecutionMark(const json& aExecution)
 {
   const std::string mark = aExecution.value("mark", "");
   return mark.substr(mark.rfind('/') + 1);
@@ -41,7 +41,7 @@
       if (item.value("started_ms", int64_t(0)) < aSince) {
         continue;
       }
-      RequestExecutions& runs = executions[MarkOf(item)];
+      RequestExecutions& runs = executions[ExecutionMark(item)];
       ++runs.mRuns;
       runs.mTokens += item.value("tokens", uint64_t(0));
     }
@@ -50,9 +50,9 @@
 }
 
 ExecutionReport
-JudgeExecutions(const Trace& aTrace,
-                const std::vector<CallRecord>& aRecords,
-                const Executions& aExecutions)
+EvaluateExecutions(const Trace& aTrace,
+                   const std::vector<CallRecord>& aRecords,
+                   const Executions& aExecutions)
 {
   ExecutionReport report;
   uint64_t received = 0;
@@ -70,7 +70,7 @@
     }
     const bool mayRepeat = aTrace.mRequests[i].mIdempotent;
     report.mRunTwice += !mayRepeat && found->second.mRuns > 1 ? 1 : 0;
-    report.mRanThoughTold += record.mRan == "no" ? 1 : 0;
+    report.mRanDespiteReport += record.mRan == "no" ? 1 : 0;
   }
   report.mWastedTokens = report.mEngineTokens - received;
   return report;
--- a/src/trefoilload/executions.h
+++ b/src/trefoilload/executions.h
@@ -10,41 +10,41 @@
 
 namespace trefoilload {
 
-/** All runs of one request that the upstream stand-ins recorded. */
+/** Executions of one request recorded by the upstream stand-ins. */
 struct RequestExecutions
 {
   size_t mRuns = 0;
   uint64_t mTokens = 0;
 };
 
-/** By the request's mark, which the router does not know of. */
+/** Keyed by the request's mark, which is unknown to the router. */
 using Executions = std::map<std::string, RequestExecutions>;
 
-/** A stand-in's list of executions: its whole URL. */
+/** Full URL of a stand-in's list of executions. */
 struct ExecutionSource
 {
   std::string mUrl;
 };
 
 /**
- * Fetches and joins the lists of all sources, leaving out what began before
- * the given monotonic time. Throws std::runtime_error where one is silent.
+ * Fetches and merges the lists of all sources, skipping executions started
+ * before the given monotonic time. Throws std::runtime_error if one fails.
  */
 Executions
 FetchExecutions(const std::vector<ExecutionSource>& aSources, int64_t aSince);
 
-/** What the executions say about the run. */
+/** Violations and wasted work found in the executions. */
 struct ExecutionReport
 {
   uint64_t mEngineTokens = 0;
-  uint64_t mWastedTokens = 0; /**< not of an answer received whole */
-  size_t mRunTwice = 0;       /**< requests not idempotent, run again */
-  size_t mRanThoughTold = 0;  /**< told `ran: no`, but an upstream ran it */
+  uint64_t mWastedTokens = 0;   /**< not in a complete response */
+  size_t mRunTwice = 0;         /**< non-idempotent requests run again */
+  size_t mRanDespiteReport = 0; /**< run, but reported `ran: no` */
 };
 
 ExecutionReport
-JudgeExecutions(const Trace& aTrace,
-                const std::vector<CallRecord>& aRecords,
-                const Executions& aExecutions);
+EvaluateExecutions(const Trace& aTrace,
+                   const std::vector<CallRecord>& aRecords,
+                   const Executions& aExecutions);
 
 } // namespace trefoilload
--- a/src/trefoilload/main.cpp
+++ b/src/trefoilload/main.cpp
@@ -26,9 +26,9 @@
 namespace {
 
 /** Exit codes. */
-constexpr int kSound = 0;
-constexpr int kUnsound = 1;
-constexpr int kBadUse = 2;
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
+constexpr int kUsageError = 2;
 
 constexpr const char* kUsage =
   "usage: trefoilload generate --seed N --out FILE [--seconds S]\n"
@@ -125,16 +125,16 @@
   const Trace trace = GenerateTrace(
     { .mSeed = static_cast<uint64_t>(aSettings.Integer("seed")),
       .mSeconds = aSettings.Integer("seconds"),
-      .mRate =
+      .mRateFactor =
         static_cast<double>(aSettings.Integer("rate-percent")) / kPercent });
   std::ofstream out(aSettings.Text("out"));
   WriteTrace(out, trace);
   if (!out.flush()) {
     std::cerr << "cannot write " << aSettings.Text("out") << '\n';
-    return kBadUse;
+    return kUsageError;
   }
   std::cout << trace.mRequests.size() << " requests, " << trace.mAbout << '\n';
-  return kSound;
+  return kSuccess;
 }
 
 Trace
@@ -148,7 +148,7 @@
 }
 
 std::vector<ExecutionSource>
-SourcesOf(const Settings& aSettings)
+ReadExecutionSources(const Settings& aSettings)
 {
   std::vector<ExecutionSource> sources;
   for (const std::string& url : SplitList(aSettings.Text("executions"))) {
@@ -158,15 +158,15 @@
 }
 
 ReplayOptions
-ReplayOptionsOf(const Settings& aSettings, int64_t aStart)
+ReadReplayOptions(const Settings& aSettings, int64_t aStart)
 {
   constexpr double kPercent = 100;
   return { .mEntries = SplitList(aSettings.Text("entries")),
            .mTokens = aSettings.LabelMap("tokens"),
-           .mRun = "run" + std::to_string(aStart),
+           .mRunId = "run" + std::to_string(aStart),
            .mSpeed =
              static_cast<double>(aSettings.Integer("speed-percent")) / kPercent,
-           .mPatience = aSettings.Integer("patience-ms") };
+           .mDrainTimeout = aSettings.Integer("patience-ms") };
 }
 
 int
@@ -178,31 +178,31 @@
     policy.empty() ? ClassTargets() : ReadClassTargets(policy);
   const int64_t start = trefoilio::MonotonicNow().Count();
   const std::vector<CallRecord> records =
-    Replay(trace, ReplayOptionsOf(aSettings, start));
+    Replay(trace, ReadReplayOptions(aSettings, start));
   RunReport report = MakeReport(trace, records, targets);
-  const std::vector<ExecutionSource> sources = SourcesOf(aSettings);
+  const std::vector<ExecutionSource> sources = ReadExecutionSources(aSettings);
   if (!sources.empty()) {
     report.mExecutions =
-      JudgeExecutions(trace, records, FetchExecutions(sources, start));
+      EvaluateExecutions(trace, records, FetchExecutions(sources, start));
   }
   if (aSettings.Text("json") == "true") {
-    std::cout << JsonOf(report).dump(2) << '\n';
+    std::cout << ReportToJson(report).dump(2) << '\n';
   } else {
-    std::cout << "trace: " << trace.mAbout << '\n' << TableOf(report);
+    std::cout << "trace: " << trace.mAbout << '\n' << FormatTable(report);
   }
   const std::vector<std::string> missed =
     MissedExpectations(report, aSettings.LabelMap("expect"));
   for (const std::string& line : missed) {
     std::cerr << "missed: " << line << '\n';
   }
-  return report.Sound() && missed.empty() ? kSound : kUnsound;
+  return report.Passed() && missed.empty() ? kSuccess : kFailure;
 }
 
 int
-Run(const SettingsReader& aReader,
-    int (*aWork)(const Settings&),
-    int aCount,
-    const char* const* aArguments)
+RunCommand(const SettingsReader& aReader,
+           int (*aCommand)(const Settings&),
+           int aCount,
+           const char* const* aArguments)
 {
   const auto environment = [](const char* aName) -> const char* {
     return std::getenv(aName);
@@ -211,22 +211,22 @@
     aReader.Read(aCount, aArguments, environment);
   if (outcome.mText) {
     std::cout << *outcome.mText << '\n';
-    return kSound;
+    return kSuccess;
   }
   for (const std::string& fault : outcome.mFaults) {
     std::cerr << fault << '\n';
   }
   if (!outcome.mSettings) {
-    return kBadUse;
+    return kUsageError;
   }
   if (outcome.mSettings->CheckOnly()) {
-    return kSound;
+    return kSuccess;
   }
   try {
-    return aWork(*outcome.mSettings);
+    return aCommand(*outcome.mSettings);
   } catch (const std::exception& error) {
     std::cerr << error.what() << '\n';
-    return kBadUse;
+    return kUsageError;
   }
 }
 
@@ -237,11 +237,11 @@
 {
   const std::string command = aCount > 1 ? aArguments[1] : "";
   if (command == "generate") {
-    return Run(GenerateSettings(), Generate, aCount - 1, aArguments + 1);
+    return RunCommand(GenerateSettings(), Generate, aCount - 1, aArguments + 1);
   }
   if (command == "run") {
-    return Run(RunSettings(), RunTrace, aCount - 1, aArguments + 1);
+    return RunCommand(RunSettings(), RunTrace, aCount - 1, aArguments + 1);
   }
   std::cerr << kUsage;
-  return kBadUse;
+  return kUsageError;
 }
--- a/src/trefoilload/replayer.cpp
+++ b/src/trefoilload/replayer.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/** A request under way; stays in place until the run is over. */
-struct Flight
+/** A sent request; its address is stable until the run has ended. */
+struct PendingCall
 {
-  Flight(const TraceRequest& aRequest, trefoilio::HttpRequest aSent)
+  PendingCall(const TraceRequest& aRequest, trefoilio::HttpRequest aSent)
     : mSent(std::move(aSent))
     , mChecker(aRequest, mSent)
   {
@@ -26,36 +26,36 @@
 
   trefoilio::HttpRequest mSent;
   AnswerChecker mChecker;
-  uint64_t mCall = 0;
+  uint64_t mCallId = 0;
 };
 
-class Run
+class ReplayRun
 {
 public:
-  Run(const Trace& aTrace, const ReplayOptions& aOptions)
+  ReplayRun(const Trace& aTrace, const ReplayOptions& aOptions)
     : mTrace(aTrace)
     , mOptions(aOptions)
-    , mStart(trefoilio::MonotonicNow().Count())
+    , mStartTime(trefoilio::MonotonicNow().Count())
   {
   }
 
-  std::vector<CallRecord> Go()
+  std::vector<CallRecord> Execute()
   {
     trefoilio::CallRunner runner({ .mMaxConnections = 2000 });
-    for (size_t number = 0; number < mTrace.mRequests.size(); ++number) {
-      const TraceRequest& request = mTrace.mRequests[number];
+    for (size_t index = 0; index < mTrace.mRequests.size(); ++index) {
+      const TraceRequest& request = mTrace.mRequests[index];
       WaitUntil(static_cast<double>(request.mAt) / mOptions.mSpeed);
-      Launch(runner, request, number);
+      SendRequest(runner, request, index);
     }
-    AwaitAll();
-    for (const Flight& flight : mFlights) {
-      runner.Cancel(flight.mCall);
+    WaitForCalls();
+    for (const PendingCall& call : mCalls) {
+      runner.Cancel(call.mCallId);
     }
-    return Collect();
+    return CollectRecords();
   }
 
 private:
-  int64_t Now() const { return trefoilio::MonotonicNow().Count() - mStart; }
+  int64_t Now() const { return trefoilio::MonotonicNow().Count() - mStartTime; }
 
   void WaitUntil(double aAt) const
   {
@@ -65,23 +65,23 @@
     }
   }
 
-  void Launch(trefoilio::CallRunner& aRunner,
-              const TraceRequest& aRequest,
-              size_t aNumber)
+  void SendRequest(trefoilio::CallRunner& aRunner,
+                   const TraceRequest& aRequest,
+                   size_t aIndex)
   {
     const std::string& entry =
-      mOptions.mEntries[aNumber % mOptions.mEntries.size()];
-    const std::string mark = mOptions.mRun + "-" + std::to_string(aNumber);
+      mOptions.mEntries[aIndex % mOptions.mEntries.size()];
+    const std::string mark = mOptions.mRunId + "-" + std::to_string(aIndex);
     const std::lock_guard lock(mMutex);
-    Flight& flight = mFlights.emplace_back(
+    PendingCall& call = mCalls.emplace_back(
       aRequest, BuildRequest(aRequest, mark, entry, mOptions.mTokens));
-    flight.mChecker.Record().mMark = mark;
-    flight.mChecker.Record().mSent = Now();
-    ++mOpen;
-    flight.mCall = aRunner.Start(flight.mSent, HooksOf(flight.mChecker));
+    call.mChecker.Record().mMark = mark;
+    call.mChecker.Record().mSent = Now();
+    ++mOpenCalls;
+    call.mCallId = aRunner.Start(call.mSent, MakeHooks(call.mChecker));
   }
 
-  trefoilio::CallHooks HooksOf(AnswerChecker& aChecker)
+  trefoilio::CallHooks MakeHooks(AnswerChecker& aChecker)
   {
     return {
       .mOnHead =
@@ -98,38 +98,38 @@
         [this, &aChecker](trefoilio::CallEnd aEnd) {
           const std::lock_guard lock(mMutex);
           aChecker.TakeEnd(aEnd, Now());
-          --mOpen;
-          mEnded.notify_all();
+          --mOpenCalls;
+          mCallEnded.notify_all();
         },
     };
   }
 
-  void AwaitAll()
+  void WaitForCalls()
   {
     std::unique_lock lock(mMutex);
-    mEnded.wait_for(lock,
-                    std::chrono::milliseconds(mOptions.mPatience),
-                    [this] { return mOpen == 0; });
+    mCallEnded.wait_for(lock,
+                        std::chrono::milliseconds(mOptions.mDrainTimeout),
+                        [this] { return mOpenCalls == 0; });
   }
 
-  std::vector<CallRecord> Collect()
+  std::vector<CallRecord> CollectRecords()
   {
     const std::lock_guard lock(mMutex);
     std::vector<CallRecord> records;
-    records.reserve(mFlights.size());
-    for (Flight& flight : mFlights) {
-      records.push_back(flight.mChecker.Record());
+    records.reserve(mCalls.size());
+    for (PendingCall& call : mCalls) {
+      records.push_back(call.mChecker.Record());
     }
     return records;
   }
 
   const Trace& mTrace;
   const ReplayOptions& mOptions;
-  const int64_t mStart;
+  const int64_t mStartTime;
   std::mutex mMutex;
-  std::condition_variable mEnded;
-  std::deque<Flight> mFlights;
-  size_t mOpen = 0;
+  std::condition_variable mCallEnded;
+  std::deque<PendingCall> mCalls;
+  size_t mOpenCalls = 0;
 };
 
 } // namespace
@@ -137,7 +137,7 @@
 std::vector<CallRecord>
 Replay(const Trace& aTrace, const ReplayOptions& aOptions)
 {
-  return Run(aTrace, aOptions).Go();
+  return ReplayRun(aTrace, aOptions).Execute();
 }
 
 } // namespace trefoilload
--- a/src/trefoilload/replayer.h
+++ b/src/trefoilload/replayer.h
@@ -10,19 +10,19 @@
 
 namespace trefoilload {
 
-/** Where and how a trace is replayed. */
+/** Target and parameters of a replay. */
 struct ReplayOptions
 {
-  std::vector<std::string> mEntries; /**< URLs; taken in turn */
+  std::vector<std::string> mEntries; /**< URLs, used round-robin */
   Tokens mTokens;
-  std::string mRun = "run";  /**< makes the prompts of this run its own */
-  double mSpeed = 1;         /**< 2: twice as fast as recorded */
-  int64_t mPatience = 60000; /**< milliseconds after the last is sent */
+  std::string mRunId = "run";    /**< makes the prompts unique to this run */
+  double mSpeed = 1;             /**< 2: twice as fast as recorded */
+  int64_t mDrainTimeout = 60000; /**< ms after the last request is sent */
 };
 
 /**
- * Sends every request of a trace at its time and follows it to its end. One
- * record for each request, in the order of the trace.
+ * Sends every request of a trace at its time and tracks it until it ends.
+ * Returns one record per request, in trace order.
  */
 std::vector<CallRecord>
 Replay(const Trace& aTrace, const ReplayOptions& aOptions);
--- a/src/trefoilload/report.cpp
+++ b/src/trefoilload/report.cpp
@@ -24,58 +24,58 @@
 }
 
 bool
-IsBroken(CallOutcome aOutcome)
+IsFailure(CallOutcome aOutcome)
 {
   return aOutcome != CallOutcome::Whole && aOutcome != CallOutcome::Refused;
 }
 
-/** Times of one class, to take the quantiles from. */
+/** Samples of one class for the quantiles. */
 struct ClassTimes
 {
-  std::vector<int64_t> mFirsts;
-  std::vector<int64_t> mGaps;
+  std::vector<int64_t> mFirstTokenTimes;
+  std::vector<int64_t> mMaxGaps;
 };
 
 void
-Add(ClassReport& aReport,
-    ClassTimes& aTimes,
-    const TraceRequest& aRequest,
-    const CallRecord& aRecord,
-    const ClassTarget& aTarget)
+AddRecord(ClassReport& aReport,
+          ClassTimes& aTimes,
+          const TraceRequest& aRequest,
+          const CallRecord& aRecord,
+          const ClassTarget& aTarget)
 {
   ++aReport.mSent;
   aReport.mRefused += aRecord.mOutcome == CallOutcome::Refused ? 1 : 0;
-  aReport.mBroken += IsBroken(aRecord.mOutcome) ? 1 : 0;
+  aReport.mFailed += IsFailure(aRecord.mOutcome) ? 1 : 0;
   if (aRecord.mOutcome != CallOutcome::Whole) {
     return;
   }
-  ++aReport.mWhole;
-  aReport.mAttained += MeetsTarget(aRequest, aRecord, aTarget) ? 1 : 0;
+  ++aReport.mCompleted;
+  aReport.mMetTarget += MeetsTarget(aRequest, aRecord, aTarget) ? 1 : 0;
   if (MeetsDeadline(aRecord, aTarget)) {
-    ++aReport.mInTime;
-    aReport.mTokensInTime += aRecord.mTokens;
+    ++aReport.mMetDeadline;
+    aReport.mTokensByDeadline += aRecord.mTokens;
   }
   if (aRequest.mStream || !aRequest.mService.empty()) {
-    aTimes.mFirsts.push_back(aRecord.mFirst - aRecord.mSent);
+    aTimes.mFirstTokenTimes.push_back(aRecord.mFirst - aRecord.mSent);
   }
   if (aRequest.mStream) {
-    aTimes.mGaps.push_back(aRecord.mLongestGap);
+    aTimes.mMaxGaps.push_back(aRecord.mLongestGap);
   }
 }
 
 ClassReport
-Totals(const std::vector<ClassReport>& aClasses)
+SumClasses(const std::vector<ClassReport>& aClasses)
 {
   ClassReport total;
   total.mName = "all";
   for (const ClassReport& item : aClasses) {
     total.mSent += item.mSent;
-    total.mWhole += item.mWhole;
+    total.mCompleted += item.mCompleted;
     total.mRefused += item.mRefused;
-    total.mBroken += item.mBroken;
-    total.mAttained += item.mAttained;
-    total.mInTime += item.mInTime;
-    total.mTokensInTime += item.mTokensInTime;
+    total.mFailed += item.mFailed;
+    total.mMetTarget += item.mMetTarget;
+    total.mMetDeadline += item.mMetDeadline;
+    total.mTokensByDeadline += item.mTokensByDeadline;
   }
   return total;
 }
@@ -85,13 +85,13 @@
 {
   constexpr double kPercent = 100;
   aOut << std::left << std::setw(16) << aRow.mName << std::right << std::setw(6)
-       << aRow.mSent << std::setw(7) << aRow.mWhole << std::setw(9)
-       << aRow.mRefused << std::setw(8) << aRow.mBroken << std::setw(12)
+       << aRow.mSent << std::setw(7) << aRow.mCompleted << std::setw(9)
+       << aRow.mRefused << std::setw(8) << aRow.mFailed << std::setw(12)
        << std::fixed << std::setprecision(1) << aRow.Attainment() * kPercent
-       << '%' << std::setw(9) << aRow.mInTime;
-  if (aRow.mFirstP99 != 0) {
-    aOut << std::setw(10) << aRow.mFirstP50 << std::setw(10) << aRow.mFirstP99
-         << std::setw(8) << aRow.mGapP99;
+       << '%' << std::setw(9) << aRow.mMetDeadline;
+  if (aRow.mFirstTokenP99 != 0) {
+    aOut << std::setw(10) << aRow.mFirstTokenP50 << std::setw(10)
+         << aRow.mFirstTokenP99 << std::setw(8) << aRow.mMaxGapP99;
   }
   aOut << '\n';
 }
@@ -108,7 +108,7 @@
        << aReport.mEngineTokens << " tokens generated (" << std::setprecision(2)
        << share * kPercent << "%)\n"
        << "not idempotent and run twice: " << aReport.mRunTwice << '\n'
-       << "told not run, but run: " << aReport.mRanThoughTold << '\n';
+       << "told not run, but run: " << aReport.mRanDespiteReport << '\n';
 }
 
 } // namespace
@@ -118,16 +118,18 @@
 {
   return mSent == 0
            ? 1
-           : static_cast<double>(mAttained) / static_cast<double>(mSent);
+           : static_cast<double>(mMetTarget) / static_cast<double>(mSent);
 }
 
 bool
-RunReport::Sound() const
+RunReport::Passed() const
 {
-  const bool honest = !mExecutions || (mExecutions->mRunTwice == 0 &&
-                                       mExecutions->mRanThoughTold == 0);
-  return honest && std::ranges::all_of(mClasses, [](const ClassReport& aClass) {
-           return aClass.mBroken == 0;
+  const bool noRunViolations =
+    !mExecutions ||
+    (mExecutions->mRunTwice == 0 && mExecutions->mRanDespiteReport == 0);
+  return noRunViolations &&
+         std::ranges::all_of(mClasses, [](const ClassReport& aClass) {
+           return aClass.mFailed == 0;
          });
 }
 
@@ -137,7 +139,7 @@
            const ClassTargets& aTargets)
 {
   constexpr double kMedian = 0.5;
-  constexpr double kHigh = 0.99;
+  constexpr double kP99 = 0.99;
   constexpr double kMillisPerSecond = 1000;
   std::map<std::string, ClassReport> reports;
   std::map<std::string, ClassTimes> times;
@@ -146,11 +148,11 @@
     const TraceRequest& request = aTrace.mRequests[i];
     const CallRecord& record = aRecords[i];
     const auto target = aTargets.find(request.mClass);
-    Add(reports[request.mClass],
-        times[request.mClass],
-        request,
-        record,
-        target == aTargets.end() ? ClassTarget() : target->second);
+    AddRecord(reports[request.mClass],
+              times[request.mClass],
+              request,
+              record,
+              target == aTargets.end() ? ClassTarget() : target->second);
     ++run.mOutcomes[Name(record.mOutcome)];
     if (!record.mKind.empty()) {
       std::string kind = record.mKind;
@@ -162,16 +164,16 @@
   }
   for (auto& [name, report] : reports) {
     report.mName = name;
-    report.mFirstP50 = Quantile(times[name].mFirsts, kMedian);
-    report.mFirstP99 = Quantile(times[name].mFirsts, kHigh);
-    report.mGapP99 = Quantile(times[name].mGaps, kHigh);
+    report.mFirstTokenP50 = Quantile(times[name].mFirstTokenTimes, kMedian);
+    report.mFirstTokenP99 = Quantile(times[name].mFirstTokenTimes, kP99);
+    report.mMaxGapP99 = Quantile(times[name].mMaxGaps, kP99);
     run.mClasses.push_back(report);
   }
   return run;
 }
 
 std::string
-TableOf(const RunReport& aReport)
+FormatTable(const RunReport& aReport)
 {
   std::ostringstream out;
   out << "class             sent  whole  refused  broken  attainment  in time"
@@ -179,14 +181,14 @@
   for (const ClassReport& row : aReport.mClasses) {
     WriteRow(out, row);
   }
-  const ClassReport all = Totals(aReport.mClasses);
+  const ClassReport all = SumClasses(aReport.mClasses);
   WriteRow(out, all);
   const double seconds = std::max(aReport.mSeconds, 0.001);
-  out << std::setprecision(1) << "goodput: " << all.mInTime << " of "
+  out << std::setprecision(1) << "goodput: " << all.mMetDeadline << " of "
       << all.mSent << " answers whole and in time, "
-      << static_cast<double>(all.mInTime) / seconds << " answers/s, "
-      << static_cast<double>(all.mTokensInTime) / seconds << " tokens/s over "
-      << seconds << " s\n";
+      << static_cast<double>(all.mMetDeadline) / seconds << " answers/s, "
+      << static_cast<double>(all.mTokensByDeadline) / seconds
+      << " tokens/s over " << seconds << " s\n";
   if (aReport.mExecutions) {
     WriteExecutions(out, *aReport.mExecutions);
   }
@@ -202,33 +204,33 @@
 }
 
 json
-JsonOf(const RunReport& aReport)
+ReportToJson(const RunReport& aReport)
 {
   json classes = json::array();
   for (const ClassReport& row : aReport.mClasses) {
     classes.push_back({ { "class", row.mName },
                         { "sent", row.mSent },
-                        { "whole", row.mWhole },
+                        { "whole", row.mCompleted },
                         { "refused", row.mRefused },
-                        { "broken", row.mBroken },
+                        { "broken", row.mFailed },
                         { "attainment", row.Attainment() },
-                        { "in_time", row.mInTime },
-                        { "tokens_in_time", row.mTokensInTime },
-                        { "first_token_p50_ms", row.mFirstP50 },
-                        { "first_token_p99_ms", row.mFirstP99 },
-                        { "longest_gap_p99_ms", row.mGapP99 } });
+                        { "in_time", row.mMetDeadline },
+                        { "tokens_in_time", row.mTokensByDeadline },
+                        { "first_token_p50_ms", row.mFirstTokenP50 },
+                        { "first_token_p99_ms", row.mFirstTokenP99 },
+                        { "longest_gap_p99_ms", row.mMaxGapP99 } });
   }
   json report = { { "classes", classes },
                   { "refusals", aReport.mRefusals },
                   { "outcomes", aReport.mOutcomes },
                   { "seconds", aReport.mSeconds },
-                  { "sound", aReport.Sound() } };
+                  { "sound", aReport.Passed() } };
   if (aReport.mExecutions) {
     report["executions"] = {
       { "engine_tokens", aReport.mExecutions->mEngineTokens },
       { "wasted_tokens", aReport.mExecutions->mWastedTokens },
       { "run_twice", aReport.mExecutions->mRunTwice },
-      { "ran_though_told", aReport.mExecutions->mRanThoughTold }
+      { "ran_though_told", aReport.mExecutions->mRanDespiteReport }
     };
   }
   return report;
--- a/src/trefoilload/report.h
+++ b/src/trefoilload/report.h
@@ -15,26 +15,26 @@
 
 namespace trefoilload {
 
-/** What became of one class's requests. */
+/** Results of one class's requests. */
 struct ClassReport
 {
   std::string mName;
   size_t mSent = 0;
-  size_t mWhole = 0;
+  size_t mCompleted = 0;
   size_t mRefused = 0;
-  size_t mBroken = 0;   /**< accepted, but not answered whole */
-  size_t mAttained = 0; /**< met the class's latency target */
-  size_t mInTime = 0;   /**< whole by the class's deadline */
-  uint64_t mTokensInTime = 0;
-  int64_t mFirstP50 = 0; /**< milliseconds */
-  int64_t mFirstP99 = 0;
-  int64_t mGapP99 = 0; /**< longest time between tokens, of each answer */
+  size_t mFailed = 0;      /**< accepted, but no complete response */
+  size_t mMetTarget = 0;   /**< met the class's latency target */
+  size_t mMetDeadline = 0; /**< complete by the class's deadline */
+  uint64_t mTokensByDeadline = 0;
+  int64_t mFirstTokenP50 = 0; /**< milliseconds */
+  int64_t mFirstTokenP99 = 0;
+  int64_t mMaxGapP99 = 0; /**< of each response's longest token gap */
 
-  /** Share of all that was sent. */
+  /** Fraction of the sent requests that met the target. */
   double Attainment() const;
 };
 
-/** The outcome of a run. */
+/** Results of a run. */
 struct RunReport
 {
   std::vector<ClassReport> mClasses;
@@ -44,10 +44,10 @@
   std::optional<ExecutionReport> mExecutions;
 
   /**
-   * Every accepted request answered whole, none run against its caller's word
-   * or ours.
+   * Returns true if every accepted request got a complete response, and none
+   * ran twice against its caller's intent or after `ran: no` was reported.
    */
-  bool Sound() const;
+  bool Passed() const;
 };
 
 RunReport
@@ -55,14 +55,14 @@
            const std::vector<CallRecord>& aRecords,
            const ClassTargets& aTargets);
 
-/** The report as a table for people. */
+/** Formats the report as a readable table. */
 std::string
-TableOf(const RunReport& aReport);
+FormatTable(const RunReport& aReport);
 
 nlohmann::json
-JsonOf(const RunReport& aReport);
+ReportToJson(const RunReport& aReport);
 
-/** The classes whose attainment is below what was expected, in words. */
+/** Describes each class whose attainment is below the expected value. */
 std::vector<std::string>
 MissedExpectations(const RunReport& aReport,
                    const std::map<std::string, std::string>& aExpected);
--- a/src/trefoilload/requestbuilder.cpp
+++ b/src/trefoilload/requestbuilder.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/** Text of about that many tokens that is the same for the same name. */
+/** Deterministic text of about aTokens tokens, derived from the name. */
 std::string
-Filler(const std::string& aName, size_t aTokens)
+FillerText(const std::string& aName, size_t aTokens)
 {
   const size_t length = aTokens * standin::kBytesPerToken;
   std::string text;
@@ -27,13 +27,13 @@
 ChatBody(const TraceRequest& aRequest, const std::string& aMark)
 {
   const std::string prompt =
-    Filler(aMark, aRequest.mPromptTokens) + "[[mark=" + aMark +
+    FillerText(aMark, aRequest.mPromptTokens) + "[[mark=" + aMark +
     "]] [[tokens=" + std::to_string(aRequest.mOutputTokens) + "]]";
   json messages = json::array();
   if (aRequest.mPrefixTokens != 0) {
     messages.push_back(
       { { "role", "system" },
-        { "content", Filler(aRequest.mPrefix, aRequest.mPrefixTokens) } });
+        { "content", FillerText(aRequest.mPrefix, aRequest.mPrefixTokens) } });
   }
   messages.push_back({ { "role", "user" }, { "content", prompt } });
   return json({ { "model", aRequest.mModel },
@@ -43,7 +43,7 @@
 }
 
 std::string
-PathOf(const TraceRequest& aRequest, const std::string& aMark)
+RequestPath(const TraceRequest& aRequest, const std::string& aMark)
 {
   return aRequest.mService.empty()
            ? "/v1/chat/completions"
@@ -60,7 +60,7 @@
 {
   trefoilio::HttpRequest request;
   request.mMethod = "POST";
-  request.mTarget = aEntry + PathOf(aRequest, aMark);
+  request.mTarget = aEntry + RequestPath(aRequest, aMark);
   request.mHeaders = {
     { "Content-Type", "application/json" },
     { "X-Trefoilarch-Workspace", aRequest.mWorkspace },
@@ -79,7 +79,7 @@
   }
   request.mBody = aRequest.mService.empty()
                     ? ChatBody(aRequest, aMark)
-                    : Filler(aMark, aRequest.mPromptTokens);
+                    : FillerText(aMark, aRequest.mPromptTokens);
   return request;
 }
 
--- a/src/trefoilload/requestbuilder.h
+++ b/src/trefoilload/requestbuilder.h
@@ -9,12 +9,12 @@
 
 namespace trefoilload {
 
-/** Tells a workspace's bearer token; no entry: it has none. */
+/** Bearer tokens by workspace; a workspace without an entry has none. */
 using Tokens = std::map<std::string, std::string>;
 
 /**
- * The request as a caller sends it to an entry. The mark, in the prompt or in
- * a service's path, makes it unlike every other and names its executions.
+ * Builds the request that a caller sends to an entry. The mark, in the prompt
+ * or the service path, makes it unique and identifies its executions.
  */
 trefoilio::HttpRequest
 BuildRequest(const TraceRequest& aRequest,
--- a/src/trefoilload/trace.h
+++ b/src/trefoilload/trace.h
@@ -9,7 +9,7 @@
 
 namespace trefoilload {
 
-/** One request of a trace: what a caller asked for, and when. */
+/** One request of a trace and its time. */
 struct TraceRequest
 {
   int64_t mAt = 0; /**< milliseconds after the start */
@@ -18,7 +18,7 @@
   std::string mLabels; /**< `key=value,...` */
   std::string mModel;  /**< empty: a call to mService */
   std::string mService;
-  std::string mPrefix; /**< requests of one prefix begin alike */
+  std::string mPrefix; /**< requests with the same prefix start alike */
   size_t mPrefixTokens = 0;
   size_t mPromptTokens = 0; /**< after the prefix */
   size_t mOutputTokens = 0;
@@ -28,19 +28,19 @@
   bool operator==(const TraceRequest&) const = default;
 };
 
-/** A recorded or generated run of requests, in the order of time. */
+/** A recorded or generated sequence of requests, ordered by time. */
 struct Trace
 {
-  /** Where it comes from, and the seed if it is generated. */
+  /** Origin of the trace, with the seed if it is generated. */
   std::string mAbout;
   std::vector<TraceRequest> mRequests;
 };
 
-/** One JSON object a line; the first one says where the trace is from. */
+/** Writes one JSON object per line; the first describes the origin. */
 void
 WriteTrace(std::ostream& aOut, const Trace& aTrace);
 
-/** Throws std::runtime_error with the line of the first fault. */
+/** Throws std::runtime_error with the line of the first error. */
 Trace
 ReadTrace(std::istream& aIn);
 
--- a/src/trefoilload/tracegenerator.cpp
+++ b/src/trefoilload/tracegenerator.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** One kind of work that the brief names; sizes are assumptions. */
+/** One described workload; its sizes are assumptions. */
 struct Workload
 {
   const char* mWorkspace = "";
@@ -18,12 +18,12 @@
   const char* mService = ""; /**< empty: a chat completion */
   double mPerSecond = 1;
   size_t mPrefixTokens = 0;
-  size_t mPromptTokens = 0;   /**< mean */
-  double mOutputMedian = 0;   /**< tokens */
-  double mOutputSpread = 0.4; /**< sigma of the lognormal */
-  double mStreamed = 1;       /**< share */
+  size_t mPromptTokens = 0;  /**< mean */
+  double mOutputMedian = 0;  /**< tokens */
+  double mOutputSigma = 0.4; /**< of the lognormal distribution */
+  double mStreamedShare = 1; /**< fraction of requests */
   bool mIdempotent = true;
-  double mBurst = 1; /**< factor in the middle third */
+  double mBurstFactor = 1; /**< rate factor in the middle third */
 };
 
 const std::array<Workload, 8> kWorkloads = {
@@ -48,8 +48,8 @@
             .mPrefixTokens = 256,
             .mPromptTokens = 2000,
             .mOutputMedian = 160,
-            .mOutputSpread = 0.8,
-            .mStreamed = 0.5 },
+            .mOutputSigma = 0.8,
+            .mStreamedShare = 0.5 },
   Workload{ .mWorkspace = "vivi-public",
             .mClass = "public-page",
             .mLabels = "channel=web",
@@ -57,16 +57,16 @@
             .mPrefixTokens = 64,
             .mPromptTokens = 60,
             .mOutputMedian = 50,
-            .mOutputSpread = 0.6,
-            .mStreamed = 0.7,
-            .mBurst = 4 },
+            .mOutputSigma = 0.6,
+            .mStreamedShare = 0.7,
+            .mBurstFactor = 4 },
   Workload{ .mWorkspace = "riga-agents",
             .mClass = "booking",
             .mLabels = "channel=phone",
             .mService = "booking",
             .mPerSecond = 0.7,
             .mPromptTokens = 50,
-            .mStreamed = 0,
+            .mStreamedShare = 0,
             .mIdempotent = false },
   Workload{ .mWorkspace = "yard-gate",
             .mClass = "gate",
@@ -81,7 +81,7 @@
             .mPrefixTokens = 96,
             .mPromptTokens = 80,
             .mOutputMedian = 25,
-            .mStreamed = 0,
+            .mStreamedShare = 0,
             .mIdempotent = false },
   Workload{ .mWorkspace = "yard-line",
             .mClass = "checklist",
@@ -90,7 +90,7 @@
             .mPrefixTokens = 96,
             .mPromptTokens = 150,
             .mOutputMedian = 90,
-            .mStreamed = 0.5 },
+            .mStreamedShare = 0.5 },
 };
 
 class Generator
@@ -102,34 +102,35 @@
   {
   }
 
-  void Add(const Workload& aWorkload, std::vector<TraceRequest>& aRequests)
+  void AddWorkload(const Workload& aWorkload,
+                   std::vector<TraceRequest>& aRequests)
   {
     const double end = static_cast<double>(mOptions.mSeconds);
-    double at = 0;
+    double seconds = 0;
     while (true) {
-      const double rate = aWorkload.mPerSecond * mOptions.mRate *
-                          (InBurst(at) ? aWorkload.mBurst : 1);
-      at += std::exponential_distribution<double>(rate)(mRandom);
-      if (at >= end) {
+      const double rate = aWorkload.mPerSecond * mOptions.mRateFactor *
+                          (InBurst(seconds) ? aWorkload.mBurstFactor : 1);
+      seconds += std::exponential_distribution<double>(rate)(mRandom);
+      if (seconds >= end) {
         return;
       }
-      aRequests.push_back(Draw(aWorkload, at));
+      aRequests.push_back(DrawRequest(aWorkload, seconds));
     }
   }
 
 private:
-  bool InBurst(double aAt) const
+  bool InBurst(double aSeconds) const
   {
     const double third = static_cast<double>(mOptions.mSeconds) / 3;
-    return aAt >= third && aAt < 2 * third;
+    return aSeconds >= third && aSeconds < 2 * third;
   }
 
-  TraceRequest Draw(const Workload& aWorkload, double aAt)
+  TraceRequest DrawRequest(const Workload& aWorkload, double aSeconds)
   {
     constexpr double kMillis = 1000;
-    constexpr double kMostOutput = 2000;
+    constexpr double kMaxOutputTokens = 2000;
     TraceRequest request;
-    request.mAt = static_cast<int64_t>(aAt * kMillis);
+    request.mAt = static_cast<int64_t>(aSeconds * kMillis);
     request.mWorkspace = aWorkload.mWorkspace;
     request.mClass = aWorkload.mClass;
     request.mLabels = aWorkload.mLabels;
@@ -138,16 +139,16 @@
     request.mPrefix =
       std::string(aWorkload.mWorkspace) + "/" + aWorkload.mClass;
     request.mPrefixTokens = aWorkload.mPrefixTokens;
-    std::uniform_real_distribution<double> around(0.5, 1.5);
+    std::uniform_real_distribution<double> promptFactor(0.5, 1.5);
     request.mPromptTokens = static_cast<size_t>(
-      static_cast<double>(aWorkload.mPromptTokens) * around(mRandom));
+      static_cast<double>(aWorkload.mPromptTokens) * promptFactor(mRandom));
     if (!request.mModel.empty()) {
       std::lognormal_distribution<double> lengths(
-        std::log(aWorkload.mOutputMedian), aWorkload.mOutputSpread);
-      request.mOutputTokens =
-        static_cast<size_t>(std::clamp(lengths(mRandom), 1.0, kMostOutput));
+        std::log(aWorkload.mOutputMedian), aWorkload.mOutputSigma);
+      request.mOutputTokens = static_cast<size_t>(
+        std::clamp(lengths(mRandom), 1.0, kMaxOutputTokens));
       request.mStream =
-        std::bernoulli_distribution(aWorkload.mStreamed)(mRandom);
+        std::bernoulli_distribution(aWorkload.mStreamedShare)(mRandom);
     }
     request.mIdempotent = aWorkload.mIdempotent;
     return request;
@@ -167,7 +168,7 @@
                  std::to_string(aOptions.mSeed);
   Generator generator(aOptions);
   for (const Workload& workload : kWorkloads) {
-    generator.Add(workload, trace.mRequests);
+    generator.AddWorkload(workload, trace.mRequests);
   }
   std::ranges::stable_sort(trace.mRequests, {}, &TraceRequest::mAt);
   return trace;
