--- a/src/trefoilbench/allocations.cpp
+++ b/src/trefoilbench/allocations.cpp
@@ -4,7 +4,7 @@
 #include <malloc.h>
 #include <new>
 
-// A replacement of the global operators has to come down to malloc and free.
+// The replaced global operators must use malloc and free.
 #pragma GCC diagnostic ignored "-Wmismatched-new-delete"
 
 namespace {
--- a/src/trefoilbench/allocations.h
+++ b/src/trefoilbench/allocations.h
@@ -4,11 +4,11 @@
 
 namespace trefoilbench {
 
-/** Bytes that the program has allocated so far, freed ones included. */
+/** Returns all bytes allocated so far, including freed ones. */
 uint64_t
 AllocatedBytes();
 
-/** Bytes that the program holds now, with the allocator's own rounding. */
+/** Returns the bytes allocated now, with the allocator's rounding. */
 int64_t
 LiveBytes();
 
--- a/src/trefoilbench/cost.h
+++ b/src/trefoilbench/cost.h
@@ -8,38 +8,38 @@
 
 namespace trefoilbench {
 
-/** Sums up what one kind of event costs in time and allocated bytes. */
+/** Accumulates the time and allocated bytes of one kind of operation. */
 class Cost
 {
 public:
-  template<typename Event>
-  auto Add(Event aEvent)
+  template<typename Operation>
+  auto Add(Operation aOperation)
   {
     const uint64_t bytes = AllocatedBytes();
-    const auto begin = std::chrono::steady_clock::now();
-    auto actions = aEvent();
-    const auto took = std::chrono::steady_clock::now() - begin;
-    mNanoseconds += std::chrono::nanoseconds(took).count();
+    const auto startTime = std::chrono::steady_clock::now();
+    auto actions = aOperation();
+    const auto duration = std::chrono::steady_clock::now() - startTime;
+    mNanoseconds += std::chrono::nanoseconds(duration).count();
     mBytes += AllocatedBytes() - bytes;
-    ++mEvents;
+    ++mCount;
     return actions;
   }
 
   void Print(const char* aName) const
   {
-    if (mEvents == 0) {
+    if (mCount == 0) {
       return;
     }
     std::printf("  %-10s %7lld ns %7llu bytes\n",
                 aName,
-                static_cast<long long>(mNanoseconds / mEvents),
-                static_cast<unsigned long long>(mBytes / mEvents));
+                static_cast<long long>(mNanoseconds / mCount),
+                static_cast<unsigned long long>(mBytes / mCount));
   }
 
 private:
   int64_t mNanoseconds = 0;
   uint64_t mBytes = 0;
-  int64_t mEvents = 0;
+  int64_t mCount = 0;
 };
 
 } // namespace trefoilbench
--- a/src/trefoilbench/entrybench.cpp
+++ b/src/trefoilbench/entrybench.cpp
@@ -1,5 +1,5 @@
-// What the entry's decisions cost, in nanoseconds and allocated bytes, and what
-// its state takes.
+// Measures the entry's decisions in nanoseconds and allocated bytes, and the
+// memory of its state.
 
 #include "cost.h"
 
@@ -15,16 +15,16 @@
 
 using trefoilbench::Cost;
 
-constexpr int kWarmUp = 20000;
-constexpr int kMeasured = 50000;
+constexpr int kWarmUpSteps = 20000;
+constexpr int kMeasuredSteps = 50000;
 
-/** One entry before a fleet, fed with requests that end at once. */
+/** One entry with a fleet; its requests end immediately. */
 class Bench
 {
 public:
   Bench(int aUpstreams, int aWorkspaces, int aOpen)
-    : mBefore(trefoilbench::LiveBytes())
-    , mWorkspaces(aWorkspaces)
+    : mInitialBytes(trefoilbench::LiveBytes())
+    , mWorkspaceCount(aWorkspaces)
     , mCore({ .mEntry = "entry-1",
               .mDataCentre = "riga-1",
               .mMaxOpen = 1000000,
@@ -66,18 +66,18 @@
     std::printf(
       "  state      %7lld bytes for an upstream, %lld for an open "
       "request\n",
-      static_cast<long long>((idle - mBefore) / aUpstreams),
+      static_cast<long long>((idle - mInitialBytes) / aUpstreams),
       static_cast<long long>((trefoilbench::LiveBytes() - idle) / aOpen));
   }
 
   void Run()
   {
-    for (int i = 0; i < kWarmUp; i++) {
-      One();
+    for (int i = 0; i < kWarmUpSteps; i++) {
+      RunStep();
     }
     mRequest = mGrant = mAnswer = Cost();
-    for (int i = 0; i < kMeasured; i++) {
-      One();
+    for (int i = 0; i < kMeasuredSteps; i++) {
+      RunStep();
     }
     mRequest.Print("request");
     mGrant.Print("grant");
@@ -87,30 +87,30 @@
 private:
   EntryRequest NextRequest()
   {
-    mNumber++;
+    mRequestNumber++;
     EntryRequest request;
     request.mId = { mRandom(), mRandom() };
     ClassifiedRequest& classified = request.mClassified;
     classified.mLevel.mClass = "agents";
     classified.mLevel.mWorkspace =
-      "workspace-" + std::to_string(mNumber % mWorkspaces);
+      "workspace-" + std::to_string(mRequestNumber % mWorkspaceCount);
     classified.mDeadline = Millis(60000);
     classified.mIdempotent = true;
     classified.mTraffic = { { "model", "base" },
                             { "class", "agents" },
                             { "workspace", classified.mLevel.mWorkspace } };
     request.mPromptTokens = 500;
-    request.mPrefixHash = mNumber % 5000 + 1;
+    request.mPrefixHash = mRequestNumber % 5000 + 1;
     return request;
   }
 
-  void One()
+  void RunStep()
   {
-    mNow += Millis(mNumber % 2 == 0 ? 1 : 0);
+    mNow += Millis(mRequestNumber % 2 == 0 ? 1 : 0);
     EntryRequest request = NextRequest();
-    const EntryActions asked =
+    const EntryActions offered =
       mRequest.Add([&] { return mCore.OnRequest(std::move(request), mNow); });
-    const auto& send = std::get<SendToSidecar>(asked.at(0));
+    const auto& send = std::get<SendToSidecar>(offered.at(0));
     const AttemptKey key = std::get<Offer>(send.mMessage).mKey;
     const UpstreamId& upstream = send.mUpstream;
     mGrant.Add([&] {
@@ -125,9 +125,9 @@
     }
   }
 
-  int64_t mBefore;
-  uint64_t mWorkspaces;
-  uint64_t mNumber = 0;
+  int64_t mInitialBytes;
+  uint64_t mWorkspaceCount;
+  uint64_t mRequestNumber = 0;
   std::mt19937_64 mRandom{ 1 };
   Millis mNow{ 1000 };
   EntryCore mCore;
--- a/src/trefoilbench/policybench.cpp
+++ b/src/trefoilbench/policybench.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <string>
 
-/** What the policy's decisions cost at today's and at the two-year size. */
+/** Measures policy decisions at the current and the two-year size. */
 
 using namespace trefoilarch;
 
@@ -26,36 +26,36 @@
 constexpr size_t kRequests = 20000;
 
 std::string
-Numbered(const char* aWord, size_t aNumber)
+NumberedName(const char* aPrefix, size_t aNumber)
 {
-  return aWord + std::to_string(aNumber);
+  return aPrefix + std::to_string(aNumber);
 }
 
-/** Ten classes; a selector for each model, and one for one large customer. */
+/** Ten classes, a selector per model, and one for a large customer. */
 Policy
 MakePolicy(const Size& aSize)
 {
   Policy policy;
   policy.mVersion = 1;
-  for (size_t each = 0; each < kClasses; ++each) {
-    RequestClass& one = policy.mClasses[Numbered("class-", each)];
-    one.mName = Numbered("class-", each);
-    one.mFloor = 0.02;
+  for (size_t index = 0; index < kClasses; ++index) {
+    RequestClass& item = policy.mClasses[NumberedName("class-", index)];
+    item.mName = NumberedName("class-", index);
+    item.mFloor = 0.02;
   }
-  for (size_t each = 0; each < aSize.mWorkspaces; ++each) {
-    Workspace& one = policy.mWorkspaces[Numbered("workspace-", each)];
-    one.mName = Numbered("workspace-", each);
-    one.mTokenHash = std::string(64, 'a');
-    one.mDefaultClass = Numbered("class-", each % kClasses);
-    one.mLabels["region"] = each % 2 == 0 ? "east" : "west";
+  for (size_t index = 0; index < aSize.mWorkspaces; ++index) {
+    Workspace& item = policy.mWorkspaces[NumberedName("workspace-", index)];
+    item.mName = NumberedName("workspace-", index);
+    item.mTokenHash = std::string(64, 'a');
+    item.mDefaultClass = NumberedName("class-", index % kClasses);
+    item.mLabels["region"] = index % 2 == 0 ? "east" : "west";
   }
-  for (size_t each = 0; each < aSize.mModels; ++each) {
-    Selector& one = policy.mSelectors[Numbered("selector-", each)];
-    const std::string model = Numbered("model-", each);
-    one.mName = Numbered("selector-", each);
-    one.mTraffic = { { "model", RequirementOperator::Equals, { model } } };
-    one.mUpstreams = { { "model", RequirementOperator::Equals, { model } },
-                       { "reserved", RequirementOperator::NotExists, {} } };
+  for (size_t index = 0; index < aSize.mModels; ++index) {
+    Selector& item = policy.mSelectors[NumberedName("selector-", index)];
+    const std::string model = NumberedName("model-", index);
+    item.mName = NumberedName("selector-", index);
+    item.mTraffic = { { "model", RequirementOperator::Equals, { model } } };
+    item.mUpstreams = { { "model", RequirementOperator::Equals, { model } },
+                        { "reserved", RequirementOperator::NotExists, {} } };
   }
   policy.mSelectors["reserved"] = {
     "reserved",
@@ -69,15 +69,16 @@
 MakeUpstreams(const Size& aSize)
 {
   std::vector<UpstreamView> all;
-  for (size_t each = 0; each < aSize.mUpstreams; ++each) {
-    UpstreamView one{ Numbered("engine-", each),
-                      Numbered("dc-", each % aSize.mDataCentres),
-                      { { "model", Numbered("model-", each % aSize.mModels) },
-                        { "accelerators", "4" } } };
-    if (each % 50 == 0) {
-      one.mLabels["reserved"] = "workspace-0";
+  for (size_t index = 0; index < aSize.mUpstreams; ++index) {
+    UpstreamView item{ NumberedName("engine-", index),
+                       NumberedName("dc-", index % aSize.mDataCentres),
+                       { { "model",
+                           NumberedName("model-", index % aSize.mModels) },
+                         { "accelerators", "4" } } };
+    if (index % 50 == 0) {
+      item.mLabels["reserved"] = "workspace-0";
     }
-    all.push_back(std::move(one));
+    all.push_back(std::move(item));
   }
   return all;
 }
@@ -86,25 +87,26 @@
 MakeClaims(const Size& aSize, size_t aNumber)
 {
   CallerClaims claims;
-  claims.mWorkspace = Numbered("workspace-", aNumber % aSize.mWorkspaces);
+  claims.mWorkspace = NumberedName("workspace-", aNumber % aSize.mWorkspaces);
   claims.mTokenHash = std::string(64, 'a');
-  claims.mModel = Numbered("model-", aNumber % aSize.mModels);
-  claims.mDataCentre = Numbered("dc-", aNumber % aSize.mDataCentres);
+  claims.mModel = NumberedName("model-", aNumber % aSize.mModels);
+  claims.mDataCentre = NumberedName("dc-", aNumber % aSize.mDataCentres);
   claims.mLabels = { { "desk", "7" } };
   return claims;
 }
 
 double
-NanosEach(size_t aTimes, const std::function<void(size_t)>& aDo)
+MeanNanos(size_t aIterations, const std::function<void(size_t)>& aOperation)
 {
-  const auto begin = std::chrono::steady_clock::now();
-  for (size_t each = 0; each < aTimes; ++each) {
-    aDo(each);
+  const auto startTime = std::chrono::steady_clock::now();
+  for (size_t index = 0; index < aIterations; ++index) {
+    aOperation(index);
   }
-  const auto span = std::chrono::steady_clock::now() - begin;
+  const auto duration = std::chrono::steady_clock::now() - startTime;
   return static_cast<double>(
-           std::chrono::duration_cast<std::chrono::nanoseconds>(span).count()) /
-         static_cast<double>(aTimes);
+           std::chrono::duration_cast<std::chrono::nanoseconds>(duration)
+             .count()) /
+         static_cast<double>(aIterations);
 }
 
 Labels
@@ -119,9 +121,9 @@
 }
 
 void
-Line(const Size& aSize, const char* aWhat, double aNanos)
+PrintResult(const Size& aSize, const char* aOperationName, double aNanos)
 {
-  std::printf("%-8s %-34s %12.0f ns\n", aSize.mName, aWhat, aNanos);
+  std::printf("%-8s %-34s %12.0f ns\n", aSize.mName, aOperationName, aNanos);
 }
 
 void
@@ -132,34 +134,39 @@
   const std::vector<UpstreamView> upstreams = MakeUpstreams(aSize);
   std::vector<CallerClaims> claims;
   std::vector<Labels> traffic;
-  for (size_t each = 0; each < kRequests; ++each) {
-    claims.push_back(MakeClaims(aSize, each));
+  for (size_t index = 0; index < kRequests; ++index) {
+    claims.push_back(MakeClaims(aSize, index));
     traffic.push_back(TrafficOf(*classifier, claims.back()));
   }
   size_t found = 0;
-  Line(aSize, "classify a request", NanosEach(kRequests, [&](size_t aOne) {
-         found += TrafficOf(*classifier, claims[aOne]).size();
-       }));
-  Line(aSize, "ask MayGo of every upstream", NanosEach(200, [&](size_t aOne) {
-         for (const UpstreamView& upstream : upstreams) {
-           found += classifier->IsEligible(traffic[aOne], upstream) ? 1 : 0;
-         }
-       }));
+  PrintResult(
+    aSize, "classify a request", MeanNanos(kRequests, [&](size_t aIndex) {
+      found += TrafficOf(*classifier, claims[aIndex]).size();
+    }));
+  PrintResult(
+    aSize, "ask MayGo of every upstream", MeanNanos(200, [&](size_t aIndex) {
+      for (const UpstreamView& upstream : upstreams) {
+        found += classifier->IsEligible(traffic[aIndex], upstream) ? 1 : 0;
+      }
+    }));
   EligibleSets sets;
   sets.SetUpstreams(upstreams);
-  Line(aSize, "first set after a new policy", NanosEach(50, [&](size_t aOne) {
-         sets.SetClassifier(classifier);
-         found += sets.For(traffic[aOne])->size();
-       }));
-  const auto all = [&](size_t aOne) {
-    found += sets.For(traffic[aOne])->size();
+  PrintResult(
+    aSize, "first set after a new policy", MeanNanos(50, [&](size_t aIndex) {
+      sets.SetClassifier(classifier);
+      found += sets.For(traffic[aIndex])->size();
+    }));
+  const auto lookUpSet = [&](size_t aIndex) {
+    found += sets.For(traffic[aIndex])->size();
   };
   sets.SetClassifier(classifier);
   sets.For(traffic[0]);
-  Line(aSize, "set, each workspace's first", NanosEach(aSize.mWorkspaces, all));
-  Line(aSize, "set, once known", NanosEach(kRequests, all));
+  PrintResult(aSize,
+              "set, each workspace's first",
+              MeanNanos(aSize.mWorkspaces, lookUpSet));
+  PrintResult(aSize, "set, once known", MeanNanos(kRequests, lookUpSet));
   if (found == 0) {
-    std::printf("nothing was eligible\n");
+    std::printf("no upstream was eligible\n");
   }
 }
 
@@ -171,13 +178,13 @@
   PolicyChange change;
   change.mId = "change";
   change.mOperations = { SetUpstreamLabels{ "engine-1", { { "k", "v" } } } };
-  Line(aSize, "judge and apply a change", NanosEach(50, [&](size_t) {
-         ApplyChange(state, change);
-       }));
+  PrintResult(aSize, "judge and apply a change", MeanNanos(50, [&](size_t) {
+                ApplyChange(state, change);
+              }));
   const std::string text = StateToJson(state);
-  Line(aSize, "read a snapshot", NanosEach(10, [&](size_t) {
-         StateFromJson(text);
-       }));
+  PrintResult(aSize, "read a snapshot", MeanNanos(10, [&](size_t) {
+                StateFromJson(text);
+              }));
   std::printf(
     "%-8s %-34s %12zu bytes\n", aSize.mName, "a snapshot", text.size());
   std::printf("%-8s %-34s %12zu bytes\n",
--- a/src/trefoilbench/sidecarbench.cpp
+++ b/src/trefoilbench/sidecarbench.cpp
@@ -1,4 +1,4 @@
-// What a sidecar's decisions cost, in nanoseconds and allocated bytes.
+// Measures a sidecar's decisions in nanoseconds and allocated bytes.
 
 #include "cost.h"
 
@@ -12,39 +12,39 @@
 
 namespace {
 
-constexpr int kWarmUp = 20000;
-constexpr int kMeasured = 50000;
+constexpr int kWarmUpSteps = 20000;
+constexpr int kMeasuredSteps = 50000;
 constexpr int kClasses = 8;
 constexpr const char* kEntry = "entry-1";
-constexpr Millis kFar{ 1000000000 };
+constexpr Millis kFarDeadline{ 1000000000 };
 
-/** One sidecar whose queue stays at one length: each step offers a request,
- * and ends one so that the next is granted and started. */
+/** One sidecar with a constant queue length: each step offers a request, and
+ * ends one so that the next is granted and started. */
 class Bench
 {
 public:
-  Bench(int aWaiting, int aWorkspaces)
-    : mWorkspaces(aWorkspaces)
+  Bench(int aQueueLength, int aWorkspaces)
+    : mWorkspaceCount(aWorkspaces)
     , mCore({ .mIncarnation = 1,
               .mQueueLimit = 1000000,
               .mLedgerRetention = Millis(5000),
-              .mEntrySilenceTimeout = kFar,
+              .mEntrySilenceTimeout = kFarDeadline,
               .mMaxRunning = 64 })
   {
     mCore.OnMessage(kEntry, Hello{ .mEntry = kEntry, .mDataCentre = "" }, mNow);
-    for (int i = 0; i < aWaiting; ++i) {
-      Start(mCore.OnMessage(kEntry, NextOffer(), mNow));
+    for (int i = 0; i < aQueueLength; ++i) {
+      StartGranted(mCore.OnMessage(kEntry, NextOffer(), mNow));
     }
   }
 
   void Run()
   {
-    for (int i = 0; i < kWarmUp; ++i) {
-      One();
+    for (int i = 0; i < kWarmUpSteps; ++i) {
+      RunStep();
     }
     mOffer = mEnd = mToken = mTick = trefoilbench::Cost();
-    for (int i = 0; i < kMeasured; ++i) {
-      One();
+    for (int i = 0; i < kMeasuredSteps; ++i) {
+      RunStep();
     }
     mOffer.Print("offer");
     mEnd.Print("end, grant");
@@ -56,28 +56,28 @@
   Offer NextOffer()
   {
     const auto number = static_cast<int>(mRandom() % 1000000);
-    const int ofClass = number % kClasses;
+    const int classIndex = number % kClasses;
     return { .mKey = { .mRequest = { mRandom(), mRandom() }, .mAttempt = 1 },
-             .mLevel = { .mClass = "class-" + std::to_string(ofClass),
-                         .mWorkspace =
-                           "workspace-" + std::to_string(number % mWorkspaces),
-                         .mTier = static_cast<Tier>(ofClass % kTierCount),
+             .mLevel = { .mClass = "class-" + std::to_string(classIndex),
+                         .mWorkspace = "workspace-" +
+                                       std::to_string(number % mWorkspaceCount),
+                         .mTier = static_cast<Tier>(classIndex % kTierCount),
                          .mFloor = 0.05 },
-             .mDeadline = kFar + Millis(number),
-             .mFirstTokenDue = kFar / 2 + Millis(number),
+             .mDeadline = kFarDeadline + Millis(number),
+             .mFirstTokenDue = kFarDeadline / 2 + Millis(number),
              .mPromptTokens = 200,
              .mOutputTokens = 100,
              .mIdempotent = true };
   }
 
-  /** Starts whatever has been granted, and what is granted by that. */
-  void Start(const SidecarActions& aActions)
+  /** Starts all granted attempts, including those granted as a result. */
+  void StartGranted(const SidecarActions& aActions)
   {
     for (const SidecarAction& action : aActions) {
       if (const auto* send = std::get_if<SendToEntry>(&action)) {
         if (const auto* grant = std::get_if<Grant>(&send->mMessage)) {
           mRunning.push_back(grant->mKey);
-          Start(mCore.OnMessage(
+          StartGranted(mCore.OnMessage(
             kEntry,
             trefoilarch::Start{ .mKey = grant->mKey, .mCall = {} },
             mNow));
@@ -86,29 +86,31 @@
     }
   }
 
-  void One()
+  void RunStep()
   {
     mNow += Millis(++mSteps % 4 == 0 ? 1 : 0);
     const Offer offer = NextOffer();
-    Start(mOffer.Add([&] { return mCore.OnMessage(kEntry, offer, mNow); }));
+    StartGranted(
+      mOffer.Add([&] { return mCore.OnMessage(kEntry, offer, mNow); }));
     if (mRunning.empty()) {
       return;
     }
     const AttemptKey key = mRunning.front();
     mRunning.pop_front();
-    Start(mToken.Add([&] {
+    StartGranted(mToken.Add([&] {
       return mCore.OnCall(CallData{ .mKey = key, .mData = "t", .mTokens = 1 },
                           mNow);
     }));
-    Start(
+    StartGranted(
       mEnd.Add([&] { return mCore.OnCall(CallDone{ .mKey = key }, mNow); }));
-    Start(mCore.OnMessage(kEntry, Ack{ .mKey = key, .mNextChunk = 1 }, mNow));
+    StartGranted(
+      mCore.OnMessage(kEntry, Ack{ .mKey = key, .mNextChunk = 1 }, mNow));
     if (mCore.NextWake() <= mNow) {
-      Start(mTick.Add([&] { return mCore.OnTick(mNow); }));
+      StartGranted(mTick.Add([&] { return mCore.OnTick(mNow); }));
     }
   }
 
-  int mWorkspaces;
+  int mWorkspaceCount;
   uint64_t mSteps = 0;
   std::mt19937_64 mRandom{ 1 };
   Millis mNow{ 1000 };
@@ -128,9 +130,10 @@
 main()
 {
   for (const int workspaces : { 10, 2400 }) {
-    for (const int waiting : { 100, 10000 }) {
-      std::printf("%d workspaces, %d waiting requests\n", workspaces, waiting);
-      trefoilarch::Bench(waiting, workspaces).Run();
+    for (const int queueLength : { 100, 10000 }) {
+      std::printf(
+        "%d workspaces, %d waiting requests\n", workspaces, queueLength);
+      trefoilarch::Bench(queueLength, workspaces).Run();
     }
   }
   return 0;
--- a/tests/bench/capacitybench.cpp
+++ b/tests/bench/capacitybench.cpp
@@ -1,9 +1,10 @@
-// What control costs in processes of growing fleets: at rest all that moves
-// is control. A line of data for each size, for scripts/run-capacity. `mesh`:
-// every entry connected to every sidecar; `requests`: what a request adds.
+// Measures the cost of the control plane in fleets of growing size: all traffic
+// of an idle fleet is control traffic. Prints a line of data per size, for
+// scripts/run-capacity. `mesh` connects every entry to every sidecar;
+// `requests` measures the additional cost of a request.
 
+#include "idlefleet.h"
 #include "processusage.h"
-#include "restingfleet.h"
 #include "socketbytes.h"
 
 #include "integration/fleet.h"
@@ -22,16 +23,16 @@
 using Clock = std::chrono::steady_clock;
 using nlohmann::json;
 
-constexpr std::chrono::seconds kSettling{ 6 };
+constexpr std::chrono::seconds kSettleTime{ 6 };
 constexpr std::chrono::seconds kWindow{ 10 };
-constexpr int kChanges = 5;
+constexpr int kPolicyChanges = 5;
 constexpr int kRequestRounds = 30;
-constexpr int kRequestsAtOnce = 8;
+constexpr int kConcurrentRequests = 8;
 
-/** All counters at one moment. */
+/** All counters at one point in time. */
 struct Snapshot
 {
-  Clock::time_point mAt;
+  Clock::time_point mTakenAt;
   std::vector<ProcessUsage> mEntries;
   std::vector<ProcessUsage> mSidecars;
   uint64_t mChannelBytes = 0;
@@ -39,20 +40,20 @@
 };
 
 Snapshot
-Take(const RestingFleet& aFleet)
+TakeSnapshot(const IdleFleet& aFleet)
 {
-  Snapshot taken{ .mAt = Clock::now() };
+  Snapshot snapshot{ .mTakenAt = Clock::now() };
   for (size_t i = 0; i < aFleet.Size().mEntries; ++i) {
-    taken.mEntries.push_back(UsageOf(aFleet.Entry(i).Id()));
+    snapshot.mEntries.push_back(UsageOf(aFleet.Entry(i).Id()));
   }
   const auto bytes = BytesByLocalPort();
   for (size_t i = 0; i < aFleet.Size().mSidecars; ++i) {
-    taken.mSidecars.push_back(UsageOf(aFleet.Sidecar(i).Id()));
+    snapshot.mSidecars.push_back(UsageOf(aFleet.Sidecar(i).Id()));
     const auto found = bytes.find(aFleet.ChannelPort(i));
-    taken.mChannelBytes += found == bytes.end() ? 0 : found->second;
+    snapshot.mChannelBytes += found == bytes.end() ? 0 : found->second;
   }
-  taken.mPlatform = aFleet.PlatformCounts();
-  return taken;
+  snapshot.mPlatform = aFleet.PlatformCounts();
+  return snapshot;
 }
 
 double
@@ -60,21 +61,21 @@
                 const std::vector<ProcessUsage>& aAfter,
                 double aSeconds)
 {
-  double spent = 0;
+  double cpuSeconds = 0;
   for (size_t i = 0; i < aBefore.size(); ++i) {
-    spent += aAfter[i].mProcessorSeconds - aBefore[i].mProcessorSeconds;
+    cpuSeconds += aAfter[i].mProcessorSeconds - aBefore[i].mProcessorSeconds;
   }
-  return 100 * spent / aSeconds / static_cast<double>(aBefore.size());
+  return 100 * cpuSeconds / aSeconds / static_cast<double>(aBefore.size());
 }
 
 double
-MostMegabytes(const std::vector<ProcessUsage>& aUsages)
+MaxMegabytes(const std::vector<ProcessUsage>& aUsages)
 {
-  double most = 0;
+  double maxMegabytes = 0;
   for (const ProcessUsage& usage : aUsages) {
-    most = std::max(most, usage.mMemoryMegabytes);
+    maxMegabytes = std::max(maxMegabytes, usage.mMemoryMegabytes);
   }
-  return most;
+  return maxMegabytes;
 }
 
 double
@@ -84,14 +85,14 @@
           const char* aCount,
           double aSeconds)
 {
-  const auto read = [&](const Snapshot& aOne) {
-    const json service = aOne.mPlatform.value(aService, json::object());
+  const auto read = [&](const Snapshot& aSnapshot) {
+    const json service = aSnapshot.mPlatform.value(aService, json::object());
     return service.value(aCount, 0.0);
   };
   return (read(aAfter) - read(aBefore)) / aSeconds;
 }
 
-/** Reads of every service that the platform has served so far. */
+/** Returns the total reads of all services of the platform so far. */
 double
 AllReads(const json& aCounts)
 {
@@ -102,12 +103,12 @@
   return reads;
 }
 
-/** The longest of some changes until every entry has it; milliseconds. */
+/** Longest time in ms until a policy change has reached every entry. */
 double
-LongestSpread(RestingFleet& aFleet)
+MaxPolicySpread(IdleFleet& aFleet)
 {
-  double longest = 0;
-  for (int i = 0; i < kChanges; ++i) {
+  double maxMillis = 0;
+  for (int i = 0; i < kPolicyChanges; ++i) {
     const json operation{ { "op", "set_upstream_labels" },
                           { "upstream", "engine-1" },
                           { "labels", { { "try", std::to_string(i) } } } };
@@ -118,26 +119,27 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
       }
     }
-    const std::chrono::duration<double, std::milli> span =
+    const std::chrono::duration<double, std::milli> elapsed =
       Clock::now() - accepted;
-    longest = std::max(longest, span.count());
+    maxMillis = std::max(maxMillis, elapsed.count());
   }
-  return longest;
+  return maxMillis;
 }
 
 void
 Measure(FleetSize aSize, const std::vector<std::string>& aEntryFlags)
 {
-  const Clock::time_point began = Clock::now();
-  RestingFleet fleet(aSize, aEntryFlags);
-  const std::chrono::duration<double> started = Clock::now() - began;
+  const Clock::time_point startTime = Clock::now();
+  IdleFleet fleet(aSize, aEntryFlags);
+  const std::chrono::duration<double> startupDuration =
+    Clock::now() - startTime;
   const json start = fleet.PlatformCounts();
-  std::this_thread::sleep_for(kSettling);
-  const Snapshot before = Take(fleet);
+  std::this_thread::sleep_for(kSettleTime);
+  const Snapshot before = TakeSnapshot(fleet);
   std::this_thread::sleep_for(kWindow);
-  const Snapshot after = Take(fleet);
+  const Snapshot after = TakeSnapshot(fleet);
   const double seconds =
-    std::chrono::duration<double>(after.mAt - before.mAt).count();
+    std::chrono::duration<double>(after.mTakenAt - before.mTakenAt).count();
   const double bytes =
     static_cast<double>(after.mChannelBytes - before.mChannelBytes) / seconds;
   const auto entries = static_cast<double>(aSize.mEntries);
@@ -151,19 +153,19 @@
     bytes / sidecars,
     MeanCorePercent(before.mEntries, after.mEntries, seconds),
     MeanCorePercent(before.mSidecars, after.mSidecars, seconds),
-    MostMegabytes(after.mEntries),
-    MostMegabytes(after.mSidecars),
+    MaxMegabytes(after.mEntries),
+    MaxMegabytes(after.mSidecars),
     PerSecond(before, after, "table", "reads", seconds),
     PerSecond(before, after, "table", "writes", seconds),
     PerSecond(before, after, "hostlist", "reads", seconds),
     fleet.HostListBytes(),
-    LongestSpread(fleet),
-    started.count(),
+    MaxPolicySpread(fleet),
+    startupDuration.count(),
     AllReads(start));
   std::fflush(stdout);
 }
 
-/** Bytes and processor time of many requests of one length. */
+/** Measures bytes and processor time of requests of one length. */
 void
 MeasureRequests(integration::Fleet& aFleet, size_t aTokens)
 {
@@ -188,24 +190,24 @@
   const uint64_t bytesBefore = bytes();
   const double entryBefore = UsageOf(aFleet.Entry().Id()).mProcessorSeconds;
   const double sidecarsBefore = sidecars();
-  int whole = 0;
+  int completeCount = 0;
   for (int round = 0; round < kRequestRounds; ++round) {
     std::vector<std::unique_ptr<integration::OpenCall>> calls;
-    calls.reserve(kRequestsAtOnce);
-    for (int i = 0; i < kRequestsAtOnce; ++i) {
+    calls.reserve(kConcurrentRequests);
+    for (int i = 0; i < kConcurrentRequests; ++i) {
       calls.push_back(
         aFleet.Send(integration::ChatRequest("mid-call", aTokens)));
     }
     for (const auto& call : calls) {
       const auto outcome = call->AwaitEnd().mOutcome;
-      whole += outcome == trefoilload::CallOutcome::Whole ? 1 : 0;
+      completeCount += outcome == trefoilload::CallOutcome::Whole ? 1 : 0;
     }
   }
-  const double requests = kRequestRounds * kRequestsAtOnce;
+  const double requests = kRequestRounds * kConcurrentRequests;
   std::printf("%zu %.0f %d %.0f %.0f %.0f\n",
               aTokens,
               requests,
-              whole,
+              completeCount,
               static_cast<double>(bytes() - bytesBefore) / requests,
               1e6 *
                 (UsageOf(aFleet.Entry().Id()).mProcessorSeconds - entryBefore) /
@@ -214,7 +216,7 @@
   std::fflush(stdout);
 }
 
-/** What a request costs by its length: the part without tokens is control. */
+/** Measures requests by length: cost independent of tokens is control. */
 void
 MeasureRequestsByLength()
 {
--- a/tests/bench/idlefleet.cpp
+++ b/tests/bench/idlefleet.cpp
@@ -1,4 +1,4 @@
-#include "restingfleet.h"
+#include "idlefleet.h"
 
 #include "integration/await.h"
 #include "integration/fleet.h"
@@ -29,15 +29,15 @@
 }
 
 std::string
-NameOf(const char* aRole, size_t aPlace)
+NameOf(const char* aRole, size_t aIndex)
 {
-  return std::string(aRole) + "-" + std::to_string(aPlace + 1);
+  return std::string(aRole) + "-" + std::to_string(aIndex + 1);
 }
 
 } // namespace
 
-RestingFleet::RestingFleet(FleetSize aSize,
-                           const std::vector<std::string>& aEntryFlags)
+IdleFleet::IdleFleet(FleetSize aSize,
+                     const std::vector<std::string>& aEntryFlags)
   : mSize(aSize)
   , mPlatform("trefoilarch-platform", {})
   , mEngine("trefoilarch-engine", { "--name", "engine" })
@@ -46,12 +46,12 @@
   const std::string engine = "http://" + mEngine.Address("engine");
   const auto start = [&](const char* aRole,
                          const std::string& aName,
-                         std::vector<std::string> aMore) {
+                         std::vector<std::string> aExtraFlags) {
     std::vector<std::string> flags{
       "--role", aRole,        "--name", aName,         "--data-centre",
       "riga-1", "--platform", platform, "--log-level", "error"
     };
-    flags.insert(flags.end(), aMore.begin(), aMore.end());
+    flags.insert(flags.end(), aExtraFlags.begin(), aExtraFlags.end());
     return std::make_unique<ChildProcess>("trefoilarchd", std::move(flags));
   };
   for (size_t i = 0; i < mSize.mSidecars; ++i) {
@@ -72,7 +72,7 @@
   const json policy{ { "op", "replace_policy" },
                      { "policy", integration::TestPolicy() } };
   if (ChangePolicy(policy) == 0) {
-    throw std::runtime_error("the policy could not be set");
+    throw std::runtime_error("cannot set the policy");
   }
   for (size_t i = 0; i < mSize.mEntries; ++i) {
     if (!AwaitReady(i)) {
@@ -82,13 +82,13 @@
 }
 
 std::string
-RestingFleet::EntryUrl(size_t aPlace) const
+IdleFleet::EntryUrl(size_t aIndex) const
 {
-  return "http://" + mEntries[aPlace]->Address("entry");
+  return "http://" + mEntries[aIndex]->Address("entry");
 }
 
 uint16_t
-RestingFleet::ChannelPort(size_t aSidecar) const
+IdleFleet::ChannelPort(size_t aSidecar) const
 {
   const std::string address = mSidecars[aSidecar]->Address("sidecar");
   return static_cast<uint16_t>(
@@ -96,7 +96,7 @@
 }
 
 void
-RestingFleet::PublishHosts() const
+IdleFleet::PublishHosts() const
 {
   json hosts = json::array();
   for (size_t i = 0; i < mSize.mSidecars; ++i) {
@@ -112,14 +112,14 @@
 }
 
 json
-RestingFleet::PlatformCounts() const
+IdleFleet::PlatformCounts() const
 {
   return integration::GetJson("http://" + mPlatform.Address("platform") +
                               "/control");
 }
 
 size_t
-RestingFleet::HostListBytes() const
+IdleFleet::HostListBytes() const
 {
   return integration::CallHttp(
            "GET", "http://" + mPlatform.Address("platform") + "/hosts")
@@ -127,9 +127,9 @@
 }
 
 uint64_t
-RestingFleet::ChangePolicy(const json& aOperation)
+IdleFleet::ChangePolicy(const json& aOperation)
 {
-  const std::string id = "bench-" + std::to_string(++mChanges) + "-" +
+  const std::string id = "bench-" + std::to_string(++mChangeCount) + "-" +
                          std::to_string(mPlatform.Id());
   const json answer = integration::PostJson(
     "http://" + mEntries[0]->Address("operator") + "/v1/policy/changes",
@@ -143,7 +143,7 @@
 }
 
 uint64_t
-RestingFleet::PolicyVersion(size_t aEntry) const
+IdleFleet::PolicyVersion(size_t aEntry) const
 {
   const json policy = integration::GetJson(
     "http://" + mEntries[aEntry]->Address("operator") + "/v1/policy");
@@ -151,7 +151,7 @@
 }
 
 bool
-RestingFleet::AwaitReady(size_t aEntry) const
+IdleFleet::AwaitReady(size_t aEntry) const
 {
   const std::string url =
     "http://" + mEntries[aEntry]->Address("operator") + "/readyz";
--- a/tests/bench/idlefleet.h
+++ b/tests/bench/idlefleet.h
@@ -11,7 +11,7 @@
 
 namespace bench {
 
-/** How many processes of each role. */
+/** Number of processes per role. */
 struct FleetSize
 {
   size_t mEntries = 0;
@@ -19,34 +19,34 @@
 };
 
 /**
- * Entries and sidecars as real processes; one engine stand-in stands for the
- * engines of all sidecars. Made for measuring what control costs.
+ * Entries and sidecars as real processes that share one engine stand-in. Used
+ * to measure the cost of the control plane.
  */
-class RestingFleet
+class IdleFleet
 {
 public:
-  RestingFleet(FleetSize aSize, const std::vector<std::string>& aEntryFlags);
+  IdleFleet(FleetSize aSize, const std::vector<std::string>& aEntryFlags);
 
   const FleetSize& Size() const { return mSize; }
-  const integration::ChildProcess& Entry(size_t aPlace) const
+  const integration::ChildProcess& Entry(size_t aIndex) const
   {
-    return *mEntries[aPlace];
+    return *mEntries[aIndex];
   }
-  const integration::ChildProcess& Sidecar(size_t aPlace) const
+  const integration::ChildProcess& Sidecar(size_t aIndex) const
   {
-    return *mSidecars[aPlace];
+    return *mSidecars[aIndex];
   }
-  std::string EntryUrl(size_t aPlace) const;
-  /** The port of a sidecar's channels. */
+  std::string EntryUrl(size_t aIndex) const;
+  /** Returns the port of a sidecar's channels. */
   uint16_t ChannelPort(size_t aSidecar) const;
 
-  /** Reads and writes that the platform has served, by service. */
+  /** Returns the reads and writes that the platform served, by service. */
   nlohmann::json PlatformCounts() const;
-  /** Bytes of one answer to a poll of the host list. */
+  /** Returns the size of one host list response. */
   size_t HostListBytes() const;
-  /** Changes the policy through the first entry; its new version or 0. */
+  /** Changes the policy through the first entry; returns its version or 0. */
   uint64_t ChangePolicy(const nlohmann::json& aOperation);
-  /** The policy version that an entry's operator port tells. */
+  /** Returns the policy version reported by an entry's operator port. */
   uint64_t PolicyVersion(size_t aEntry) const;
   bool AwaitReady(size_t aEntry) const;
 
@@ -58,7 +58,7 @@
   integration::ChildProcess mEngine;
   std::vector<std::unique_ptr<integration::ChildProcess>> mSidecars;
   std::vector<std::unique_ptr<integration::ChildProcess>> mEntries;
-  size_t mChanges = 0;
+  size_t mChangeCount = 0;
 };
 
 } // namespace bench
--- a/tests/bench/pathbench.cpp
+++ b/tests/bench/pathbench.cpp
@@ -1,6 +1,6 @@
-// What the way through an entry and a sidecar adds to calling the engine
-// stand-in directly; pairs in one run, so that the machine's other load
-// meets both alike.
+// Measures the latency that an entry and a sidecar add to calling the engine
+// stand-in directly. Both are measured in pairs in one run, so that other load
+// on the machine affects them equally.
 
 #include "probecall.h"
 #include "processusage.h"
@@ -33,7 +33,7 @@
 constexpr size_t kOpenStreams = 500;
 /** At 500 streams a step takes 125 ms, so these last 25 s. */
 constexpr size_t kOpenTokens = 200;
-constexpr std::chrono::seconds kOpeningSpan{ 10 };
+constexpr std::chrono::seconds kOpeningTime{ 10 };
 constexpr size_t kWorkers = 32;
 constexpr int kThroughputCalls = 4000;
 
@@ -48,14 +48,14 @@
   return aValues[static_cast<size_t>(std::lround(last * aShare))];
 }
 
-/** The engine directly, or the way through the fleet. */
-enum class Way
+/** Calls the engine directly, or through the fleet. */
+enum class Path
 {
   Direct,
   Routed,
 };
 
-/** Sends the same kind of request either way. */
+/** Sends the same kind of request on either path. */
 class Prober
 {
 public:
@@ -65,23 +65,24 @@
   {
   }
 
-  std::unique_ptr<ProbeCall> Send(Way aWay, size_t aTokens, bool aStream)
+  std::unique_ptr<ProbeCall> Send(Path aPath, size_t aTokens, bool aStream)
   {
     const std::string mark = "bench" + std::to_string(++mSent);
     const TraceRequest request =
       integration::ChatRequest("mid-call", aTokens, aStream);
-    const std::string base =
-      aWay == Way::Direct ? mFleet.Upstream().UpstreamUrl() : mFleet.EntryUrl();
+    const std::string base = aPath == Path::Direct
+                               ? mFleet.Upstream().UpstreamUrl()
+                               : mFleet.EntryUrl();
     return std::make_unique<ProbeCall>(
       mRunner,
       trefoilload::BuildRequest(
         request, mark, base, { { "agents", "secret-of-agents" } }));
   }
 
-  ProbeResult Run(Way aWay, size_t aTokens, bool aStream = true)
+  ProbeResult Run(Path aPath, size_t aTokens, bool aStream = true)
   {
-    ProbeResult result = Send(aWay, aTokens, aStream)->AwaitEnd();
-    if (!result.mWhole) {
+    ProbeResult result = Send(aPath, aTokens, aStream)->AwaitEnd();
+    if (!result.mComplete) {
       ++mFailed;
     }
     return result;
@@ -131,15 +132,15 @@
   std::vector<double> added;
   for (int i = 0; i < kWarmUps + kPairs; ++i) {
     const bool directFirst = i % 2 == 0;
-    const Way first = directFirst ? Way::Direct : Way::Routed;
-    const Way second = directFirst ? Way::Routed : Way::Direct;
-    const double one = aProber.Run(first, 4).mFirstToken;
-    const double two = aProber.Run(second, 4).mFirstToken;
+    const Path first = directFirst ? Path::Direct : Path::Routed;
+    const Path second = directFirst ? Path::Routed : Path::Direct;
+    const double firstMillis = aProber.Run(first, 4).mFirstToken;
+    const double secondMillis = aProber.Run(second, 4).mFirstToken;
     if (i < kWarmUps) {
       continue;
     }
-    direct.push_back(directFirst ? one : two);
-    routed.push_back(directFirst ? two : one);
+    direct.push_back(directFirst ? firstMillis : secondMillis);
+    routed.push_back(directFirst ? secondMillis : firstMillis);
     added.push_back(routed.back() - direct.back());
   }
   PrintPair("first token, one caller", direct, routed);
@@ -152,14 +153,14 @@
 
 void
 RunStreams(Prober& aProber,
-           Way aWay,
+           Path aPath,
            std::vector<double>& aFirst,
            std::vector<double>& aGaps)
 {
   std::vector<std::unique_ptr<ProbeCall>> calls;
   calls.reserve(kStreams);
   for (size_t i = 0; i < kStreams; ++i) {
-    calls.push_back(aProber.Send(aWay, kStreamTokens, true));
+    calls.push_back(aProber.Send(aPath, kStreamTokens, true));
   }
   for (const auto& call : calls) {
     const ProbeResult result = call->AwaitEnd();
@@ -174,9 +175,9 @@
   std::vector<double> first[2];
   std::vector<double> gaps[2];
   for (int round = 0; round < kRounds; ++round) {
-    for (const Way way : { Way::Direct, Way::Routed }) {
-      const auto place = static_cast<size_t>(way);
-      RunStreams(aProber, way, first[place], gaps[place]);
+    for (const Path path : { Path::Direct, Path::Routed }) {
+      const auto slot = static_cast<size_t>(path);
+      RunStreams(aProber, path, first[slot], gaps[slot]);
     }
   }
   PrintPair("first token, 16 streams", first[0], first[1]);
@@ -201,30 +202,30 @@
   using Clock = std::chrono::steady_clock;
   const double entryBefore = EntrySeconds(aFleet);
   const double sidecarBefore = SidecarSeconds(aFleet);
-  const Clock::time_point began = Clock::now();
+  const Clock::time_point startTime = Clock::now();
   std::vector<std::unique_ptr<ProbeCall>> open(kWorkers);
-  int whole = 0;
+  int completeCount = 0;
   const int calls = aStream ? kThroughputCalls / 10 : kThroughputCalls;
   for (int i = 0; i < calls + static_cast<int>(kWorkers); ++i) {
-    auto& place = open[static_cast<size_t>(i) % kWorkers];
-    if (place) {
-      whole += place->AwaitEnd().mWhole ? 1 : 0;
+    auto& slot = open[static_cast<size_t>(i) % kWorkers];
+    if (slot) {
+      completeCount += slot->AwaitEnd().mComplete ? 1 : 0;
     }
-    place = i < calls ? aProber.Send(Way::Routed, aTokens, aStream) : nullptr;
+    slot = i < calls ? aProber.Send(Path::Routed, aTokens, aStream) : nullptr;
   }
   const double seconds =
-    std::chrono::duration<double>(Clock::now() - began).count();
+    std::chrono::duration<double>(Clock::now() - startTime).count();
   const double entry = EntrySeconds(aFleet) - entryBefore;
   const double sidecar = SidecarSeconds(aFleet) - sidecarBefore;
   const double tokens =
-    static_cast<double>(whole) * static_cast<double>(aTokens);
+    static_cast<double>(completeCount) * static_cast<double>(aTokens);
   std::printf("%-34s %8d   whole %d, %.0f requests/s, %.0f requests/s per "
               "core; processor time a token: entry %.0f us, sidecar %.0f us\n",
               aStream ? "streams of 100 tokens" : "short answers, 32 callers",
               calls,
-              whole,
-              whole / seconds,
-              whole / (entry + sidecar),
+              completeCount,
+              completeCount / seconds,
+              completeCount / (entry + sidecar),
               1e6 * entry / tokens,
               1e6 * sidecar / tokens);
 }
@@ -252,9 +253,9 @@
   std::vector<std::unique_ptr<ProbeCall>> calls;
   calls.reserve(kOpenStreams);
   for (size_t i = 0; i < kOpenStreams; ++i) {
-    calls.push_back(prober.Send(Way::Routed, kOpenTokens, true));
+    calls.push_back(prober.Send(Path::Routed, kOpenTokens, true));
   }
-  std::this_thread::sleep_for(kOpeningSpan);
+  std::this_thread::sleep_for(kOpeningTime);
   const auto open =
     std::count_if(calls.begin(), calls.end(), [](const auto& aCall) {
       return aCall->IsStreaming();
@@ -273,11 +274,11 @@
   return text;
 }
 
-/** Whether a measure is asked for: all are, where none is named. */
+/** Returns true if a measurement is selected; by default all are. */
 bool
-Wanted(const std::string& aAsked, const char* aName)
+IsSelected(const std::string& aSelected, const char* aName)
 {
-  return aAsked.empty() || aAsked == aName;
+  return aSelected.empty() || aSelected == aName;
 }
 
 } // namespace
@@ -285,7 +286,7 @@
 int
 main(int aCount, char** aArguments)
 {
-  const std::string asked = aCount > 1 ? aArguments[1] : "";
+  const std::string selected = aCount > 1 ? aArguments[1] : "";
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::printf("load average at the start: %s\n", LoadAverage().c_str());
   std::printf("%-34s %8s %9s %9s %9s %9s %9s %9s   (ms)\n",
@@ -298,20 +299,20 @@
               "routed",
               "added");
   int failed = 0;
-  if (Wanted(asked, "latency") || Wanted(asked, "throughput")) {
+  if (IsSelected(selected, "latency") || IsSelected(selected, "throughput")) {
     Fleet fleet(FastFleet());
     Prober prober(fleet);
-    if (Wanted(asked, "latency")) {
+    if (IsSelected(selected, "latency")) {
       MeasureFirstToken(prober);
       MeasureStreams(prober);
     }
-    if (Wanted(asked, "throughput")) {
+    if (IsSelected(selected, "throughput")) {
       MeasureThroughput(fleet, prober, false, 4);
       MeasureThroughput(fleet, prober, true, 100);
     }
     failed = prober.Failed();
   }
-  if (Wanted(asked, "memory")) {
+  if (IsSelected(selected, "memory")) {
     MeasureMemory();
   }
   std::printf("answers that were not whole, of the first measure: %d\n",
--- a/tests/bench/probecall.cpp
+++ b/tests/bench/probecall.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-constexpr std::chrono::seconds kLongest{ 60 };
-/** Stands once in each event that carries a token. */
+constexpr std::chrono::seconds kMaxDuration{ 60 };
+/** Occurs once in each event that carries a token. */
 constexpr std::string_view kTokenMark = "\"content\":";
 
 size_t
 CountTokens(std::string_view aData)
 {
   size_t count = 0;
-  size_t place = aData.find(kTokenMark);
-  while (place != std::string_view::npos) {
+  size_t position = aData.find(kTokenMark);
+  while (position != std::string_view::npos) {
     ++count;
-    place = aData.find(kTokenMark, place + kTokenMark.size());
+    position = aData.find(kTokenMark, position + kTokenMark.size());
   }
   return count;
 }
@@ -46,17 +46,17 @@
   hooks.mOnEnd = [state = mState](trefoilio::CallEnd aEnd) {
     std::lock_guard lock(state->mMutex);
     state->mEnded = true;
-    state->mResult.mWhole =
+    state->mResult.mComplete =
       aEnd == trefoilio::CallEnd::Whole && state->mResult.mStatus == 200;
     state->mChanged.notify_all();
   };
-  mState->mSent = Clock::now();
-  mCall = mRunner.Start(std::move(aRequest), std::move(hooks));
+  mState->mSentAt = Clock::now();
+  mCallId = mRunner.Start(std::move(aRequest), std::move(hooks));
 }
 
 ProbeCall::~ProbeCall()
 {
-  mRunner.Cancel(mCall);
+  mRunner.Cancel(mCallId);
 }
 
 void
@@ -67,12 +67,12 @@
   std::lock_guard lock(aState.mMutex);
   for (size_t i = 0; i < tokens; ++i) {
     if (aState.mTokens++ == 0) {
-      aState.mResult.mFirstToken = MillisBetween(aState.mSent, now);
+      aState.mResult.mFirstToken = MillisBetween(aState.mSentAt, now);
       aState.mChanged.notify_all();
     } else {
-      aState.mResult.mGaps.push_back(MillisBetween(aState.mLast, now));
+      aState.mResult.mGaps.push_back(MillisBetween(aState.mLastTokenAt, now));
     }
-    aState.mLast = now;
+    aState.mLastTokenAt = now;
   }
 }
 
@@ -80,7 +80,7 @@
 ProbeCall::AwaitEnd()
 {
   std::unique_lock lock(mState->mMutex);
-  mState->mChanged.wait_for(lock, kLongest, [&] { return mState->mEnded; });
+  mState->mChanged.wait_for(lock, kMaxDuration, [&] { return mState->mEnded; });
   return mState->mResult;
 }
 
--- a/tests/bench/probecall.h
+++ b/tests/bench/probecall.h
@@ -11,28 +11,28 @@
 
 namespace bench {
 
-/** When the parts of one streamed answer came; milliseconds. */
+/** Arrival times of one streamed response; milliseconds. */
 struct ProbeResult
 {
-  bool mWhole = false;
+  bool mComplete = false;
   int mStatus = 0;
-  double mFirstToken = 0;    /**< after the request was sent */
-  std::vector<double> mGaps; /**< between one token and the next */
+  double mFirstToken = 0;    /**< since the request was sent */
+  std::vector<double> mGaps; /**< between consecutive tokens */
 };
 
-/** A call whose tokens are timed as they arrive. */
+/** A call that records the arrival times of its tokens. */
 class ProbeCall
 {
 public:
   ProbeCall(trefoilio::CallRunner& aRunner, trefoilio::HttpRequest aRequest);
-  /** Leaves the call if it is still open. */
+  /** Cancels the call if it is still open. */
   ~ProbeCall();
   ProbeCall(const ProbeCall&) = delete;
   ProbeCall& operator=(const ProbeCall&) = delete;
 
-  /** Waits for the end; not whole where it does not come in time. */
+  /** Waits for the end; the result is incomplete on timeout. */
   ProbeResult AwaitEnd();
-  /** Whether tokens have come and the answer has not ended. */
+  /** Returns true if tokens have arrived and the response has not ended. */
   bool IsStreaming() const;
 
 private:
@@ -42,8 +42,8 @@
   {
     std::mutex mMutex;
     std::condition_variable mChanged;
-    Clock::time_point mSent;
-    Clock::time_point mLast;
+    Clock::time_point mSentAt;
+    Clock::time_point mLastTokenAt;
     size_t mTokens = 0;
     bool mEnded = false;
     ProbeResult mResult;
@@ -53,7 +53,7 @@
 
   trefoilio::CallRunner& mRunner;
   std::shared_ptr<State> mState = std::make_shared<State>();
-  uint64_t mCall = 0;
+  uint64_t mCallId = 0;
 };
 
 } // namespace bench
--- a/tests/bench/processusage.cpp
+++ b/tests/bench/processusage.cpp
@@ -10,18 +10,18 @@
 namespace {
 
 constexpr double kKilobytesPerMegabyte = 1024;
-/** Fields between a process's name and its user time, in /proc/PID/stat. */
-constexpr int kFieldsBeforeTimes = 11;
+/** Fields between process name and user time in /proc/PID/stat. */
+constexpr int kFieldsBeforeUserTime = 11;
 
 double
-ProcessorSeconds(const std::string& aFolder)
+ProcessorSeconds(const std::string& aDirectory)
 {
-  std::ifstream file(aFolder + "stat");
+  std::ifstream file(aDirectory + "stat");
   std::string text;
   std::getline(file, text);
   std::istringstream fields(text.substr(text.rfind(')') + 1));
   std::string skipped;
-  for (int i = 0; i < kFieldsBeforeTimes; ++i) {
+  for (int i = 0; i < kFieldsBeforeUserTime; ++i) {
     fields >> skipped;
   }
   uint64_t user = 0;
@@ -36,9 +36,9 @@
 ProcessUsage
 UsageOf(pid_t aProcess)
 {
-  const std::string folder = "/proc/" + std::to_string(aProcess) + "/";
-  ProcessUsage usage{ .mProcessorSeconds = ProcessorSeconds(folder) };
-  std::ifstream file(folder + "status");
+  const std::string directory = "/proc/" + std::to_string(aProcess) + "/";
+  ProcessUsage usage{ .mProcessorSeconds = ProcessorSeconds(directory) };
+  std::ifstream file(directory + "status");
   std::string key;
   while (file >> key) {
     uint64_t value = 0;
--- a/tests/bench/processusage.h
+++ b/tests/bench/processusage.h
@@ -5,15 +5,15 @@
 
 namespace bench {
 
-/** What a process has used so far, as the kernel counts it. */
+/** Resources used by a process so far, as counted by the kernel. */
 struct ProcessUsage
 {
   double mProcessorSeconds = 0;
-  double mMemoryMegabytes = 0; /**< resident, without shared pages of files */
+  double mMemoryMegabytes = 0; /**< resident, without file-backed pages */
   uint64_t mThreads = 0;
 };
 
-/** Of a process that this program started; zero where it is gone. */
+/** Returns the usage of a child process, or zeros if it has exited. */
 ProcessUsage
 UsageOf(pid_t aProcess);
 
--- a/tests/bench/socketbytes.cpp
+++ b/tests/bench/socketbytes.cpp
@@ -18,9 +18,9 @@
 namespace {
 
 constexpr uint32_t kEstablished = 1U << 1;
-constexpr size_t kBuffer = size_t{ 256 } * 1024;
+constexpr size_t kBufferBytes = size_t{ 256 } * 1024;
 
-/** A netlink socket that is closed with the object. */
+/** Owns a netlink socket for sock_diag queries. */
 class DiagSocket
 {
 public:
@@ -37,49 +37,50 @@
   DiagSocket(const DiagSocket&) = delete;
   DiagSocket& operator=(const DiagSocket&) = delete;
 
-  bool Ask(uint8_t aFamily) const
+  bool SendQuery(uint8_t aFamily) const
   {
     struct
     {
       nlmsghdr mHeader{};
-      inet_diag_req_v2 mQuestion{};
+      inet_diag_req_v2 mQuery{};
     } request;
     request.mHeader.nlmsg_len = sizeof request;
     request.mHeader.nlmsg_type = SOCK_DIAG_BY_FAMILY;
     request.mHeader.nlmsg_flags = NLM_F_REQUEST | NLM_F_DUMP;
-    request.mQuestion.sdiag_family = aFamily;
-    request.mQuestion.sdiag_protocol = IPPROTO_TCP;
-    request.mQuestion.idiag_ext = 1U << (INET_DIAG_INFO - 1);
-    request.mQuestion.idiag_states = kEstablished;
+    request.mQuery.sdiag_family = aFamily;
+    request.mQuery.sdiag_protocol = IPPROTO_TCP;
+    request.mQuery.idiag_ext = 1U << (INET_DIAG_INFO - 1);
+    request.mQuery.idiag_states = kEstablished;
     return send(mSocket, &request, sizeof request, 0) > 0;
   }
 
-  ssize_t Receive(char* aOut, size_t aMost) const
+  ssize_t Receive(char* aOut, size_t aMaxBytes) const
   {
-    return recv(mSocket, aOut, aMost, 0);
+    return recv(mSocket, aOut, aMaxBytes, 0);
   }
 
 private:
   int mSocket = -1;
 };
 
-/** Adds one connection's bytes to its local port. */
+/** Adds a connection's bytes to the count of its local port. */
 void
-Add(const nlmsghdr& aMessage, std::map<uint16_t, uint64_t>& aBytes)
+AddConnection(const nlmsghdr& aMessage, std::map<uint16_t, uint64_t>& aBytes)
 {
   const auto* socket =
     reinterpret_cast<const inet_diag_msg*>(NLMSG_DATA(&aMessage));
-  auto left =
+  auto remaining =
     static_cast<int>(aMessage.nlmsg_len - NLMSG_LENGTH(sizeof(inet_diag_msg)));
-  const auto* part = reinterpret_cast<const rtattr*>(socket + 1);
-  for (; RTA_OK(part, left); part = RTA_NEXT(part, left)) {
-    if (part->rta_type != INET_DIAG_INFO) {
+  const auto* attribute = reinterpret_cast<const rtattr*>(socket + 1);
+  for (; RTA_OK(attribute, remaining);
+       attribute = RTA_NEXT(attribute, remaining)) {
+    if (attribute->rta_type != INET_DIAG_INFO) {
       continue;
     }
     tcp_info info{};
-    const size_t length = RTA_PAYLOAD(part);
+    const size_t length = RTA_PAYLOAD(attribute);
     std::memcpy(
-      &info, RTA_DATA(part), length < sizeof info ? length : sizeof info);
+      &info, RTA_DATA(attribute), length < sizeof info ? length : sizeof info);
     aBytes[ntohs(socket->id.idiag_sport)] +=
       info.tcpi_bytes_acked + info.tcpi_bytes_received;
   }
@@ -88,21 +89,22 @@
 void
 AddFamily(uint8_t aFamily, std::map<uint16_t, uint64_t>& aBytes)
 {
-  static std::array<char, kBuffer> sBuffer;
+  static std::array<char, kBufferBytes> sBuffer;
   const DiagSocket socket;
-  bool more = socket.Ask(aFamily);
+  bool more = socket.SendQuery(aFamily);
   while (more) {
     const ssize_t received = socket.Receive(sBuffer.data(), sBuffer.size());
-    auto left = static_cast<unsigned>(received > 0 ? received : 0);
+    auto remaining = static_cast<unsigned>(received > 0 ? received : 0);
     more = received > 0;
     auto* message = reinterpret_cast<nlmsghdr*>(sBuffer.data());
-    for (; NLMSG_OK(message, left); message = NLMSG_NEXT(message, left)) {
+    for (; NLMSG_OK(message, remaining);
+         message = NLMSG_NEXT(message, remaining)) {
       if (message->nlmsg_type == NLMSG_DONE ||
           message->nlmsg_type == NLMSG_ERROR) {
         more = false;
         break;
       }
-      Add(*message, aBytes);
+      AddConnection(*message, aBytes);
     }
   }
 }
--- a/tests/bench/socketbytes.h
+++ b/tests/bench/socketbytes.h
@@ -6,9 +6,9 @@
 namespace bench {
 
 /**
- * Bytes that the open connections of each listening TCP port of this machine
- * have carried both ways so far, headers of TCP and IP left out; asked of the
- * kernel (sock_diag). Empty where the kernel does not tell.
+ * Returns the payload bytes sent and received so far on the open connections
+ * of each local TCP port, without TCP and IP headers; read from the kernel
+ * (sock_diag). Empty if the kernel does not provide them.
  */
 std::map<uint16_t, uint64_t>
 BytesByLocalPort();
