--- a/src/libtrefoilio/base64.cpp
+++ b/src/libtrefoilio/base64.cpp
@@ -49,12 +49,12 @@
   if (digits.ends_with('=') || digits.size() % kDigitsPerGroup == 1) {
     return std::nullopt;
   }
-  const size_t bytes = digits.size() * kBitsPerDigit / kBitsPerByte;
+  const size_t byteCount = digits.size() * kBitsPerDigit / kBitsPerByte;
   std::string decoded;
-  decoded.reserve(bytes);
+  decoded.reserve(byteCount);
   try {
     Decoded next(digits.data());
-    for (size_t each = 0; each < bytes; ++each) {
+    for (size_t index = 0; index < byteCount; ++index) {
       decoded += *next;
       ++next;
     }
--- a/src/libtrefoilio/callrunner.cpp
+++ b/src/libtrefoilio/callrunner.cpp
@@ -153,14 +153,14 @@
 
   void FinishCompletedCalls()
   {
-    int left = 0;
-    while (CURLMsg* message = curl_multi_info_read(mMulti.get(), &left)) {
+    int remaining = 0;
+    while (CURLMsg* message = curl_multi_info_read(mMulti.get(), &remaining)) {
       if (message->msg != CURLMSG_DONE) {
         continue;
       }
       const CURLcode result = message->data.result;
-      CurlCall* ended = CurlCall::FromHandle(message->easy_handle);
-      const auto call = Remove(ended->Id());
+      CurlCall* completed = CurlCall::FromHandle(message->easy_handle);
+      const auto call = Remove(completed->Id());
       if (call && !IsCancelPending(call->Id())) {
         call->Finish(result);
       }
--- a/src/libtrefoilio/callrunner.h
+++ b/src/libtrefoilio/callrunner.h
@@ -45,7 +45,7 @@
   CallRunner(const CallRunner&) = delete;
   CallRunner& operator=(const CallRunner&) = delete;
 
-  /** Starts a call and returns its nonzero id; mTarget is the full URL. */
+  /** Starts a call; mTarget is the full URL. The id is never 0. */
   uint64_t Start(HttpRequest aRequest, CallHooks aHooks);
 
   /**
--- a/src/libtrefoilio/kernel.cpp
+++ b/src/libtrefoilio/kernel.cpp
@@ -56,8 +56,8 @@
 void
 Kernel::StopAll()
 {
-  for (size_t left = mEntries.size(); left > 0; --left) {
-    Entry& entry = mEntries[left - 1];
+  for (size_t remaining = mEntries.size(); remaining > 0; --remaining) {
+    Entry& entry = mEntries[remaining - 1];
     if (entry.mStarted) {
       entry.mStarted = false;
       entry.mService->Stop();
--- a/src/libtrefoilio/settings.cpp
+++ b/src/libtrefoilio/settings.cpp
@@ -132,8 +132,8 @@
 ParseInteger(const std::string& aText, int64_t& aValue)
 {
   const char* end = aText.data() + aText.size();
-  const auto [stop, error] = std::from_chars(aText.data(), end, aValue);
-  return error == std::errc() && stop == end;
+  const auto [parsedEnd, error] = std::from_chars(aText.data(), end, aValue);
+  return error == std::errc() && parsedEnd == end;
 }
 
 /** Parses a decimal number; returns nothing for other text. */
@@ -142,8 +142,8 @@
 {
   double value = 0;
   const char* end = aText.data() + aText.size();
-  const auto [stop, error] = std::from_chars(aText.data(), end, value);
-  const bool complete = error == std::errc() && stop == end;
+  const auto [parsedEnd, error] = std::from_chars(aText.data(), end, value);
+  const bool complete = error == std::errc() && parsedEnd == end;
   return complete ? std::optional(value) : std::nullopt;
 }
 
@@ -157,18 +157,18 @@
     return inner.find(':') != std::string_view::npos &&
            inner.find_first_not_of(hexadecimal) == std::string_view::npos;
   }
-  int parts = 0;
+  int octetCount = 0;
   while (true) {
     const size_t dot = aText.find('.');
-    const std::string part(aText.substr(0, dot));
+    const std::string octet(aText.substr(0, dot));
     int64_t value = -1;
-    if (part.find_first_not_of(digits) != std::string::npos ||
-        !ParseInteger(part, value) || value > 255) {
+    if (octet.find_first_not_of(digits) != std::string::npos ||
+        !ParseInteger(octet, value) || value > 255) {
       return false;
     }
-    ++parts;
+    ++octetCount;
     if (dot == std::string_view::npos) {
-      return parts == 4;
+      return octetCount == 4;
     }
     aText.remove_prefix(dot + 1);
   }
--- a/tests/unit/answercheckertest.cpp
+++ b/tests/unit/answercheckertest.cpp
@@ -36,8 +36,8 @@
   const standin::CompletionText text(
     standin::AnswerTo(json::parse(aSent.mBody)), "base");
   std::string body;
-  for (size_t place = 0; place < text.Tokens(); ++place) {
-    body += standin::EventOf(text.TokenData(place));
+  for (size_t position = 0; position < text.Tokens(); ++position) {
+    body += standin::EventOf(text.TokenData(position));
   }
   return body + standin::EventOf(text.EndData()) +
          standin::EventOf(standin::kDoneData);
@@ -60,7 +60,7 @@
 
 } // namespace
 
-Test(answerchecker, only_the_whole_answer_is_whole)
+Test(answerchecker, only_the_complete_answer_is_complete)
 {
   const bool holds = rc::check([] {
     const TraceRequest request =
@@ -72,14 +72,14 @@
     RC_ASSERT(CheckAnswer(request, sent, body.substr(0, cut)) !=
               CallOutcome::Whole);
     std::string changed = body;
-    const auto place = *rc::gen::inRange<size_t>(0, body.size());
-    changed[place] = static_cast<char>(changed[place] + 1);
+    const auto position = *rc::gen::inRange<size_t>(0, body.size());
+    changed[position] = static_cast<char>(changed[position] + 1);
     RC_ASSERT(CheckAnswer(request, sent, changed) != CallOutcome::Whole);
   });
   cr_assert(holds);
 }
 
-Test(answerchecker, another_requests_answer_is_wrong)
+Test(answerchecker, answer_to_another_request_is_wrong)
 {
   const TraceRequest request = StreamedRequest(5);
   const auto sent = BuildSentRequest(request, "a");
@@ -99,7 +99,7 @@
             CallOutcome::Whole);
 }
 
-Test(answerchecker, an_error_event_is_an_honest_failure)
+Test(answerchecker, an_error_event_is_a_reported_failure)
 {
   const TraceRequest request = StreamedRequest(50);
   const auto sent = BuildSentRequest(request, "a");
@@ -113,7 +113,7 @@
             CallOutcome::Unanswered);
 }
 
-Test(answerchecker, a_whole_body_may_only_fail_with_a_word_and_a_cut)
+Test(answerchecker, a_body_fails_only_with_an_error_and_truncation)
 {
   TraceRequest request = StreamedRequest(50);
   request.mStream = false;
--- a/tests/unit/callrunnertest.cpp
+++ b/tests/unit/callrunnertest.cpp
@@ -107,7 +107,7 @@
   cr_assert(WaitForEnd(ended) == CallEnd::NeverSent);
 }
 
-Test(callrunner, connection_is_used_again_but_nothing_is_sent_twice)
+Test(callrunner, connection_is_reused_but_nothing_is_sent_twice)
 {
   for (const std::string method : { "POST", "GET", "DELETE" }) {
     const std::string_view end = method == "POST" ? "{end}" : "\r\n\r\n";
@@ -148,7 +148,7 @@
   cr_assert(ends == 0);
 }
 
-Test(callrunner, answer_cut_short_is_broken)
+Test(callrunner, truncated_answer_is_broken)
 {
   const Upstream upstream;
   CallRunner runner({});
--- a/tests/unit/httpservertest.cpp
+++ b/tests/unit/httpservertest.cpp
@@ -131,7 +131,7 @@
         std::move(aOptions),
         [this](const HttpRequest& aRequest) { return Answer(aRequest); },
         [this](BadInput aKind) {
-          mBad[static_cast<size_t>(aKind)].Add();
+          mBadInputs[static_cast<size_t>(aKind)].Add();
           return HttpReply{ .mStatus = 413, .mBody = "bad input" };
         })
   {
@@ -142,19 +142,22 @@
     return "http://127.0.0.1:" + std::to_string(mServer.Port()) + aTarget;
   }
 
-  Counter& Bad(BadInput aKind) { return mBad[static_cast<size_t>(aKind)]; }
+  Counter& BadInputCounter(BadInput aKind)
+  {
+    return mBadInputs[static_cast<size_t>(aKind)];
+  }
 
-  Counter mHandled;
-  Counter mClosed;
-  Counter mLeft;
-  Counter mBad[5];
+  Counter mHandledRequests;
+  Counter mClosedStreams;
+  Counter mDisconnects;
+  Counter mBadInputs[5];
 
 private:
   HttpReply Answer(const HttpRequest& aRequest)
   {
-    mHandled.Add();
+    mHandledRequests.Add();
     const std::string& target = aRequest.mTarget;
-    const auto closed = [this] { mClosed.Add(); };
+    const auto closed = [this] { mClosedStreams.Add(); };
     if (target.starts_with("/empty/")) {
       return { .mStatus = std::stoi(target.substr(7)) };
     }
@@ -171,7 +174,7 @@
       while (!aRequest.mCallerLeft()) {
         std::this_thread::sleep_for(10ms);
       }
-      mLeft.Add();
+      mDisconnects.Add();
       return {};
     }
     return { .mHeaders = { { "X-Echo", "yes" }, { "X-Bad", "a\r\nX-Evil: b" } },
@@ -214,7 +217,7 @@
   }
 }
 
-Test(httpserver, stream_is_whole_cut_or_never_begun)
+Test(httpserver, stream_is_complete_truncated_or_not_started)
 {
   Fixture fixture;
   CallRunner runner({});
@@ -224,7 +227,7 @@
   cr_assert(whole.mEnds.Reaches(1));
   cr_assert(whole.mEnd == CallEnd::Whole);
   cr_assert(whole.Body().ends_with("line 8\nline 9\n"));
-  cr_assert(fixture.mClosed.Reaches(1));
+  cr_assert(fixture.mClosedStreams.Reaches(1));
 
   Recorder cut;
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/cut") },
@@ -232,18 +235,18 @@
   cr_assert(cut.mEnds.Reaches(1));
   cr_assert(cut.mEnd == CallEnd::Broken);
   cr_assert(cut.Body() == whole.Body());
-  cr_assert(fixture.mClosed.Reaches(2));
+  cr_assert(fixture.mClosedStreams.Reaches(2));
 
   Recorder head;
   runner.Start({ .mMethod = "HEAD", .mTarget = fixture.Url("/lines") },
                head.Hooks());
   cr_assert(head.mEnds.Reaches(1));
   cr_assert(head.Body().empty());
-  cr_assert(fixture.mClosed.Reaches(3));
-  cr_assert(fixture.mClosed.Value() == 3);
+  cr_assert(fixture.mClosedStreams.Reaches(3));
+  cr_assert(fixture.mClosedStreams.Value() == 3);
 }
 
-Test(httpserver, cut_shows_without_chunks_too)
+Test(httpserver, truncation_is_visible_without_chunks)
 {
   Fixture fixture;
   const auto port = fixture.Url("").substr(17);
@@ -257,7 +260,7 @@
   cr_assert(!whole.Reset());
 }
 
-Test(httpserver, caller_that_leaves_is_noticed)
+Test(httpserver, disconnected_caller_is_detected)
 {
   Fixture fixture;
   CallRunner runner({});
@@ -266,19 +269,19 @@
     { .mMethod = "POST", .mTarget = fixture.Url("/endless") }, stream.Hooks());
   cr_assert(stream.mChunks.Reaches(3));
   runner.Cancel(call);
-  cr_assert(fixture.mClosed.Reaches(1));
+  cr_assert(fixture.mClosedStreams.Reaches(1));
 
   Recorder wait;
   const uint64_t second = runner.Start(
     { .mMethod = "POST", .mTarget = fixture.Url("/wait") }, wait.Hooks());
-  cr_assert(fixture.mHandled.Reaches(2));
+  cr_assert(fixture.mHandledRequests.Reaches(2));
   runner.Cancel(second);
-  cr_assert(fixture.mLeft.Reaches(1));
+  cr_assert(fixture.mDisconnects.Reaches(1));
   cr_assert(stream.mEnds.Value() == 0);
   cr_assert(wait.mEnds.Value() == 0);
 }
 
-Test(httpserver, stream_ends_at_the_first_step_after_the_caller_left)
+Test(httpserver, stream_ends_at_the_first_step_after_a_disconnect)
 {
   int ends[2];
   cr_assert(socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
@@ -316,23 +319,23 @@
                                .mBody = std::string(1001, 'x') },
                              Millis(20000));
   cr_assert(body && body->mBody == "bad input");
-  cr_assert(fixture.Bad(BadInput::BodyTooLarge).Value() == 1);
+  cr_assert(fixture.BadInputCounter(BadInput::BodyTooLarge).Value() == 1);
   const auto header =
     SendHttp({ .mMethod = "GET",
                .mTarget = fixture.Url("/"),
                .mHeaders = { { "X-Long", std::string(3000, 'x') } } },
              Millis(20000));
   cr_assert(header && header->mBody == "bad input");
-  cr_assert(fixture.Bad(BadInput::HeaderTooLarge).Value() == 1);
+  cr_assert(fixture.BadInputCounter(BadInput::HeaderTooLarge).Value() == 1);
   const auto fits = SendHttp({ .mMethod = "POST",
                                .mTarget = fixture.Url("/"),
                                .mBody = std::string(1000, 'x') },
                              Millis(20000));
   cr_assert(fits && fits->mStatus == 200);
-  cr_assert(fixture.mHandled.Value() == 1);
+  cr_assert(fixture.mHandledRequests.Value() == 1);
 }
 
-Test(httpserver, endless_body_is_stopped_with_an_answer)
+Test(httpserver, endless_body_is_rejected_with_an_answer)
 {
   Fixture fixture({ .mMostBody = 1000 });
   const auto port = fixture.Url("").substr(17);
@@ -347,11 +350,11 @@
   const std::string answer = socket.ReadUntil("bad input");
   cr_assert(answer.starts_with("HTTP/1.1 413"));
   sender.join();
-  cr_assert(fixture.Bad(BadInput::BodyTooLarge).Value() == 1);
-  cr_assert(fixture.mHandled.Value() == 0);
+  cr_assert(fixture.BadInputCounter(BadInput::BodyTooLarge).Value() == 1);
+  cr_assert(fixture.mHandledRequests.Value() == 0);
 }
 
-Test(httpserver, slow_and_broken_senders_are_given_up)
+Test(httpserver, slow_and_broken_senders_are_disconnected)
 {
   Fixture fixture({ .mReceiveSeconds = 1 });
   const auto port =
@@ -360,31 +363,31 @@
   cr_assert(slow.Send("POST / HTTP/1.1\r\nHost: a\r\n"
                       "Content-Length: 10\r\n\r\nabc"));
   cr_assert(slow.ReadAll().ends_with("bad input"));
-  cr_assert(fixture.Bad(BadInput::SlowSender).Value() == 1);
+  cr_assert(fixture.BadInputCounter(BadInput::SlowSender).Value() == 1);
   RawSocket slowHead(port);
   cr_assert(slowHead.Send("POST / HT"));
   cr_assert(slowHead.ReadAll().ends_with("bad input"));
-  cr_assert(fixture.Bad(BadInput::SlowSender).Value() == 2);
+  cr_assert(fixture.BadInputCounter(BadInput::SlowSender).Value() == 2);
   {
     RawSocket broken(port);
     cr_assert(broken.Send("POST / HTTP/1.1\r\nHost: a\r\n"
                           "Content-Length: 10\r\n\r\nabc"));
   }
-  cr_assert(fixture.Bad(BadInput::Malformed).Reaches(1));
+  cr_assert(fixture.BadInputCounter(BadInput::Malformed).Reaches(1));
   RawSocket nonsense(port);
   cr_assert(nonsense.Send("nonsense\r\n\r\n"));
   nonsense.ReadAll();
-  cr_assert(fixture.mHandled.Value() == 0);
+  cr_assert(fixture.mHandledRequests.Value() == 0);
 }
 
-Test(httpserver, crowded_server_answers_and_recovers)
+Test(httpserver, server_over_its_limit_answers_and_recovers)
 {
   Fixture fixture({ .mMaxConnections = 2 });
   CallRunner runner({});
   Recorder first;
   Recorder second;
   Recorder third;
-  const uint64_t held = runner.Start(
+  const uint64_t heldCall = runner.Start(
     { .mMethod = "GET", .mTarget = fixture.Url("/endless") }, first.Hooks());
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/endless") },
                second.Hooks());
@@ -394,7 +397,7 @@
                third.Hooks());
   cr_assert(third.mEnds.Reaches(1));
   cr_assert(third.Body() == "bad input");
-  cr_assert(fixture.Bad(BadInput::TooManyConnections).Value() == 1);
-  runner.Cancel(held);
-  cr_assert(fixture.mClosed.Reaches(1));
+  cr_assert(fixture.BadInputCounter(BadInput::TooManyConnections).Value() == 1);
+  runner.Cancel(heldCall);
+  cr_assert(fixture.mClosedStreams.Reaches(1));
 }
--- a/tests/unit/kerneltest.cpp
+++ b/tests/unit/kerneltest.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-Test(kernel, starts_in_order_and_stops_in_the_opposite)
+Test(kernel, starts_in_order_and_stops_in_reverse_order)
 {
   std::string events;
   {
@@ -55,7 +55,7 @@
   cr_assert(events == "+aa<+b-b-a~b~a", "%s", events.c_str());
 }
 
-Test(kernel, failed_start_stops_what_had_started)
+Test(kernel, failed_start_stops_the_started_services)
 {
   std::string events;
   Kernel kernel;
--- a/tests/unit/metricstest.cpp
+++ b/tests/unit/metricstest.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-Test(metrics, text_is_as_prometheus_reads_it)
+Test(metrics, text_has_the_prometheus_format)
 {
   Metrics metrics;
   metrics.Count("requests_total", "class=\"a\"", 2);
@@ -46,7 +46,7 @@
   cr_assert(metrics.CounterValue("requests_total", "class=\"b\"") == 0);
 }
 
-Test(metrics, a_description_stands_before_the_type)
+Test(metrics, description_precedes_the_type)
 {
   Metrics metrics;
   metrics.Describe("open", "Requests without an answer.");
--- a/tests/unit/settingstest.cpp
+++ b/tests/unit/settingstest.cpp
@@ -105,7 +105,7 @@
   cr_assert(!HttpUrl()("http://example:80").empty());
 }
 
-Test(settings, check_version_and_help_are_known)
+Test(settings, check_version_and_help_are_supported)
 {
   const SettingsOutcome check = Read({ "--listen", "127.0.0.1:1", "--check" });
   cr_assert(check.mSettings && check.mSettings->CheckOnly());
