--- a/src/libtrefoilio/httpmessage.h
+++ b/src/libtrefoilio/httpmessage.h
@@ -20,7 +20,7 @@
 bool
 SameHeaderName(std::string_view aLeft, std::string_view aRight);
 
-/** Returns false if a header would allow header injection; never sent. */
+/** Returns false if a header allows injection; such headers are not sent. */
 bool
 SafeHeader(std::string_view aName, std::string_view aValue);
 
--- a/src/libtrefoilio/settings.h
+++ b/src/libtrefoilio/settings.h
@@ -14,7 +14,7 @@
 {
   std::string mName;      /**< in kebab case, without leading dashes */
   std::string mHelp;      /**< one line, with the unit */
-  std::string mDefault{}; /**< empty and mRequired: must be given */
+  std::string mDefault{}; /**< for a setting that is not given */
   bool mRequired = false;
   /** Returns empty text for a valid value, else the accepted range. */
   std::function<std::string(const std::string&)> mCheck{};
--- a/src/libtrefoilio/streamstate.cpp
+++ b/src/libtrefoilio/streamstate.cpp
@@ -48,7 +48,7 @@
 {
   if (mPendingOffset == mPending.size() && !Refill()) {
     return mLastStep == StreamStep::End ? MHD_CONTENT_READER_END_OF_STREAM
-                                        : Cut();
+                                        : Abort();
   }
   const size_t count = std::min(aMaxBytes, mPending.size() - mPendingOffset);
   std::copy_n(mPending.data() + mPendingOffset, count, aOut);
@@ -72,7 +72,7 @@
 }
 
 ssize_t
-StreamState::Cut()
+StreamState::Abort()
 {
   if (mCloseDelimited) {
     Reset(mSocket);
--- a/src/libtrefoilio/streamstate.h
+++ b/src/libtrefoilio/streamstate.h
@@ -30,7 +30,7 @@
 
 private:
   bool Refill();
-  ssize_t Cut();
+  ssize_t Abort();
 
   StreamSource mSource;
   std::function<void()> mOnClosed;
