--- a/src/libtrefoilio/kernel.cpp
+++ b/src/libtrefoilio/kernel.cpp
@@ -19,7 +19,7 @@
 {
   for (const Entry& entry : mEntries) {
     if (entry.mName == aName) {
-      throw std::invalid_argument("two services are called " + aName);
+      throw std::invalid_argument("duplicate service name " + aName);
     }
   }
   mEntries.push_back(
@@ -34,7 +34,7 @@
       return *entry.mService;
     }
   }
-  throw std::out_of_range("no service is called " + std::string(aName));
+  throw std::out_of_range("unknown service " + std::string(aName));
 }
 
 void
@@ -56,8 +56,8 @@
 void
 Kernel::StopAll()
 {
-  for (size_t left = mEntries.size(); left > 0; --left) {
-    Entry& entry = mEntries[left - 1];
+  for (size_t remaining = mEntries.size(); remaining > 0; --remaining) {
+    Entry& entry = mEntries[remaining - 1];
     if (entry.mStarted) {
       entry.mStarted = false;
       entry.mService->Stop();
--- a/tests/unit/httpservertest.cpp
+++ b/tests/unit/httpservertest.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-/** Long enough never to matter unless something hangs. */
-constexpr std::chrono::seconds kHang{ 20 };
+/** Only exceeded if something hangs. */
+constexpr std::chrono::seconds kHangTimeout{ 20 };
 
-/** Counts up; others wait for a count. */
+/** Counter that threads can wait on. */
 class Counter
 {
 public:
@@ -36,10 +36,10 @@
     mChanged.notify_all();
   }
 
-  bool Reaches(int aCount, std::chrono::milliseconds aSpan = kHang)
+  bool Reaches(int aCount, std::chrono::milliseconds aTimeout = kHangTimeout)
   {
     std::unique_lock lock(mMutex);
-    return mChanged.wait_for(lock, aSpan, [&] { return mCount >= aCount; });
+    return mChanged.wait_for(lock, aTimeout, [&] { return mCount >= aCount; });
   }
 
   int Value()
@@ -54,7 +54,7 @@
   int mCount = 0;
 };
 
-/** Records what a call's hooks were told. */
+/** Records the callbacks of a call. */
 class Recorder
 {
 public:
@@ -72,7 +72,7 @@
                    std::lock_guard lock(mMutex);
                    mBody += aData;
                  }
-                 mPieces.Add();
+                 mChunks.Add();
                },
              .mOnEnd =
                [this](CallEnd aEnd) {
@@ -87,7 +87,7 @@
     return mBody;
   }
 
-  Counter mPieces;
+  Counter mChunks;
   Counter mEnds;
   std::atomic<CallEnd> mEnd = CallEnd::Whole;
   std::atomic<int> mStatus = 0;
@@ -98,7 +98,7 @@
   std::string mBody;
 };
 
-/** Ten numbered lines, then the given end. */
+/** Produces ten numbered lines, then the given end. */
 StreamSource
 TenLines(StreamStep aEnd)
 {
@@ -111,7 +111,7 @@
   };
 }
 
-/** Lines for ever, one each 20 ms. */
+/** Produces an unlimited number of lines, one every 20 ms. */
 StreamSource
 Endless()
 {
@@ -122,7 +122,7 @@
   };
 }
 
-/** A server whose answers depend on the path. */
+/** A server whose response depends on the path. */
 class Fixture
 {
 public:
@@ -131,7 +131,7 @@
         std::move(aOptions),
         [this](const HttpRequest& aRequest) { return Answer(aRequest); },
         [this](BadInput aKind) {
-          mBad[static_cast<size_t>(aKind)].Add();
+          mBadInputs[static_cast<size_t>(aKind)].Add();
           return HttpReply{ .mStatus = 413, .mBody = "bad input" };
         })
   {
@@ -142,19 +142,22 @@
     return "http://127.0.0.1:" + std::to_string(mServer.Port()) + aTarget;
   }
 
-  Counter& Bad(BadInput aKind) { return mBad[static_cast<size_t>(aKind)]; }
+  Counter& BadInputCounter(BadInput aKind)
+  {
+    return mBadInputs[static_cast<size_t>(aKind)];
+  }
 
-  Counter mHandled;
-  Counter mClosed;
-  Counter mLeft;
-  Counter mBad[5];
+  Counter mHandledRequests;
+  Counter mClosedStreams;
+  Counter mDisconnects;
+  Counter mBadInputs[5];
 
 private:
   HttpReply Answer(const HttpRequest& aRequest)
   {
-    mHandled.Add();
+    mHandledRequests.Add();
     const std::string& target = aRequest.mTarget;
-    const auto closed = [this] { mClosed.Add(); };
+    const auto closed = [this] { mClosedStreams.Add(); };
     if (target.starts_with("/empty/")) {
       return { .mStatus = std::stoi(target.substr(7)) };
     }
@@ -171,7 +174,7 @@
       while (!aRequest.mCallerLeft()) {
         std::this_thread::sleep_for(10ms);
       }
-      mLeft.Add();
+      mDisconnects.Add();
       return {};
     }
     return { .mHeaders = { { "X-Echo", "yes" }, { "X-Bad", "a\r\nX-Evil: b" } },
@@ -214,7 +217,7 @@
   }
 }
 
-Test(httpserver, stream_is_whole_cut_or_never_begun)
+Test(httpserver, stream_is_complete_truncated_or_not_started)
 {
   Fixture fixture;
   CallRunner runner({});
@@ -224,7 +227,7 @@
   cr_assert(whole.mEnds.Reaches(1));
   cr_assert(whole.mEnd == CallEnd::Whole);
   cr_assert(whole.Body().ends_with("line 8\nline 9\n"));
-  cr_assert(fixture.mClosed.Reaches(1));
+  cr_assert(fixture.mClosedStreams.Reaches(1));
 
   Recorder cut;
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/cut") },
@@ -232,18 +235,18 @@
   cr_assert(cut.mEnds.Reaches(1));
   cr_assert(cut.mEnd == CallEnd::Broken);
   cr_assert(cut.Body() == whole.Body());
-  cr_assert(fixture.mClosed.Reaches(2));
+  cr_assert(fixture.mClosedStreams.Reaches(2));
 
   Recorder head;
   runner.Start({ .mMethod = "HEAD", .mTarget = fixture.Url("/lines") },
                head.Hooks());
   cr_assert(head.mEnds.Reaches(1));
   cr_assert(head.Body().empty());
-  cr_assert(fixture.mClosed.Reaches(3));
-  cr_assert(fixture.mClosed.Value() == 3);
+  cr_assert(fixture.mClosedStreams.Reaches(3));
+  cr_assert(fixture.mClosedStreams.Value() == 3);
 }
 
-Test(httpserver, cut_shows_without_chunks_too)
+Test(httpserver, truncation_is_visible_without_chunks)
 {
   Fixture fixture;
   const auto port = fixture.Url("").substr(17);
@@ -257,28 +260,28 @@
   cr_assert(!whole.Reset());
 }
 
-Test(httpserver, caller_that_leaves_is_noticed)
+Test(httpserver, disconnected_caller_is_detected)
 {
   Fixture fixture;
   CallRunner runner({});
   Recorder stream;
   const uint64_t call = runner.Start(
     { .mMethod = "POST", .mTarget = fixture.Url("/endless") }, stream.Hooks());
-  cr_assert(stream.mPieces.Reaches(3));
+  cr_assert(stream.mChunks.Reaches(3));
   runner.Cancel(call);
-  cr_assert(fixture.mClosed.Reaches(1));
+  cr_assert(fixture.mClosedStreams.Reaches(1));
 
   Recorder wait;
   const uint64_t second = runner.Start(
     { .mMethod = "POST", .mTarget = fixture.Url("/wait") }, wait.Hooks());
-  cr_assert(fixture.mHandled.Reaches(2));
+  cr_assert(fixture.mHandledRequests.Reaches(2));
   runner.Cancel(second);
-  cr_assert(fixture.mLeft.Reaches(1));
+  cr_assert(fixture.mDisconnects.Reaches(1));
   cr_assert(stream.mEnds.Value() == 0);
   cr_assert(wait.mEnds.Value() == 0);
 }
 
-Test(httpserver, stream_ends_at_the_first_step_after_the_caller_left)
+Test(httpserver, stream_ends_at_the_first_step_after_a_disconnect)
 {
   int ends[2];
   cr_assert(socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
@@ -316,23 +319,23 @@
                                .mBody = std::string(1001, 'x') },
                              Millis(20000));
   cr_assert(body && body->mBody == "bad input");
-  cr_assert(fixture.Bad(BadInput::BodyTooLarge).Value() == 1);
+  cr_assert(fixture.BadInputCounter(BadInput::BodyTooLarge).Value() == 1);
   const auto header =
     SendHttp({ .mMethod = "GET",
                .mTarget = fixture.Url("/"),
                .mHeaders = { { "X-Long", std::string(3000, 'x') } } },
              Millis(20000));
   cr_assert(header && header->mBody == "bad input");
-  cr_assert(fixture.Bad(BadInput::HeaderTooLarge).Value() == 1);
+  cr_assert(fixture.BadInputCounter(BadInput::HeaderTooLarge).Value() == 1);
   const auto fits = SendHttp({ .mMethod = "POST",
                                .mTarget = fixture.Url("/"),
                                .mBody = std::string(1000, 'x') },
                              Millis(20000));
   cr_assert(fits && fits->mStatus == 200);
-  cr_assert(fixture.mHandled.Value() == 1);
+  cr_assert(fixture.mHandledRequests.Value() == 1);
 }
 
-Test(httpserver, endless_body_is_stopped_with_an_answer)
+Test(httpserver, endless_body_is_rejected_with_an_answer)
 {
   Fixture fixture({ .mMostBody = 1000 });
   const auto port = fixture.Url("").substr(17);
@@ -347,11 +350,11 @@
   const std::string answer = socket.ReadUntil("bad input");
   cr_assert(answer.starts_with("HTTP/1.1 413"));
   sender.join();
-  cr_assert(fixture.Bad(BadInput::BodyTooLarge).Value() == 1);
-  cr_assert(fixture.mHandled.Value() == 0);
+  cr_assert(fixture.BadInputCounter(BadInput::BodyTooLarge).Value() == 1);
+  cr_assert(fixture.mHandledRequests.Value() == 0);
 }
 
-Test(httpserver, slow_and_broken_senders_are_given_up)
+Test(httpserver, slow_and_broken_senders_are_disconnected)
 {
   Fixture fixture({ .mReceiveSeconds = 1 });
   const auto port =
@@ -360,41 +363,41 @@
   cr_assert(slow.Send("POST / HTTP/1.1\r\nHost: a\r\n"
                       "Content-Length: 10\r\n\r\nabc"));
   cr_assert(slow.ReadAll().ends_with("bad input"));
-  cr_assert(fixture.Bad(BadInput::SlowSender).Value() == 1);
+  cr_assert(fixture.BadInputCounter(BadInput::SlowSender).Value() == 1);
   RawSocket slowHead(port);
   cr_assert(slowHead.Send("POST / HT"));
   cr_assert(slowHead.ReadAll().ends_with("bad input"));
-  cr_assert(fixture.Bad(BadInput::SlowSender).Value() == 2);
+  cr_assert(fixture.BadInputCounter(BadInput::SlowSender).Value() == 2);
   {
     RawSocket broken(port);
     cr_assert(broken.Send("POST / HTTP/1.1\r\nHost: a\r\n"
                           "Content-Length: 10\r\n\r\nabc"));
   }
-  cr_assert(fixture.Bad(BadInput::Malformed).Reaches(1));
+  cr_assert(fixture.BadInputCounter(BadInput::Malformed).Reaches(1));
   RawSocket nonsense(port);
   cr_assert(nonsense.Send("nonsense\r\n\r\n"));
   nonsense.ReadAll();
-  cr_assert(fixture.mHandled.Value() == 0);
+  cr_assert(fixture.mHandledRequests.Value() == 0);
 }
 
-Test(httpserver, crowded_server_answers_and_recovers)
+Test(httpserver, server_over_its_limit_answers_and_recovers)
 {
   Fixture fixture({ .mMaxConnections = 2 });
   CallRunner runner({});
   Recorder first;
   Recorder second;
   Recorder third;
-  const uint64_t held = runner.Start(
+  const uint64_t heldCall = runner.Start(
     { .mMethod = "GET", .mTarget = fixture.Url("/endless") }, first.Hooks());
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/endless") },
                second.Hooks());
-  cr_assert(first.mPieces.Reaches(1));
-  cr_assert(second.mPieces.Reaches(1));
+  cr_assert(first.mChunks.Reaches(1));
+  cr_assert(second.mChunks.Reaches(1));
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/") },
                third.Hooks());
   cr_assert(third.mEnds.Reaches(1));
   cr_assert(third.Body() == "bad input");
-  cr_assert(fixture.Bad(BadInput::TooManyConnections).Value() == 1);
-  runner.Cancel(held);
-  cr_assert(fixture.mClosed.Reaches(1));
+  cr_assert(fixture.BadInputCounter(BadInput::TooManyConnections).Value() == 1);
+  runner.Cancel(heldCall);
+  cr_assert(fixture.mClosedStreams.Reaches(1));
 }
