--- a/tests/chaos/chaosrun.cpp
+++ b/tests/chaos/chaosrun.cpp
@@ -20,8 +20,8 @@
 
 constexpr size_t kEngines = 3;
 constexpr size_t kEntries = 2;
-constexpr size_t kMostFaults = 2;
-constexpr std::chrono::milliseconds kBetweenRequests(40);
+constexpr size_t kMaxActiveFaults = 2;
+constexpr std::chrono::milliseconds kRequestInterval(40);
 const trefoilio::HttpHeaders kDeadline = { { "X-Trefoilarch-Deadline-Ms",
                                              "8000" } };
 
@@ -32,7 +32,7 @@
 }
 
 FleetOptions
-ChaosFleet()
+FleetOptionsForChaos()
 {
   return { .mEngines = kEngines,
            .mServices = 1,
@@ -58,50 +58,50 @@
   : mOptions(aOptions)
   , mRandom(aOptions.mSeed)
   , mFaults(Faults())
-  , mFleet(ChaosFleet())
+  , mFleet(FleetOptionsForChaos())
 {
 }
 
 ChaosReport
-ChaosRun::Go()
+ChaosRun::Run()
 {
   constexpr int64_t kMillisPerSecond = 1000;
   const int64_t end = Now() + mOptions.mSeconds * kMillisPerSecond;
   while (Now() < end) {
-    SendOne();
-    if (Draw(20) == 0) {
-      LeaveOne();
+    SendRequest();
+    if (RandomBelow(20) == 0) {
+      AbandonCall();
     }
-    if (mActive.size() < kMostFaults && Draw(10) == 0) {
-      StrikeOne();
+    if (mActive.size() < kMaxActiveFaults && RandomBelow(10) == 0) {
+      InjectFault();
     }
-    HealDue(Now());
-    std::this_thread::sleep_for(kBetweenRequests);
+    UndoDueFaults(Now());
+    std::this_thread::sleep_for(kRequestInterval);
   }
-  HealDue(end * 2);
-  Judge();
+  UndoDueFaults(end * 2);
+  CheckCalls();
   return std::move(mReport);
 }
 
 void
-ChaosRun::SendOne()
+ChaosRun::SendRequest()
 {
-  constexpr size_t kLongest = 120;
-  const bool idempotent = Draw(2) == 0;
-  const bool stream = Draw(3) != 0;
-  const bool booking = !idempotent && Draw(5) == 0;
-  const size_t tokens = 5 + Draw(kLongest);
-  const char* name = Draw(2) == 0 ? "mid-call" : "drafting";
+  constexpr size_t kTokenRange = 120;
+  const bool idempotent = RandomBelow(2) == 0;
+  const bool stream = RandomBelow(3) != 0;
+  const bool booking = !idempotent && RandomBelow(5) == 0;
+  const size_t tokens = 5 + RandomBelow(kTokenRange);
+  const char* name = RandomBelow(2) == 0 ? "mid-call" : "drafting";
   auto request = booking      ? integration::BookingRequest()
                  : idempotent ? integration::ChatRequest(name, tokens, stream)
                               : integration::OnceRequest(name, 40, false);
-  std::string mark = DrawMark(idempotent);
+  std::string mark = ChooseMark(idempotent);
   if (booking) {
     mark = "b" + mark;
   }
   SentCall call;
-  call.mEntry = Draw(kEntries);
-  call.mSent = Now();
+  call.mEntry = RandomBelow(kEntries);
+  call.mSentAt = Now();
   call.mIdempotent = idempotent;
   call.mCall = mFleet.SendMarked(request, mark, call.mEntry, kDeadline);
   mCalls.push_back(std::move(call));
@@ -109,11 +109,12 @@
 }
 
 std::string
-ChaosRun::DrawMark(bool aIdempotent)
+ChaosRun::ChooseMark(bool aIdempotent)
 {
-  if (!aIdempotent && !mKeys.empty() && Draw(4) == 0) {
-    ++mReport.mRepeats;
-    return mKeys[mKeys.size() - 1 - Draw(std::min<size_t>(mKeys.size(), 20))];
+  if (!aIdempotent && !mKeys.empty() && RandomBelow(4) == 0) {
+    ++mReport.mRepeatedKeys;
+    return mKeys[mKeys.size() - 1 -
+                 RandomBelow(std::min<size_t>(mKeys.size(), 20))];
   }
   std::string mark = "chaos" + std::to_string(mCalls.size());
   if (!aIdempotent) {
@@ -123,122 +124,125 @@
 }
 
 void
-ChaosRun::LeaveOne()
+ChaosRun::AbandonCall()
 {
-  SentCall& call =
-    mCalls[mCalls.size() - 1 - Draw(std::min<size_t>(mCalls.size(), 10))];
+  SentCall& call = mCalls[mCalls.size() - 1 -
+                          RandomBelow(std::min<size_t>(mCalls.size(), 10))];
   if (!call.mCall->HasEnded()) {
     call.mCall->Leave();
-    call.mLeft = true;
-    ++mReport.mLeft;
+    call.mCallerLeft = true;
+    ++mReport.mCallersLeft;
   }
 }
 
 bool
-ChaosRun::Struck(const Fault& aFault, size_t aWhich) const
+ChaosRun::IsTargeted(const Fault& aFault, size_t aTarget) const
 {
   return std::ranges::any_of(mActive, [&](const ActiveFault& aActive) {
     return aActive.mFault.mOfEntry == aFault.mOfEntry &&
-           aActive.mWhich == aWhich;
+           aActive.mTarget == aTarget;
   });
 }
 
 void
-ChaosRun::StrikeOne()
+ChaosRun::InjectFault()
 {
-  constexpr int64_t kShortest = 200;
-  constexpr size_t kSpread = 3000;
-  const Fault& fault = mFaults[Draw(mFaults.size())];
-  const size_t which = Draw(fault.mOfEntry ? kEntries : kEngines);
-  if (Struck(fault, which)) {
+  constexpr int64_t kMinDurationMs = 200;
+  constexpr size_t kDurationRangeMs = 3000;
+  const Fault& fault = mFaults[RandomBelow(mFaults.size())];
+  const size_t target = RandomBelow(fault.mOfEntry ? kEntries : kEngines);
+  if (IsTargeted(fault, target)) {
     return;
   }
   if (fault.mEntryDies) {
-    mDeaths[which].push_back(Now());
+    mKillTimes[target].push_back(Now());
   }
-  fault.mStrike(mFleet, which);
+  fault.mStrike(mFleet, target);
   ++mReport.mFaults[fault.mName];
   mActive.push_back(
     { .mFault = fault,
-      .mWhich = which,
-      .mHealAt = Now() + kShortest + static_cast<int64_t>(Draw(kSpread)) });
+      .mTarget = target,
+      .mUndoAt = Now() + kMinDurationMs +
+                 static_cast<int64_t>(RandomBelow(kDurationRangeMs)) });
 }
 
 void
-ChaosRun::HealDue(int64_t aNow)
+ChaosRun::UndoDueFaults(int64_t aNow)
 {
   for (auto active = mActive.begin(); active != mActive.end();) {
-    if (active->mHealAt > aNow) {
+    if (active->mUndoAt > aNow) {
       ++active;
       continue;
     }
-    active->mFault.mHeal(mFleet, active->mWhich);
+    active->mFault.mHeal(mFleet, active->mTarget);
     active = mActive.erase(active);
   }
 }
 
 bool
-ChaosRun::EntryDiedUnder(const SentCall& aCall) const
+ChaosRun::EntryDiedDuring(const SentCall& aCall) const
 {
-  const auto deaths = mDeaths.find(aCall.mEntry);
-  if (deaths == mDeaths.end()) {
+  const auto killTimes = mKillTimes.find(aCall.mEntry);
+  if (killTimes == mKillTimes.end()) {
     return false;
   }
-  // A dead entry's callers cannot connect until it is started anew.
-  constexpr int64_t kDown = 6000;
+  // Callers can't connect to a killed entry until it is restarted.
+  constexpr int64_t kMaxRestartMs = 6000;
   const int64_t ended = aCall.mCall->Record().mEnded;
-  return std::ranges::any_of(deaths->second, [&](int64_t aDeath) {
-    return aDeath <= ended && aCall.mSent <= aDeath + kDown;
+  return std::ranges::any_of(killTimes->second, [&](int64_t aKillTime) {
+    return aKillTime <= ended && aCall.mSentAt <= aKillTime + kMaxRestartMs;
   });
 }
 
 void
-ChaosRun::Judge()
+ChaosRun::CheckCalls()
 {
   std::map<std::string, std::vector<const SentCall*>> groups;
   for (const SentCall& call : mCalls) {
-    if (!call.mLeft) {
+    if (!call.mCallerLeft) {
       call.mCall->AwaitEnd();
       ++mReport.mOutcomes[Name(call.mCall->Record().mOutcome)];
     }
     groups[call.mCall->Mark()].push_back(&call);
   }
   for (const auto& [mark, calls] : groups) {
-    JudgeGroup(mark, calls);
+    CheckGroup(mark, calls);
   }
 }
 
 void
-ChaosRun::JudgeGroup(const std::string& aMark,
+ChaosRun::CheckGroup(const std::string& aMark,
                      const std::vector<const SentCall*>& aCalls)
 {
   const size_t runs = mFleet.RunsOf(aMark);
-  bool allToldNo = true;
+  bool allReportedNotRun = true;
   for (const SentCall* call : aCalls) {
-    if (call->mLeft) {
-      allToldNo = false;
+    if (call->mCallerLeft) {
+      allReportedNotRun = false;
       continue;
     }
     const CallRecord record = call->mCall->Record();
-    allToldNo = allToldNo && record.mRan == "no";
+    allReportedNotRun = allReportedNotRun && record.mRan == "no";
     const bool repeated = aCalls.size() > 1;
     if (repeated && record.mOutcome == CallOutcome::Refused) {
       continue;
     }
-    const std::string broken =
+    const std::string violation =
       integration::BrokenPromise(mFleet,
                                  *call->mCall,
                                  { .mIdempotent = call->mIdempotent,
-                                   .mEntryMayDie = EntryDiedUnder(*call) });
-    if (!broken.empty()) {
-      mReport.mBroken.push_back(broken);
+                                   .mEntryMayDie = EntryDiedDuring(*call) });
+    if (!violation.empty()) {
+      mReport.mViolations.push_back(violation);
     }
   }
   if (!aCalls.front()->mIdempotent && runs > 1) {
-    mReport.mBroken.push_back(aMark + ": " + std::to_string(runs) + " runs");
+    mReport.mViolations.push_back(aMark + ": " + std::to_string(runs) +
+                                  " runs");
   }
-  if (allToldNo && runs != 0) {
-    mReport.mBroken.push_back(aMark + ": all told not run, but run");
+  if (allReportedNotRun && runs != 0) {
+    mReport.mViolations.push_back(
+      aMark + ": all calls were reported not run, but the request ran");
   }
 }
 
--- a/tests/chaos/chaosrun.h
+++ b/tests/chaos/chaosrun.h
@@ -13,27 +13,27 @@
 
 namespace chaos {
 
-/** How long, and drawn from which seed. */
+/** Seed and duration of a run. */
 struct ChaosOptions
 {
   uint64_t mSeed = 1;
   int64_t mSeconds = 30;
 };
 
-/** What a run has brought. */
+/** The results of a run. */
 struct ChaosReport
 {
   size_t mRequests = 0;
-  size_t mRepeats = 0; /**< of an idempotency key, among them */
-  size_t mLeft = 0;    /**< callers that left */
+  size_t mRepeatedKeys = 0; /**< requests that reuse an idempotency key */
+  size_t mCallersLeft = 0;  /**< callers that disconnected */
   std::map<std::string, size_t> mFaults;
   std::map<std::string, size_t> mOutcomes;
-  std::vector<std::string> mBroken; /**< promises that were not kept */
+  std::vector<std::string> mViolations; /**< guarantees that did not hold */
 };
 
 /**
- * Sends random requests through real processes while random faults strike,
- * two at a time and again during recovery, and checks every promise from the
+ * Sends random requests through real processes under random faults, up to two
+ * at a time and also during recovery, and checks all guarantees against the
  * callers' and the upstreams' records.
  */
 class ChaosRun
@@ -41,34 +41,34 @@
 public:
   explicit ChaosRun(ChaosOptions aOptions);
 
-  ChaosReport Go();
+  ChaosReport Run();
 
 private:
   struct SentCall
   {
     std::unique_ptr<integration::OpenCall> mCall;
     size_t mEntry = 0;
-    int64_t mSent = 0;
+    int64_t mSentAt = 0;
     bool mIdempotent = true;
-    bool mLeft = false;
+    bool mCallerLeft = false;
   };
   struct ActiveFault
   {
     integration::Fault mFault;
-    size_t mWhich = 0;
-    int64_t mHealAt = 0;
+    size_t mTarget = 0;
+    int64_t mUndoAt = 0;
   };
 
-  size_t Draw(size_t aBelow) { return mRandom() % aBelow; }
-  void SendOne();
-  std::string DrawMark(bool aIdempotent);
-  void LeaveOne();
-  void StrikeOne();
-  void HealDue(int64_t aNow);
-  bool Struck(const integration::Fault& aFault, size_t aWhich) const;
-  bool EntryDiedUnder(const SentCall& aCall) const;
-  void Judge();
-  void JudgeGroup(const std::string& aMark,
+  size_t RandomBelow(size_t aLimit) { return mRandom() % aLimit; }
+  void SendRequest();
+  std::string ChooseMark(bool aIdempotent);
+  void AbandonCall();
+  void InjectFault();
+  void UndoDueFaults(int64_t aNow);
+  bool IsTargeted(const integration::Fault& aFault, size_t aTarget) const;
+  bool EntryDiedDuring(const SentCall& aCall) const;
+  void CheckCalls();
+  void CheckGroup(const std::string& aMark,
                   const std::vector<const SentCall*>& aCalls);
 
   ChaosOptions mOptions;
@@ -78,8 +78,8 @@
   std::vector<SentCall> mCalls;
   std::vector<std::string> mKeys;
   std::list<ActiveFault> mActive;
-  /** Times at which each entry was killed. */
-  std::map<size_t, std::vector<int64_t>> mDeaths;
+  /** Kill times of each entry. */
+  std::map<size_t, std::vector<int64_t>> mKillTimes;
   ChaosReport mReport;
 };
 
--- a/tests/chaos/main.cpp
+++ b/tests/chaos/main.cpp
@@ -5,14 +5,14 @@
 
 namespace {
 
-constexpr int64_t kMostSeconds = 600;
+constexpr int64_t kMaxSeconds = 600;
 
 void
 Print(const chaos::ChaosReport& aReport)
 {
-  std::cout << aReport.mRequests << " requests, " << aReport.mRepeats
-            << " of them repeats of a key, " << aReport.mLeft
-            << " callers left\n";
+  std::cout << aReport.mRequests << " requests, " << aReport.mRepeatedKeys
+            << " of them with a repeated key, " << aReport.mCallersLeft
+            << " callers disconnected\n";
   size_t faults = 0;
   for (const auto& [name, count] : aReport.mFaults) {
     std::cout << "fault " << name << ": " << count << '\n';
@@ -21,11 +21,11 @@
   for (const auto& [name, count] : aReport.mOutcomes) {
     std::cout << "outcome " << name << ": " << count << '\n';
   }
-  for (const std::string& line : aReport.mBroken) {
-    std::cout << "BROKEN " << line << '\n';
+  for (const std::string& line : aReport.mViolations) {
+    std::cout << "VIOLATION " << line << '\n';
   }
-  std::cout << faults << " faults, " << aReport.mBroken.size()
-            << " broken promises\n";
+  std::cout << faults << " faults, " << aReport.mViolations.size()
+            << " violations\n";
 }
 
 } // namespace
@@ -39,11 +39,11 @@
   TCLAP::ValueArg<int64_t> seconds(
     "", "seconds", "length, 600 at the most", false, 30, "S", line);
   line.parse(aCount, aArguments);
-  const int64_t length = std::min(seconds.getValue(), kMostSeconds);
+  const int64_t length = std::min(seconds.getValue(), kMaxSeconds);
   std::cout << "seed " << seed.getValue() << ", " << length << " seconds"
             << std::endl;
   const chaos::ChaosReport report =
-    chaos::ChaosRun({ .mSeed = seed.getValue(), .mSeconds = length }).Go();
+    chaos::ChaosRun({ .mSeed = seed.getValue(), .mSeconds = length }).Run();
   Print(report);
-  return report.mBroken.empty() ? 0 : 1;
+  return report.mViolations.empty() ? 0 : 1;
 }
--- a/tests/replay/baselines.cpp
+++ b/tests/replay/baselines.cpp
@@ -14,35 +14,35 @@
 namespace {
 
 constexpr Millis kNetwork{ 1 };
-constexpr Millis kReportEvery{ 500 };
-constexpr Millis kReportLag{ 500 };
-/** A lost host is left out after this. */
-constexpr Millis kNoticeLoss{ 1000 };
+constexpr Millis kReportInterval{ 500 };
+constexpr Millis kReportDelay{ 500 };
+/** Time until requests avoid a lost host. */
+constexpr Millis kHostLossDetectionDelay{ 1000 };
 
-/** What a baseline knows of an engine. */
-struct Seen
+/** A baseline router's view of one engine. */
+struct EngineView
 {
   size_t mLoad = 0;
   bool mUp = true;
 };
 
-using Choose = std::function<size_t(const std::vector<Seen>&)>;
+using EngineChooser = std::function<size_t(const std::vector<EngineView>&)>;
 
-/** Binds each request to an engine on arrival and never refuses. */
+/** Binds each request to an engine on arrival and never rejects one. */
 class EarlyBinding : public Router
 {
 public:
   EarlyBinding(VirtualTime& aTime,
                const Trace& aTrace,
                CallerHooks aHooks,
-               Choose aChoose,
-               bool aTiers)
+               EngineChooser aChooser,
+               bool aUsesTiers)
     : mTime(aTime)
     , mTrace(aTrace)
     , mHooks(std::move(aHooks))
-    , mChoose(std::move(aChoose))
-    , mTiers(aTiers)
-    , mSeen(aTrace.mEngines)
+    , mChooser(std::move(aChooser))
+    , mUsesTiers(aUsesTiers)
+    , mEngineViews(aTrace.mEngines)
     , mUp(aTrace.mEngines, true)
   {
     for (size_t i = 0; i < aTrace.mEngines; ++i) {
@@ -56,14 +56,14 @@
 
   void Submit(CallerRequest aRequest) override
   {
-    const size_t engine = mChoose(mSeen);
+    const size_t engine = mChooser(mEngineViews);
     const uint64_t id = mNextId++;
     mCalls[id] = { .mRequest = aRequest, .mEngine = engine };
     mOpen[aRequest] = id;
     mTime.After(kNetwork, [this, id] { Start(id); });
   }
 
-  void Leave(CallerRequest aRequest) override
+  void Abandon(CallerRequest aRequest) override
   {
     const auto found = mOpen.find(aRequest);
     if (found == mOpen.end()) {
@@ -77,33 +77,34 @@
 
   void Apply(const TraceFault& aFault) override
   {
-    if (aFault.mSlow > 0) {
-      return mEngines[aFault.mEngine]->SetSlow(aFault.mSlow);
+    if (aFault.mSlowdown > 0) {
+      return mEngines[aFault.mEngine]->SetSlowdown(aFault.mSlowdown);
     }
     const size_t engine = aFault.mEngine;
     mUp[engine] = false;
     mEngines[engine]->Crash();
-    mTime.After(kNoticeLoss, [this, engine] { mSeen[engine].mUp = false; });
+    mTime.After(kHostLossDetectionDelay,
+                [this, engine] { mEngineViews[engine].mUp = false; });
     const auto open = mOpen;
     for (const auto& [request, id] : open) {
       if (mCalls.at(id).mEngine == engine) {
-        Lose(id);
+        OnConnectionLost(id);
       }
     }
   }
 
-  std::vector<Spent> Executions() const override
+  std::vector<ExecutionCost> Executions() const override
   {
-    std::vector<Spent> spent;
+    std::vector<ExecutionCost> costs;
     for (const auto& engine : mEngines) {
       for (const Execution& execution : engine->Executions()) {
-        spent.push_back({ .mRequest = mCalls.at(execution.mId).mRequest,
-                          .mCost = LeastCost(execution.mPromptTokens,
-                                             execution.mOutputTokens),
-                          .mWhole = mCalls.at(execution.mId).mWhole });
+        costs.push_back(
+          { .mRequest = mCalls.at(execution.mId).mRequest,
+            .mCost = MinCost(execution.mPromptTokens, execution.mOutputTokens),
+            .mComplete = mCalls.at(execution.mId).mComplete });
       }
     }
-    return spent;
+    return costs;
   }
 
 private:
@@ -111,8 +112,8 @@
   {
     CallerRequest mRequest{};
     size_t mEngine = 0;
-    bool mBegun = false;
-    bool mWhole = false;
+    bool mResponseStarted = false;
+    bool mComplete = false;
   };
 
   void Start(uint64_t aId)
@@ -120,24 +121,25 @@
     const Call& call = mCalls.at(aId);
     const TraceRequest& request = mTrace.mRequests[call.mRequest.mIndex];
     if (!mUp[call.mEngine]) {
-      return Lose(aId);
+      return OnConnectionLost(aId);
     }
     mEngines[call.mEngine]->Start(
       { .mId = aId,
-        .mPriority = mTiers ? mTrace.ClassOf(request).mTier : 0,
+        .mPriority = mUsesTiers ? mTrace.ClassOf(request).mTier : 0,
         .mPrefix = request.mPrefix,
         .mPrefixTokens = request.mPrefixTokens,
         .mPromptTokens = request.mPromptTokens,
         .mOutputTokens = request.mOutputTokens });
   }
 
-  /** The connection broke: asks once more where nothing has been seen. */
-  void Lose(uint64_t aId)
+  /** Resubmits an idempotent request whose response has not started, and fails
+   * any other. */
+  void OnConnectionLost(uint64_t aId)
   {
     const Call call = mCalls.at(aId);
     const bool idempotent = mTrace.mRequests[call.mRequest.mIndex].mIdempotent;
     mOpen.erase(call.mRequest);
-    if (!call.mBegun && idempotent) {
+    if (!call.mResponseStarted && idempotent) {
       return Submit(call.mRequest);
     }
     mHooks.mOnRefused(call.mRequest,
@@ -150,8 +152,8 @@
   void OnToken(uint64_t aId, bool aLast)
   {
     Call& call = mCalls.at(aId);
-    call.mBegun = true;
-    call.mWhole = aLast;
+    call.mResponseStarted = true;
+    call.mComplete = aLast;
     mTime.After(kNetwork, [this, request = call.mRequest, aId, aLast] {
       const auto found = mOpen.find(request);
       if (found == mOpen.end() || found->second != aId) {
@@ -162,7 +164,7 @@
         mOpen.erase(found);
       }
       if (aLast) {
-        mHooks.mOnWhole(request);
+        mHooks.mOnComplete(request);
       }
     });
   }
@@ -170,22 +172,22 @@
   void Report()
   {
     for (size_t i = 0; i < mEngines.size(); ++i) {
-      mTime.After(kReportLag, [this, i, load = mEngines[i]->Open()] {
-        mSeen[i].mLoad = load;
+      mTime.After(kReportDelay, [this, i, load = mEngines[i]->OpenCalls()] {
+        mEngineViews[i].mLoad = load;
       });
     }
     if (mTime.Now() < mTrace.End()) {
-      mTime.After(kReportEvery, [this] { Report(); });
+      mTime.After(kReportInterval, [this] { Report(); });
     }
   }
 
   VirtualTime& mTime;
   const Trace& mTrace;
   CallerHooks mHooks;
-  Choose mChoose;
-  bool mTiers;
+  EngineChooser mChooser;
+  bool mUsesTiers;
   std::vector<std::unique_ptr<VirtualEngine>> mEngines;
-  std::vector<Seen> mSeen;
+  std::vector<EngineView> mEngineViews;
   std::vector<bool> mUp;
   std::map<uint64_t, Call> mCalls;
   std::map<CallerRequest, uint64_t> mOpen;
@@ -197,13 +199,13 @@
 std::unique_ptr<Router>
 MakeRoundRobin(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks)
 {
-  const auto choose = [next =
-                         size_t{ 0 }](const std::vector<Seen>& aSeen) mutable {
-    do {
-      next = (next + 1) % aSeen.size();
-    } while (!aSeen[next].mUp);
-    return next;
-  };
+  const auto choose =
+    [next = size_t{ 0 }](const std::vector<EngineView>& aViews) mutable {
+      do {
+        next = (next + 1) % aViews.size();
+      } while (!aViews[next].mUp);
+      return next;
+    };
   return std::make_unique<EarlyBinding>(
     aTime, aTrace, std::move(aHooks), choose, false);
 }
@@ -212,18 +214,18 @@
 MakeTwoChoices(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks)
 {
   const auto choose = [random = std::mt19937_64(aTrace.mSeed)](
-                        const std::vector<Seen>& aSeen) mutable {
-    std::uniform_int_distribution<size_t> pick(0, aSeen.size() - 1);
+                        const std::vector<EngineView>& aViews) mutable {
+    std::uniform_int_distribution<size_t> pick(0, aViews.size() - 1);
     const auto draw = [&] {
       size_t one = pick(random);
-      while (!aSeen[one].mUp) {
+      while (!aViews[one].mUp) {
         one = pick(random);
       }
       return one;
     };
     const size_t first = draw();
     const size_t second = draw();
-    return aSeen[second].mLoad < aSeen[first].mLoad ? second : first;
+    return aViews[second].mLoad < aViews[first].mLoad ? second : first;
   };
   return std::make_unique<EarlyBinding>(
     aTime, aTrace, std::move(aHooks), choose, true);
--- a/tests/replay/gates.cpp
+++ b/tests/replay/gaterouter.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-/** One way between an entry and an engine. */
+/** One-way delay between an entry and an engine. */
 constexpr Millis kNetwork{ 1 };
-/** The list tells of a lost host after this. */
-constexpr Millis kNoticeLoss{ 1000 };
+/** Time until a lost host is removed from the directory. */
+constexpr Millis kHostLossDetectionDelay{ 1000 };
 constexpr const char* kHost = "h";
 constexpr const char* kService = "engines";
-constexpr uint32_t kMostAttempts = 3;
+constexpr uint32_t kMaxAttempts = 3;
 constexpr int kOk = 200;
-/** Ids of a request's own part of its prompt are above those of prefixes. */
-constexpr uint64_t kOwnParts = uint64_t{ 1 } << 40;
+/** Segment ids of unshared prompt text start here, above the prefix ids. */
+constexpr uint64_t kOwnSegmentIds = uint64_t{ 1 } << 40;
 
 std::string
 PathOf(const std::string& aClass, bool aIdempotent)
@@ -47,7 +47,7 @@
   route.mGapTarget = aClass.mBetweenTokenTarget * 5;
   route.mPriority = aClass.mTier;
   route.mTargets = { { .mService = kService } };
-  route.mMaxAttempts = kMostAttempts;
+  route.mMaxAttempts = kMaxAttempts;
   route.mPublic = true;
   return route;
 }
@@ -56,9 +56,9 @@
 PolicyFor(const Trace& aTrace)
 {
   RoutePolicy policy{ .mVersion = 1 };
-  for (const RequestClass& each : aTrace.mClasses) {
-    policy.mRoutes.push_back(RouteFor(each, true));
-    policy.mRoutes.push_back(RouteFor(each, false));
+  for (const RequestClass& requestClass : aTrace.mClasses) {
+    policy.mRoutes.push_back(RouteFor(requestClass, true));
+    policy.mRoutes.push_back(RouteFor(requestClass, false));
   }
   policy.mServices[kService] = {
     .mName = kService,
@@ -76,7 +76,7 @@
   return "engine-" + std::to_string(aEngine);
 }
 
-/** A request's shared prefix, and what is its own. */
+/** A prompt segment for the shared prefix and one for the unshared rest. */
 PromptShape
 PromptOf(const TraceRequest& aRequest, size_t aIndex)
 {
@@ -86,56 +86,57 @@
                       .mExpectedOutput = aRequest.mOutputTokens };
   prompt.mSegments = {
     { .mId = aRequest.mPrefix + 1, .mTokens = aRequest.mPrefixTokens },
-    { .mId = kOwnParts + aIndex,
+    { .mId = kOwnSegmentIds + aIndex,
       .mTokens = aRequest.mPromptTokens - aRequest.mPrefixTokens }
   };
   return prompt;
 }
 
-/** The gateway's part: carries out what the library's plans say. */
-class Gates : public Router
+/** Stands in for the gateway: performs the steps of the library's plans. */
+class GateRouter : public Router
 {
 public:
-  Gates(VirtualTime& aTime,
-        const Trace& aTrace,
-        CallerHooks aHooks,
-        const GatesOptions& aOptions)
+  GateRouter(VirtualTime& aTime,
+             const Trace& aTrace,
+             CallerHooks aHooks,
+             const GateRouterOptions& aOptions)
     : mTime(aTime)
-    , mPeers(aOptions.mPeers)
-    , mMostTold(aOptions.mMostTold)
-    , mTellSpan(aOptions.mTellSpan)
+    , mSendsPeerUpdates(aOptions.mSendsPeerUpdates)
+    , mMaxUpdatedPeers(aOptions.mMaxUpdatedPeers)
+    , mPeerUpdateInterval(aOptions.mPeerUpdateInterval)
     , mTrace(aTrace)
     , mHooks(std::move(aHooks))
     , mEngines(aTrace.mEngines)
   {
     for (Engine& engine : mEngines) {
-      engine.mModel = std::make_unique<VirtualEngine>(
+      engine.mVirtualEngine = std::make_unique<VirtualEngine>(
         aTime, aTrace.mBatch, [this](uint64_t aId, bool aLast) {
           OnToken(aId, aLast);
         });
     }
-    for (size_t each = 0; each < aTrace.mEntries; ++each) {
-      AddEntry(aOptions, each);
+    for (size_t index = 0; index < aTrace.mEntries; ++index) {
+      AddEntry(aOptions, index);
     }
   }
 
   void Submit(CallerRequest aRequest) override
   {
-    const TraceRequest& asked = mTrace.mRequests[aRequest.mIndex];
+    const TraceRequest& traceRequest = mTrace.mRequests[aRequest.mIndex];
     DirectRouter& router = RouterOf(aRequest);
     const Millis now = mTime.Now();
-    const std::string path = PathOf(asked.mClass, asked.mIdempotent);
-    const RequestAttributes facts{ .mHost = kHost,
-                                   .mPath = path,
-                                   .mArrivedAt = now,
-                                   .mCallerTimeout =
-                                     mTrace.ClassOf(asked).mDeadline,
-                                   .mPrompt =
-                                     PromptOf(asked, aRequest.mIndex) };
+    const std::string path =
+      PathOf(traceRequest.mClass, traceRequest.mIdempotent);
+    const RequestAttributes attributes{
+      .mHost = kHost,
+      .mPath = path,
+      .mArrivedAt = now,
+      .mCallerTimeout = mTrace.ClassOf(traceRequest).mDeadline,
+      .mPrompt = PromptOf(traceRequest, aRequest.mIndex)
+    };
     router.ConfirmPolicy(now);
     boost::leaf::try_handle_all(
       [&]() -> Result<void> {
-        BOOST_LEAF_AUTO(bound, router.Bind(facts, now));
+        BOOST_LEAF_AUTO(bound, router.Bind(attributes, now));
         Begin(aRequest, RequestPlan(router, std::move(bound)));
         return {};
       },
@@ -143,7 +144,7 @@
       [] {});
   }
 
-  void Leave(CallerRequest aRequest) override
+  void Abandon(CallerRequest aRequest) override
   {
     const auto found = mOpen.find(aRequest);
     if (found == mOpen.end()) {
@@ -156,17 +157,17 @@
   void Apply(const TraceFault& aFault) override
   {
     Engine& engine = mEngines[aFault.mEngine];
-    if (aFault.mSlow > 0) {
-      return engine.mModel->SetSlow(aFault.mSlow);
+    if (aFault.mSlowdown > 0) {
+      return engine.mVirtualEngine->SetSlowdown(aFault.mSlowdown);
     }
     engine.mUp = false;
-    engine.mModel->Crash();
+    engine.mVirtualEngine->Crash();
     for (const auto& [id, call] : mCalls) {
-      if (call.mEngine == aFault.mEngine && !call.mOver) {
-        mTime.After(kNetwork, [this, broken = id] { OnBroken(broken); });
+      if (call.mEngine == aFault.mEngine && !call.mFinished) {
+        mTime.After(kNetwork, [this, lostCall = id] { OnBroken(lostCall); });
       }
     }
-    mTime.After(kNoticeLoss, [this, lost = NameOf(aFault.mEngine)] {
+    mTime.After(kHostLossDetectionDelay, [this, lost = NameOf(aFault.mEngine)] {
       for (const auto& router : mRouters) {
         router->Directory().Remove(lost, mTime.Now());
         router->OnDirectoryChanged(mTime.Now());
@@ -174,26 +175,26 @@
     });
   }
 
-  std::vector<Spent> Executions() const override
+  std::vector<ExecutionCost> Executions() const override
   {
-    std::vector<Spent> spent;
+    std::vector<ExecutionCost> costs;
     for (const Engine& engine : mEngines) {
-      for (const Execution& execution : engine.mModel->Executions()) {
+      for (const Execution& execution : engine.mVirtualEngine->Executions()) {
         const Call& call = mCalls.at(execution.mId);
-        spent.push_back({ .mRequest = call.mRequest,
-                          .mCost = LeastCost(execution.mPromptTokens,
-                                             execution.mOutputTokens),
-                          .mWhole = call.mWhole });
+        costs.push_back(
+          { .mRequest = call.mRequest,
+            .mCost = MinCost(execution.mPromptTokens, execution.mOutputTokens),
+            .mComplete = call.mComplete });
       }
     }
-    return spent;
+    return costs;
   }
 
   uint64_t PrefilledTokens() const override
   {
     uint64_t tokens = 0;
     for (const Engine& engine : mEngines) {
-      tokens += engine.mModel->PrefilledTokens();
+      tokens += engine.mVirtualEngine->PrefilledTokens();
     }
     return tokens;
   }
@@ -201,18 +202,18 @@
 private:
   struct Engine
   {
-    std::unique_ptr<VirtualEngine> mModel;
+    std::unique_ptr<VirtualEngine> mVirtualEngine;
     bool mUp = true;
   };
 
-  /** A caller's request without its end. */
-  struct Open
+  /** A caller's request that has not ended. */
+  struct OpenRequest
   {
     CallerRequest mRequest;
     RequestPlan mPlan;
     std::optional<PlacedAttempt> mAttempt{};
     uint64_t mCall = 0;
-    bool mBegun = false;
+    bool mResponseStarted = false;
   };
 
   /** One attempt at an engine. */
@@ -220,19 +221,19 @@
   {
     CallerRequest mRequest{};
     size_t mEngine = 0;
-    /** An engine from which it is to fetch what it lacks of the prompt. */
+    /** The engine from which cached prompt blocks are to be fetched. */
     std::optional<size_t> mHolder{};
-    bool mOver = false;
-    bool mWhole = false;
+    bool mFinished = false;
+    bool mComplete = false;
   };
 
-  void AddEntry(const GatesOptions& aOptions, size_t aEach)
+  void AddEntry(const GateRouterOptions& aOptions, size_t aIndex)
   {
     mRouters.push_back(std::make_unique<DirectRouter>(
       DirectRouterOptions{ .mDataCentre = "here",
-                           .mName = "entry-" + std::to_string(aEach),
+                           .mName = "entry-" + std::to_string(aIndex),
                            .mPlacementCost = aOptions.mPlacementCost,
-                           .mSeed = mTrace.mSeed + aEach }));
+                           .mSeed = mTrace.mSeed + aIndex }));
     DirectRouter& router = *mRouters.back();
     router.SetPolicy(PolicyFor(mTrace));
     router.SetEntries(mTrace.mEntries);
@@ -256,13 +257,13 @@
   {
     const auto [place, fresh] =
       mOpen.emplace(aRequest,
-                    std::make_unique<Open>(
-                      Open{ .mRequest = aRequest, .mPlan = std::move(aPlan) }));
-    Open& open = *place->second;
-    Carry(open, open.mPlan.Begin(mTime.Now()));
+                    std::make_unique<OpenRequest>(OpenRequest{
+                      .mRequest = aRequest, .mPlan = std::move(aPlan) }));
+    OpenRequest& open = *place->second;
+    Perform(open, open.mPlan.Begin(mTime.Now()));
   }
 
-  void Carry(Open& aOpen, const PlanStep& aStep)
+  void Perform(OpenRequest& aOpen, const PlanStep& aStep)
   {
     if (const auto* send = std::get_if<SendRequest>(&aStep)) {
       return Send(aOpen, send->mAttempt);
@@ -276,7 +277,7 @@
     mHooks.mOnRefused(request, refusal);
   }
 
-  void Send(Open& aOpen, const PlacedAttempt& aAttempt)
+  void Send(OpenRequest& aOpen, const PlacedAttempt& aAttempt)
   {
     const uint64_t id = mNextId++;
     const size_t engine = std::stoul(aAttempt.mAddress);
@@ -288,7 +289,7 @@
     aOpen.mCall = id;
     aOpen.mPlan.OnSending();
     mTime.After(kNetwork, [this, id] { Start(id); });
-    TellOthers(RouterOf(aOpen.mRequest));
+    SchedulePeerUpdate(RouterOf(aOpen.mRequest));
   }
 
   void Start(uint64_t aId)
@@ -298,7 +299,7 @@
       mTime.After(kNetwork, [this, aId] { OnUnreachable(aId); });
       return;
     }
-    if (call.mOver) {
+    if (call.mFinished) {
       return;
     }
     const TraceRequest& request = mTrace.mRequests[call.mRequest.mIndex];
@@ -308,16 +309,16 @@
                            .mPrefixTokens = request.mPrefixTokens,
                            .mPromptTokens = request.mPromptTokens,
                            .mOutputTokens = request.mOutputTokens };
-    VirtualEngine& engine = *mEngines[call.mEngine].mModel;
+    VirtualEngine& engine = *mEngines[call.mEngine].mVirtualEngine;
     if (call.mHolder && mEngines[*call.mHolder].mUp) {
-      engine.StartWith(sent, *mEngines[*call.mHolder].mModel);
+      engine.StartWithPrefixFrom(sent, *mEngines[*call.mHolder].mVirtualEngine);
     } else {
       engine.Start(sent);
     }
   }
 
-  /** The open request whose newest attempt that is, or null. */
-  Open* CurrentOf(uint64_t aId)
+  /** The open request whose latest attempt is this call, or null. */
+  OpenRequest* CurrentRequestOf(uint64_t aId)
   {
     const auto found = mOpen.find(mCalls.at(aId).mRequest);
     return found == mOpen.end() || found->second->mCall != aId
@@ -328,35 +329,36 @@
   void OnToken(uint64_t aId, bool aLast)
   {
     Call& call = mCalls.at(aId);
-    call.mWhole = aLast;
-    call.mOver = call.mOver || aLast;
-    const VirtualEngine& engine = *mEngines[call.mEngine].mModel;
+    call.mComplete = aLast;
+    call.mFinished = call.mFinished || aLast;
+    const VirtualEngine& engine = *mEngines[call.mEngine].mVirtualEngine;
     const ReportedLoad load{
       .mRunning = static_cast<uint32_t>(engine.Running()),
       .mWaiting = static_cast<uint32_t>(engine.Waiting()),
       .mSlots = static_cast<uint32_t>(mTrace.mBatch.mMaxRunning)
     };
-    mTime.After(kNetwork,
-                [this, aId, aLast, load] { Arrive(aId, aLast, load); });
+    mTime.After(kNetwork, [this, aId, aLast, load] {
+      OnTokenReceived(aId, aLast, load);
+    });
   }
 
-  void Arrive(uint64_t aId, bool aLast, const ReportedLoad& aLoad)
+  void OnTokenReceived(uint64_t aId, bool aLast, const ReportedLoad& aLoad)
   {
-    Open* open = CurrentOf(aId);
+    OpenRequest* open = CurrentRequestOf(aId);
     if (open == nullptr || !open->mAttempt) {
       return;
     }
     const Millis now = mTime.Now();
     DirectRouter& router = RouterOf(open->mRequest);
     router.OnBytesReceived(*open->mAttempt, now);
-    if (!open->mBegun) {
-      open->mBegun = true;
+    if (!open->mResponseStarted) {
+      open->mResponseStarted = true;
       router.OnReport(*open->mAttempt, aLoad, now);
       open->mPlan.OnHead(kOk, now);
       open->mPlan.OnAnswerBegun();
     }
     router.OnStarted(*open->mAttempt, now);
-    TellOthers(router);
+    SchedulePeerUpdate(router);
     const CallerRequest request = open->mRequest;
     mHooks.mOnToken(request);
     if (!aLast) {
@@ -364,98 +366,100 @@
     }
     router.OnEnded(*open->mAttempt, AttemptOutcome::Good, now);
     mOpen.erase(request);
-    mHooks.mOnWhole(request);
+    mHooks.mOnComplete(request);
   }
 
   void OnUnreachable(uint64_t aId)
   {
-    Open* open = CurrentOf(aId);
+    OpenRequest* open = CurrentRequestOf(aId);
     if (open == nullptr || !open->mAttempt) {
       return;
     }
     EndAttempt(*open, AttemptOutcome::Unreachable);
-    Carry(*open, open->mPlan.OnUnreachable(mTime.Now()));
+    Perform(*open, open->mPlan.OnUnreachable(mTime.Now()));
   }
 
   void OnBroken(uint64_t aId)
   {
-    Open* open = CurrentOf(aId);
+    OpenRequest* open = CurrentRequestOf(aId);
     if (open == nullptr || !open->mAttempt) {
       return;
     }
     EndAttempt(*open, AttemptOutcome::Broken);
-    Carry(*open, open->mPlan.OnBroken(false, mTime.Now()));
+    Perform(*open, open->mPlan.OnBroken(false, mTime.Now()));
   }
 
-  /** Gives the attempt back to its router, and takes it off its engine. */
-  void EndAttempt(Open& aOpen, AttemptOutcome aOutcome)
+  /** Reports the attempt's end to its router and cancels it at its engine. */
+  void EndAttempt(OpenRequest& aOpen, AttemptOutcome aOutcome)
   {
     if (!aOpen.mAttempt) {
       return;
     }
     RouterOf(aOpen.mRequest).OnEnded(*aOpen.mAttempt, aOutcome, mTime.Now());
     aOpen.mAttempt.reset();
-    mCalls.at(aOpen.mCall).mOver = true;
+    mCalls.at(aOpen.mCall).mFinished = true;
     mTime.After(kNetwork, [this, id = aOpen.mCall] {
-      mEngines[mCalls.at(id).mEngine].mModel->Cancel(id);
+      mEngines[mCalls.at(id).mEngine].mVirtualEngine->Cancel(id);
     });
   }
 
-  /** The entries that stand next to this one in the ring of all. */
-  std::vector<DirectRouter*> ToldBy(const DirectRouter& aRouter) const
+  /** The next entries in the ring, to which this one sends its updates. */
+  std::vector<DirectRouter*> PeersOf(const DirectRouter& aRouter) const
   {
     const size_t all = mRouters.size();
     const auto own =
-      std::find_if(mRouters.begin(), mRouters.end(), [&](const auto& aEach) {
-        return aEach.get() == &aRouter;
+      std::find_if(mRouters.begin(), mRouters.end(), [&](const auto& aOther) {
+        return aOther.get() == &aRouter;
       });
     const auto first = static_cast<size_t>(own - mRouters.begin());
-    std::vector<DirectRouter*> told;
-    for (size_t each = 1; each < all && told.size() < mMostTold; ++each) {
-      told.push_back(mRouters[(first + each) % all].get());
+    std::vector<DirectRouter*> peers;
+    for (size_t index = 1; index < all && peers.size() < mMaxUpdatedPeers;
+         ++index) {
+      peers.push_back(mRouters[(first + index) % all].get());
     }
-    return told;
+    return peers;
   }
 
-  /** Tells the others what is new here, a little later. */
-  void TellOthers(DirectRouter& aRouter)
+  /** Sends this entry's pending changes to its peers after the interval. */
+  void SchedulePeerUpdate(DirectRouter& aRouter)
   {
-    if (!mPeers || !aRouter.HasPeerUpdate() ||
-        !mTelling.insert(&aRouter).second) {
+    if (!mSendsPeerUpdates || !aRouter.HasPeerUpdate() ||
+        !mPendingPeerUpdates.insert(&aRouter).second) {
       return;
     }
-    mTime.After(mTellSpan, [this, from = &aRouter] {
-      mTelling.erase(from);
-      const PeerUpdate notes = from->TakePeerUpdate(mTime.Now());
-      for (DirectRouter* router : ToldBy(*from)) {
-        router->OnPeerUpdate(notes, mTime.Now());
+    mTime.After(mPeerUpdateInterval, [this, from = &aRouter] {
+      mPendingPeerUpdates.erase(from);
+      const PeerUpdate update = from->TakePeerUpdate(mTime.Now());
+      for (DirectRouter* router : PeersOf(*from)) {
+        router->OnPeerUpdate(update, mTime.Now());
       }
     });
   }
 
   VirtualTime& mTime;
-  bool mPeers = false;
-  size_t mMostTold;
-  Millis mTellSpan;
-  std::set<DirectRouter*> mTelling;
+  bool mSendsPeerUpdates = false;
+  size_t mMaxUpdatedPeers;
+  Millis mPeerUpdateInterval;
+  std::set<DirectRouter*> mPendingPeerUpdates;
   const Trace& mTrace;
   CallerHooks mHooks;
   std::vector<Engine> mEngines;
   std::vector<std::unique_ptr<DirectRouter>> mRouters;
   std::map<uint64_t, Call> mCalls;
-  std::map<CallerRequest, std::unique_ptr<Open>> mOpen;
+  std::map<CallerRequest, std::unique_ptr<OpenRequest>> mOpen;
   uint64_t mNextId = 1;
 };
 
 } // namespace
 
 std::unique_ptr<Router>
-MakeGates(VirtualTime& aTime,
-          const Trace& aTrace,
-          CallerHooks aHooks,
-          const GatesOptions& aOptions)
+MakeGateRouter(VirtualTime& aTime,
+               const Trace& aTrace,
+               CallerHooks aHooks,
+               const GateRouterOptions& aOptions)
 {
-  return std::make_unique<Gates>(aTime, aTrace, std::move(aHooks), aOptions);
+  return std::make_unique<GateRouter>(
+    aTime, aTrace, std::move(aHooks), aOptions);
 }
 
 } // namespace replay
--- a/tests/replay/largefleettest.cpp
+++ b/tests/replay/largefleettest.cpp
@@ -9,8 +9,8 @@
 using namespace replay;
 using trefoilarch::RequestClass;
 
-/** A hundred entries before 160 engines, each of which sees one request in
- * a hundred and hears some of the others, late. */
+/** Tests of a hundred entries in front of 160 engines. Each entry handles one
+ * request in a hundred and receives late updates from some of the others. */
 namespace {
 
 RequestClass
@@ -26,11 +26,11 @@
            .mDeadline = Millis(8000) };
 }
 
-/** Sizes of one class of requests, and its part of the load. */
+/** Request sizes of one class and its share of the load. */
 struct Kind
 {
   const char* mName;
-  double mPart;
+  double mShare;
   uint32_t mPromptTokens;
   uint32_t mSharedTokens;
   uint32_t mOutputTokens;
@@ -38,23 +38,23 @@
 
 constexpr std::array kKinds{
   Kind{ .mName = "guide",
-        .mPart = 0.1,
+        .mShare = 0.1,
         .mPromptTokens = 700,
         .mSharedTokens = 160,
         .mOutputTokens = 280 },
   Kind{ .mName = "answer",
-        .mPart = 0.53,
+        .mShare = 0.53,
         .mPromptTokens = 2400,
         .mSharedTokens = 560,
         .mOutputTokens = 22 },
   Kind{ .mName = "draft",
-        .mPart = 0.37,
+        .mShare = 0.37,
         .mPromptTokens = 9200,
         .mSharedTokens = 6300,
         .mOutputTokens = 52 },
 };
 
-/** Engines that read quickly and have few slots. */
+/** Engines with fast prefill and few slots. */
 standin::BatchOptions
 FewSlots()
 {
@@ -68,11 +68,11 @@
   return batch;
 }
 
-/** A load of that many requests a second in a burst of some seconds. */
+/** A burst of aPerSecond requests per second for 6 seconds. */
 Trace
 Burst(double aPerSecond)
 {
-  constexpr int64_t kSpan = 6000;
+  constexpr int64_t kDurationMs = 6000;
   constexpr double kMillis = 1000;
   constexpr uint64_t kSessions = 3000;
   Trace trace{ .mName = "burst", .mSeed = 11, .mEntries = 100 };
@@ -82,11 +82,11 @@
                      ClassOf("answer", 1, 500, 80),
                      ClassOf("draft", 2, 1500, 200) };
   std::mt19937_64 random(trace.mSeed);
-  std::exponential_distribution<double> pause(aPerSecond / kMillis);
+  std::exponential_distribution<double> gap(aPerSecond / kMillis);
   std::uniform_int_distribution<uint64_t> session(0, kSessions - 1);
   std::discrete_distribution<size_t> kind(
-    { kKinds[0].mPart, kKinds[1].mPart, kKinds[2].mPart });
-  for (double at = 0; at < kSpan; at += pause(random)) {
+    { kKinds[0].mShare, kKinds[1].mShare, kKinds[2].mShare });
+  for (double at = 0; at < kDurationMs; at += gap(random)) {
     const size_t which = kind(random);
     const Kind& each = kKinds[which];
     trace.mRequests.push_back({ .mAt = Millis(static_cast<int64_t>(at)),
@@ -103,46 +103,47 @@
 Score
 ReplayLarge(const Trace& aTrace)
 {
-  return Replay(
-    aTrace, [](VirtualTime& aTime, const Trace& aAll, CallerHooks aHooks) {
-      return MakeGates(
-        aTime,
-        aAll,
-        std::move(aHooks),
-        { .mPeers = true, .mMostTold = 40, .mTellSpan = Millis(640) });
-    });
+  return Replay(aTrace,
+                [](VirtualTime& aTime, const Trace& aAll, CallerHooks aHooks) {
+                  return MakeGateRouter(aTime,
+                                        aAll,
+                                        std::move(aHooks),
+                                        { .mSendsPeerUpdates = true,
+                                          .mMaxUpdatedPeers = 40,
+                                          .mPeerUpdateInterval = Millis(640) });
+                });
 }
 
 double
-InTime(const Score& aScore, const char* aClass)
+AttainmentOf(const Score& aScore, const char* aClass)
 {
   const ClassScore& score = aScore.mClasses.at(aClass);
   return static_cast<double>(score.mAttained) /
-         static_cast<double>(score.mAsked);
+         static_cast<double>(score.mRequestCount);
 }
 
 } // namespace
 
-/** At more than the engines' slots can hold, the most urgent class is served,
- * and in time at least as often as the least urgent. */
+/** With more requests than the engines have slots, the most urgent class is
+ * served, and meets its targets at least as often as the least urgent. */
 Test(largefleet, an_overload_of_slots_falls_on_the_least_urgent, .timeout = 120)
 {
   const Score score = ReplayLarge(Burst(4200));
   cr_log_info("in time: %.3f %.3f %.3f",
-              InTime(score, "guide"),
-              InTime(score, "answer"),
-              InTime(score, "draft"));
+              AttainmentOf(score, "guide"),
+              AttainmentOf(score, "answer"),
+              AttainmentOf(score, "draft"));
   cr_expect_geq(score.mClasses.at("guide").Completion(), 0.99);
-  cr_expect_geq(InTime(score, "guide"), InTime(score, "draft"));
-  cr_expect_eq(score.mTwice, 0);
-  cr_expect_eq(score.mFalseNo, 0);
+  cr_expect_geq(AttainmentOf(score, "guide"), AttainmentOf(score, "draft"));
+  cr_expect_eq(score.mEndedTwice, 0);
+  cr_expect_eq(score.mFalseNotRun, 0);
 }
 
-/** At half of what the engines can do, nobody waits. */
+/** At half of the engines' capacity no request is delayed. */
 Test(largefleet, a_usual_load_is_served_in_time, .timeout = 120)
 {
   const Score score = ReplayLarge(Burst(1500));
   for (const Kind& each : kKinds) {
-    cr_expect_geq(InTime(score, each.mName), 0.95, "%s", each.mName);
+    cr_expect_geq(AttainmentOf(score, each.mName), 0.95, "%s", each.mName);
   }
 }
--- a/tests/replay/main.cpp
+++ b/tests/replay/main.cpp
@@ -10,34 +10,34 @@
 
 using namespace replay;
 
-struct Contender
+struct Candidate
 {
   const char* mName;
   RouterMaker mMaker;
-  bool mBound; /**< the trace's promises are about this one */
+  bool mChecked; /**< whether the trace's expectations apply */
 };
 
 void
 PrintClass(const std::string& aName, const ClassScore& aScore)
 {
-  std::printf("    %-11s asked %5zu  attained %5.1f%%  completed %5.1f%%  "
+  std::printf("    %-11s requests %5zu  attained %5.1f%%  completed %5.1f%%  "
               "late first %5zu  slow tokens %5zu  first token p50 %6lld p95 "
               "%6lld ms",
               aName.c_str(),
-              aScore.mAsked,
+              aScore.mRequestCount,
               aScore.Attainment() * 100,
               aScore.Completion() * 100,
-              aScore.mLateFirst,
+              aScore.mLateFirstTokens,
               aScore.mSlowTokens,
-              static_cast<long long>(Quantile(aScore.mFirstTokens, 0.5)),
-              static_cast<long long>(Quantile(aScore.mFirstTokens, 0.95)));
+              static_cast<long long>(Quantile(aScore.mFirstTokenTimes, 0.5)),
+              static_cast<long long>(Quantile(aScore.mFirstTokenTimes, 0.95)));
   for (const auto& [kind, count] : aScore.mRefused) {
     std::printf("  %s %zu", kind.c_str(), count);
   }
-  if (!aScore.mRefusedAfter.empty()) {
+  if (!aScore.mRefusalTimes.empty()) {
     std::printf("  refused after p50 %lld p95 %lld ms",
-                static_cast<long long>(Quantile(aScore.mRefusedAfter, 0.5)),
-                static_cast<long long>(Quantile(aScore.mRefusedAfter, 0.95)));
+                static_cast<long long>(Quantile(aScore.mRefusalTimes, 0.5)),
+                static_cast<long long>(Quantile(aScore.mRefusalTimes, 0.95)));
   }
   std::printf("\n");
 }
@@ -45,76 +45,79 @@
 size_t
 ReplayOne(const Trace& aTrace, bool aDump)
 {
-  const std::vector<Contender> contenders = {
-    { "design", MakeDesign, true },
+  const std::vector<Candidate> candidates = {
+    { "entries and sidecars", MakeSidecarRouter, true },
     { "gates straight to engines",
-      [](VirtualTime& aTime, const Trace& aEach, CallerHooks aHooks) {
-        return MakeGates(aTime, aEach, std::move(aHooks));
+      [](VirtualTime& aTime, const Trace& aReplayed, CallerHooks aHooks) {
+        return MakeGateRouter(aTime, aReplayed, std::move(aHooks));
       },
       false },
-    { "round robin, first in first out", MakeRoundRobin, false },
-    { "power of two choices, early binding, lagged", MakeTwoChoices, false },
+    { "round robin, each engine first in, first out", MakeRoundRobin, false },
+    { "power of two choices, early binding, delayed reports",
+      MakeTwoChoices,
+      false },
   };
   std::printf("%s (seed %llu, generated): %s\n",
               aTrace.mName.c_str(),
               static_cast<unsigned long long>(aTrace.mSeed),
-              aTrace.mAbout.c_str());
-  size_t broken = 0;
-  for (const Contender& contender : contenders) {
-    const Score score = Replay(aTrace, contender.mMaker);
-    std::printf("  %s: goodput %.1f%%, wasted work %.2f%%, lost %zu, "
-                "ended twice %zu, run twice %zu, falsely not run %zu\n",
-                contender.mName,
-                score.mGoodput * 100,
-                score.mWaste * 100,
-                score.mLost,
-                score.mTwice,
-                score.mRunTwice,
-                score.mFalseNo);
-    for (const auto& [name, ofClass] : score.mClasses) {
-      PrintClass(name, ofClass);
+              aTrace.mDescription.c_str());
+  size_t failures = 0;
+  for (const Candidate& candidate : candidates) {
+    const Score score = Replay(aTrace, candidate.mMaker);
+    std::printf(
+      "  %s: goodput %.1f%%, wasted work %.2f%%, lost %zu, "
+      "ended twice %zu, run twice %zu, falsely reported not run %zu\n",
+      candidate.mName,
+      score.mGoodput * 100,
+      score.mWaste * 100,
+      score.mLost,
+      score.mEndedTwice,
+      score.mExecutedTwice,
+      score.mFalseNotRun);
+    for (const auto& [name, classScore] : score.mClasses) {
+      PrintClass(name, classScore);
     }
-    if (!contender.mBound) {
+    if (!candidate.mChecked) {
       continue;
     }
     if (aDump) {
       std::printf("%s\n", score.mDump.c_str());
     }
-    for (const std::string& promise : BrokenPromises(aTrace, score)) {
-      ++broken;
-      std::printf("    BROKEN: %s\n", promise.c_str());
+    for (const std::string& failure : FailedExpectations(aTrace, score)) {
+      ++failures;
+      std::printf("    FAILED: %s\n", failure.c_str());
     }
   }
-  return broken;
+  return failures;
 }
 
 int
-Main(const std::vector<std::string>& aWords)
+Main(const std::vector<std::string>& aArguments)
 {
-  if (aWords.size() == 2 && aWords[0] == "--generate") {
+  if (aArguments.size() == 2 && aArguments[0] == "--generate") {
     for (const Trace& trace : GenerateTraces()) {
-      WriteTrace(trace, aWords[1]);
+      WriteTrace(trace, aArguments[1]);
     }
     return 0;
   }
-  if (aWords.empty()) {
+  if (aArguments.empty()) {
     std::fprintf(stderr,
                  "usage: trefoilarch-replay FOLDER [NAME] [--dump]\n"
                  "       trefoilarch-replay --generate FOLDER\n");
     return 2;
   }
-  const bool dump = aWords.back() == "--dump";
-  std::vector<std::string> names = TraceNames(aWords[0]);
-  if (aWords.size() > (dump ? 2U : 1U)) {
-    names = { aWords[1] };
+  const bool dump = aArguments.back() == "--dump";
+  std::vector<std::string> names = TraceNames(aArguments[0]);
+  if (aArguments.size() > (dump ? 2U : 1U)) {
+    names = { aArguments[1] };
   }
-  size_t broken = 0;
+  size_t failures = 0;
   for (const std::string& name : names) {
-    broken += ReplayOne(ReadTrace(aWords[0], name), dump);
+    failures += ReplayOne(ReadTrace(aArguments[0], name), dump);
   }
   std::printf(
-    "%zu traces replayed, %zu promises broken\n", names.size(), broken);
-  return broken == 0 ? 0 : 1;
+    "%zu traces replayed, %zu expectations failed\n", names.size(), failures);
+  return failures == 0 ? 0 : 1;
 }
 
 } // namespace
@@ -124,8 +127,8 @@
 {
   try {
     return Main(std::vector<std::string>(argv + 1, argv + argc));
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "trefoilarch-replay: %s\n", problem.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "trefoilarch-replay: %s\n", error.what());
     return 2;
   }
 }
--- a/tests/replay/randomload.cpp
+++ b/tests/replay/randomload.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 constexpr size_t kQueueLimit = 40;
-constexpr size_t kKeptPlaces = 4;
-constexpr Millis kFloorSpan{ 2000 };
+constexpr size_t kReservedQueuePlaces = 4;
+constexpr Millis kFloorStartDelay{ 2000 };
 constexpr int kClasses = 6;
 constexpr const char* kEntry = "e";
 
-/** Class n: two of tier 0, one of each lower tier, and one more of tier 3. */
+/** The level of a class: two classes have tier 0, two tier 3, and tiers 1 and 2
+ * have one each. */
 ServiceLevel
 LevelOf(int aClass)
 {
@@ -32,12 +33,12 @@
 
 } // namespace
 
-RandomLoad::RandomLoad(uint64_t aSeed, Behaviour aBehaviour)
+RandomLoad::RandomLoad(uint64_t aSeed, RandomLoadOptions aOptions)
   : mRandom(aSeed)
-  , mBehaviour(aBehaviour)
+  , mOptions(aOptions)
   , mCore({ .mIncarnation = 1,
             .mQueueLimit = kQueueLimit,
-            .mFloorStartDelay = kFloorSpan,
+            .mFloorStartDelay = kFloorStartDelay,
             .mGrantTimeout = Millis(100),
             .mMaxRunning = 16,
             .mSeed = aSeed })
@@ -45,21 +46,21 @@
             { .mMaxRunning = 16, .mStepMillis = 18 },
             [this](uint64_t aId, bool aLast) { OnToken(aId, aLast); })
 {
-  Do(mCore.OnMessage(
+  RunActions(mCore.OnMessage(
     kEntry, Hello{ .mEntry = kEntry, .mDataCentre = "" }, mTime.Now()));
 }
 
 void
-RandomLoad::Play(Millis aSpan)
+RandomLoad::Play(Millis aDuration)
 {
-  PlanArrival(aSpan);
-  PlanSlowdown(aSpan);
-  Beat(aSpan + Millis(60000));
-  mTime.RunUntil(aSpan + Millis(60000));
+  ScheduleArrival(aDuration);
+  ScheduleSlowdown(aDuration);
+  SendHeartbeats(aDuration + Millis(60000));
+  mTime.RunUntil(aDuration + Millis(60000));
   for (const auto& [number, request] : mRequests) {
     RC_ASSERT(request.mState == State::Ended);
   }
-  Do(mCore.Drain(mTime.Now()));
+  RunActions(mCore.Drain(mTime.Now()));
   RC_ASSERT(mCore.Idle());
   RC_ASSERT(mCore.CurrentLoad().mTokensInFlight == 0);
   const auto dump = nlohmann::json::parse(mCore.DumpState(mTime.Now()));
@@ -69,19 +70,19 @@
 }
 
 std::optional<bool>
-RandomLoad::PlayReturn(Millis aSpan)
+RandomLoad::PlayRetry(Millis aDuration)
 {
-  PlanArrival(aSpan);
-  Beat(aSpan + Millis(60000));
-  mTime.RunUntil(aSpan);
-  if (!mSentAway) {
+  ScheduleArrival(aDuration);
+  SendHeartbeats(aDuration + Millis(60000));
+  mTime.RunUntil(aDuration);
+  if (!mUnmeetableOffer) {
     return std::nullopt;
   }
-  const Offer last = *mSentAway;
-  const uint64_t number = mNext;
-  mTime.At(mReturnAt, [this, last] { Arrive(last); });
-  mTime.RunUntil(std::max(mReturnAt, aSpan) + Millis(60000));
-  return mRequests.at(number).mBegun;
+  const Offer last = *mUnmeetableOffer;
+  const uint64_t number = mNextNumber;
+  mTime.At(mRetryAt, [this, last] { Arrive(last); });
+  mTime.RunUntil(std::max(mRetryAt, aDuration) + Millis(60000));
+  return mRequests.at(number).mResponseStarted;
 }
 
 AttemptKey
@@ -91,84 +92,83 @@
 }
 
 bool
-RandomLoad::Chance(double aShare)
+RandomLoad::RandomBool(double aProbability)
 {
-  return std::uniform_real_distribution<double>(0, 1)(mRandom) < aShare;
+  return std::uniform_real_distribution<double>(0, 1)(mRandom) < aProbability;
 }
 
 uint32_t
-RandomLoad::Between(uint32_t aLeast, uint32_t aMost)
+RandomLoad::RandomBetween(uint32_t aMin, uint32_t aMax)
 {
-  return std::uniform_int_distribution<uint32_t>(aLeast, aMost)(mRandom);
+  return std::uniform_int_distribution<uint32_t>(aMin, aMax)(mRandom);
 }
 
 void
-RandomLoad::PlanArrival(Millis aEnd)
+RandomLoad::ScheduleArrival(Millis aEnd)
 {
-  std::exponential_distribution<double> gap(mBehaviour.mArrivalsPerSecond /
-                                            1000);
+  std::exponential_distribution<double> gap(mOptions.mArrivalsPerSecond / 1000);
   const Millis at = mTime.Now() + Millis(std::lround(gap(mRandom)));
   if (at < aEnd) {
     mTime.At(at, [this, aEnd] {
       Arrive();
-      PlanArrival(aEnd);
+      ScheduleArrival(aEnd);
     });
   }
 }
 
 void
-RandomLoad::Beat(Millis aEnd)
+RandomLoad::SendHeartbeats(Millis aEnd)
 {
-  Do(mCore.OnMessage(kEntry, EntryHeartbeat{}, mTime.Now()));
+  RunActions(mCore.OnMessage(kEntry, EntryHeartbeat{}, mTime.Now()));
   if (mTime.Now() < aEnd) {
-    mTime.After(Millis(500), [this, aEnd] { Beat(aEnd); });
+    mTime.After(Millis(500), [this, aEnd] { SendHeartbeats(aEnd); });
   }
 }
 
 void
-RandomLoad::PlanSlowdown(Millis aEnd)
+RandomLoad::ScheduleSlowdown(Millis aEnd)
 {
   if (mTime.Now() >= aEnd) {
-    return mEngine.SetSlow(1);
+    return mEngine.SetSlowdown(1);
   }
-  mEngine.SetSlow(Chance(mBehaviour.mSlowdowns) ? 5 : 1);
-  mTime.After(Millis(3000), [this, aEnd] { PlanSlowdown(aEnd); });
+  mEngine.SetSlowdown(RandomBool(mOptions.mSlowdownProbability) ? 5 : 1);
+  mTime.After(Millis(3000), [this, aEnd] { ScheduleSlowdown(aEnd); });
 }
 
 void
 RandomLoad::Arrive()
 {
   Arrive({ .mKey = {},
-           .mLevel = LevelOf(static_cast<int>(Between(0, 5))),
-           .mDeadline = Millis(Between(mBehaviour.mLeastDeadline, 20000)),
-           .mFirstTokenDue = Millis(Between(100, 2000)),
-           .mPromptTokens = Between(20, 3000),
-           .mOutputTokens = Between(0, 200),
-           .mIdempotent = Chance(mBehaviour.mIdempotent) });
+           .mLevel = LevelOf(static_cast<int>(RandomBetween(0, 5))),
+           .mDeadline = Millis(RandomBetween(mOptions.mMinDeadline, 20000)),
+           .mFirstTokenDue = Millis(RandomBetween(100, 2000)),
+           .mPromptTokens = RandomBetween(20, 3000),
+           .mOutputTokens = RandomBetween(0, 200),
+           .mIdempotent = RandomBool(mOptions.mIdempotentProbability) });
 }
 
 void
 RandomLoad::Arrive(Offer aOffer)
 {
-  const uint64_t number = mNext++;
+  const uint64_t number = mNextNumber++;
   aOffer.mKey = KeyOf(number);
   mRequests[number] = { .mOffer = aOffer,
                         .mDeadlineAt = mTime.Now() + aOffer.mDeadline };
   ClassRecord& record = mClasses[aOffer.mLevel.mClass];
-  if (WaitingOf(aOffer.mLevel.mClass) == 1) {
-    Restart(record);
+  if (WaitingCount(aOffer.mLevel.mClass) == 1) {
+    RestartFloorWait(record);
   }
-  Do(mCore.OnMessage(kEntry, aOffer, mTime.Now()));
-  if (Chance(mBehaviour.mWithdraws)) {
-    mTime.After(Millis(Between(1, 5000)), [this, number] {
-      Do(mCore.OnMessage(
+  RunActions(mCore.OnMessage(kEntry, aOffer, mTime.Now()));
+  if (RandomBool(mOptions.mWithdrawProbability)) {
+    mTime.After(Millis(RandomBetween(1, 5000)), [this, number] {
+      RunActions(mCore.OnMessage(
         kEntry, Withdraw{ .mKey = KeyOf(number) }, mTime.Now()));
     });
   }
 }
 
 void
-RandomLoad::Do(const SidecarActions& aActions)
+RandomLoad::RunActions(const SidecarActions& aActions)
 {
   mHighestGranted = kTierCount;
   for (const SidecarAction& action : aActions) {
@@ -180,26 +180,26 @@
     }
   }
   for (const SidecarAction& action : aActions) {
-    std::visit([this](const auto& aOne) { Check(aOne); }, action);
+    std::visit([this](const auto& aAction) { Check(aAction); }, action);
   }
-  CheckNobodyOverstays();
-  Plan();
+  CheckWaitingTimes();
+  ScheduleTick();
 }
 
 void
-RandomLoad::Plan()
+RandomLoad::ScheduleTick()
 {
   const Millis wake = std::max(mCore.NextWake(), mTime.Now());
-  if (wake >= mWake || wake >= Millis::Never()) {
+  if (wake >= mWakeTime || wake >= Millis::Never()) {
     return;
   }
-  mWake = wake;
+  mWakeTime = wake;
   mTime.At(wake, [this, wake] {
-    if (mWake != wake) {
+    if (mWakeTime != wake) {
       return;
     }
-    mWake = Millis::Never();
-    Do(mCore.OnTick(mTime.Now()));
+    mWakeTime = Millis::Never();
+    RunActions(mCore.OnTick(mTime.Now()));
   });
 }
 
@@ -210,7 +210,7 @@
 }
 
 size_t
-RandomLoad::WaitingOf(const std::string& aClass) const
+RandomLoad::WaitingCount(const std::string& aClass) const
 {
   return static_cast<size_t>(
     std::count_if(mRequests.begin(), mRequests.end(), [&](const auto& aPair) {
@@ -220,16 +220,17 @@
 }
 
 void
-RandomLoad::Restart(ClassRecord& aRecord) const
+RandomLoad::RestartFloorWait(ClassRecord& aRecord) const
 {
-  aRecord.mRegularAtStart = mRegularStarts;
-  aRecord.mSince = mTime.Now();
+  aRecord.mRegularStartsBefore = mRegularStarts;
+  aRecord.mIdleSince = mTime.Now();
 }
 
 void
 RandomLoad::Check(const SendToEntry& aSend)
 {
-  std::visit([this](const auto& aMessage) { Hear(aMessage); }, aSend.mMessage);
+  std::visit([this](const auto& aMessage) { OnReceived(aMessage); },
+             aSend.mMessage);
 }
 
 void
@@ -241,7 +242,7 @@
   mEngine.Start({ .mId = aStart.mKey.mRequest.mLow,
                   .mPriority = aStart.mTier,
                   .mPromptTokens = request.mOffer.mPromptTokens,
-                  .mOutputTokens = Between(1, 300) });
+                  .mOutputTokens = RandomBetween(1, 300) });
 }
 
 void
@@ -252,25 +253,26 @@
 }
 
 void
-RandomLoad::Hear(const Grant& aGrant)
+RandomLoad::OnReceived(const Grant& aGrant)
 {
   Request& request = RequestOf(aGrant.mKey);
   RC_ASSERT(request.mState == State::Waiting);
-  CheckTurn(request.mOffer.mLevel);
+  CheckStartOrder(request.mOffer.mLevel);
   request.mState = State::Granted;
   ClassRecord& record = mClasses[request.mOffer.mLevel.mClass];
   ++record.mInFlight;
-  Restart(record);
-  if (Chance(mBehaviour.mNeverStarts)) {
+  RestartFloorWait(record);
+  if (RandomBool(mOptions.mNeverStartProbability)) {
     return;
   }
   mTime.After(Millis(1), [this, key = aGrant.mKey] {
-    Do(mCore.OnMessage(kEntry, Start{ .mKey = key, .mCall = {} }, mTime.Now()));
+    RunActions(
+      mCore.OnMessage(kEntry, Start{ .mKey = key, .mCall = {} }, mTime.Now()));
   });
 }
 
 void
-RandomLoad::CheckTurn(const ServiceLevel& aLevel)
+RandomLoad::CheckStartOrder(const ServiceLevel& aLevel)
 {
   const bool higherWaits =
     std::any_of(mRequests.begin(), mRequests.end(), [&](const auto& aPair) {
@@ -284,21 +286,21 @@
   ++mOutOfOrder;
   const ClassRecord& record = mClasses[aLevel.mClass];
   const auto others =
-    static_cast<double>(mRegularStarts - record.mRegularAtStart);
-  const bool byTime =
-    record.mInFlight == 0 && mTime.Now() - record.mSince >= kFloorSpan;
+    static_cast<double>(mRegularStarts - record.mRegularStartsBefore);
+  const bool byTime = record.mInFlight == 0 &&
+                      mTime.Now() - record.mIdleSince >= kFloorStartDelay;
   RC_ASSERT(byTime || others >= std::ceil(1 / aLevel.mFloor));
 }
 
 void
-RandomLoad::Hear(const Decline& aDecline)
+RandomLoad::OnReceived(const Decline& aDecline)
 {
   Request& request = RequestOf(aDecline.mKey);
   RC_ASSERT(request.mState == State::Waiting);
   RC_ASSERT(aDecline.mRetryAfter > Millis());
   if (aDecline.mKind == ErrorKind::DeadlineUnmeetable) {
-    mSentAway = request.mOffer;
-    mReturnAt = mTime.Now() + aDecline.mRetryAfter;
+    mUnmeetableOffer = request.mOffer;
+    mRetryAt = mTime.Now() + aDecline.mRetryAfter;
   }
   if (aDecline.mKind == ErrorKind::Shed) {
     CheckShed(request.mOffer.mLevel);
@@ -312,32 +314,32 @@
   for (int i = 0; i < kClasses; ++i) {
     const ServiceLevel other = LevelOf(i);
     if (other.mTier > aLevel.mTier) {
-      RC_ASSERT(WaitingOf(other.mClass) <= kKeptPlaces);
+      RC_ASSERT(WaitingCount(other.mClass) <= kReservedQueuePlaces);
     }
   }
 }
 
 void
-RandomLoad::Hear(const Failed& aFailed)
+RandomLoad::OnReceived(const Failed& aFailed)
 {
   Request& request = RequestOf(aFailed.mKey);
   RC_ASSERT(request.mState == State::Running);
   if (aFailed.mKind == ErrorKind::Shed) {
     RC_ASSERT(request.mOffer.mIdempotent);
-    RC_ASSERT(!request.mBegun);
+    RC_ASSERT(!request.mResponseStarted);
     RC_ASSERT(mHighestGranted < request.mOffer.mLevel.mTier);
   }
   End(request);
 }
 
 void
-RandomLoad::Hear(const Finished& aFinished)
+RandomLoad::OnReceived(const Finished& aFinished)
 {
   Request& request = RequestOf(aFinished.mKey);
   RC_ASSERT(request.mState == State::Running);
   End(request);
   mTime.After(Millis(1), [this, aFinished] {
-    Do(mCore.OnMessage(
+    RunActions(mCore.OnMessage(
       kEntry,
       Ack{ .mKey = aFinished.mKey, .mNextChunk = aFinished.mChunks },
       mTime.Now()));
@@ -345,7 +347,7 @@
 }
 
 void
-RandomLoad::Hear(const Voided& aVoided)
+RandomLoad::OnReceived(const Voided& aVoided)
 {
   Request& request = RequestOf(aVoided.mKey);
   RC_ASSERT(request.mState != State::Running);
@@ -355,11 +357,11 @@
 }
 
 void
-RandomLoad::Hear(const Chunk& aChunk)
+RandomLoad::OnReceived(const Chunk& aChunk)
 {
   Request& request = RequestOf(aChunk.mKey);
   RC_ASSERT(request.mState == State::Running);
-  request.mBegun = true;
+  request.mResponseStarted = true;
 }
 
 void
@@ -367,13 +369,13 @@
 {
   ClassRecord& record = mClasses[aRequest.mOffer.mLevel.mClass];
   if (aRequest.mState != State::Waiting && --record.mInFlight == 0) {
-    record.mSince = mTime.Now();
+    record.mIdleSince = mTime.Now();
   }
   aRequest.mState = State::Ended;
 }
 
 void
-RandomLoad::CheckNobodyOverstays() const
+RandomLoad::CheckWaitingTimes() const
 {
   std::set<std::string> waiting;
   for (const auto& [number, request] : mRequests) {
@@ -386,7 +388,7 @@
   for (const std::string& name : waiting) {
     const ClassRecord& record = mClasses.at(name);
     if (record.mInFlight == 0) {
-      RC_ASSERT(mTime.Now() - record.mSince <= kFloorSpan);
+      RC_ASSERT(mTime.Now() - record.mIdleSince <= kFloorStartDelay);
     }
   }
 }
@@ -394,10 +396,10 @@
 void
 RandomLoad::OnToken(uint64_t aId, bool aLast)
 {
-  Do(mCore.OnCall(CallData{ .mKey = KeyOf(aId), .mData = "t", .mTokens = 1 },
-                  mTime.Now()));
+  RunActions(mCore.OnCall(
+    CallData{ .mKey = KeyOf(aId), .mData = "t", .mTokens = 1 }, mTime.Now()));
   if (aLast) {
-    Do(mCore.OnCall(CallDone{ .mKey = KeyOf(aId) }, mTime.Now()));
+    RunActions(mCore.OnCall(CallDone{ .mKey = KeyOf(aId) }, mTime.Now()));
   }
 }
 
--- a/tests/replay/randomload.h
+++ b/tests/replay/randomload.h
@@ -16,34 +16,34 @@
 
 using namespace trefoilarch;
 
-/** How a random load behaves; chances from 0 to 1. */
-struct Behaviour
+/** Options of a random load; probabilities from 0 to 1. */
+struct RandomLoadOptions
 {
   double mArrivalsPerSecond = 20;
-  double mNeverStarts = 0;
-  double mWithdraws = 0;
-  double mIdempotent = 0.7;
-  double mSlowdowns = 0;
-  uint32_t mLeastDeadline = 500;
+  double mNeverStartProbability = 0;
+  double mWithdrawProbability = 0;
+  double mIdempotentProbability = 0.7;
+  double mSlowdownProbability = 0;
+  uint32_t mMinDeadline = 500;
 };
 
 /**
- * One sidecar with an engine under a random load, whose every action is
- * checked against a naive record of what was asked and said.
+ * Runs one sidecar with an engine under a random load and checks each of its
+ * actions against a simple record of all requests and messages.
  */
 class RandomLoad
 {
 public:
-  RandomLoad(uint64_t aSeed, Behaviour aBehaviour);
+  RandomLoad(uint64_t aSeed, RandomLoadOptions aOptions);
 
-  void Play(Millis aSpan);
+  void Play(Millis aDuration);
 
   /**
-   * Overload until aSpan; then the last caller that was told that its deadline
-   * can't be met comes back when it was told to, and nobody else comes.
-   * Whether it was served then; nothing if there was no such caller.
+   * Overloads the sidecar for aDuration. Then only the last caller whose
+   * request was declined as DeadlineUnmeetable retries, at the stated retry
+   * time. Returns whether it was served, or nothing without such a caller.
    */
-  std::optional<bool> PlayReturn(Millis aSpan);
+  std::optional<bool> PlayRetry(Millis aDuration);
 
   size_t mFloorStarts = 0;
   size_t mShed = 0;
@@ -63,42 +63,42 @@
     Offer mOffer;
     Millis mDeadlineAt;
     State mState = State::Waiting;
-    bool mBegun = false;
+    bool mResponseStarted = false;
   };
 
   struct ClassRecord
   {
     size_t mInFlight = 0;
-    uint64_t mRegularAtStart = 0;
-    Millis mSince;
+    uint64_t mRegularStartsBefore = 0;
+    Millis mIdleSince;
   };
 
   static AttemptKey KeyOf(uint64_t aNumber);
 
-  bool Chance(double aShare);
+  bool RandomBool(double aProbability);
 
-  uint32_t Between(uint32_t aLeast, uint32_t aMost);
+  uint32_t RandomBetween(uint32_t aMin, uint32_t aMax);
 
-  void PlanArrival(Millis aEnd);
+  void ScheduleArrival(Millis aEnd);
 
-  /** The entry gives signs of life. */
-  void Beat(Millis aEnd);
+  /** Sends the entry's heartbeats until aEnd. */
+  void SendHeartbeats(Millis aEnd);
 
-  void PlanSlowdown(Millis aEnd);
+  void ScheduleSlowdown(Millis aEnd);
 
   void Arrive();
 
   void Arrive(Offer aOffer);
 
-  void Do(const SidecarActions& aActions);
+  void RunActions(const SidecarActions& aActions);
 
-  void Plan();
+  void ScheduleTick();
 
   Request& RequestOf(const AttemptKey& aKey);
 
-  size_t WaitingOf(const std::string& aClass) const;
+  size_t WaitingCount(const std::string& aClass) const;
 
-  void Restart(ClassRecord& aRecord) const;
+  void RestartFloorWait(ClassRecord& aRecord) const;
 
   void Check(const SendToEntry& aSend);
 
@@ -106,51 +106,51 @@
 
   void Check(const CancelCall& aCancel);
 
-  void Hear(const Grant& aGrant);
+  void OnReceived(const Grant& aGrant);
 
-  /** A start before a waiting request of a higher tier is a floor start, and
-   * the class was owed it. */
-  void CheckTurn(const ServiceLevel& aLevel);
+  /** Checks that a start ahead of a waiting request of a higher tier is a floor
+   * start to which the class was entitled. */
+  void CheckStartOrder(const ServiceLevel& aLevel);
 
-  void Hear(const Decline& aDecline);
+  void OnReceived(const Decline& aDecline);
 
   void CheckShed(const ServiceLevel& aLevel) const;
 
-  void Hear(const Failed& aFailed);
+  void OnReceived(const Failed& aFailed);
 
-  void Hear(const Finished& aFinished);
+  void OnReceived(const Finished& aFinished);
 
-  void Hear(const Voided& aVoided);
+  void OnReceived(const Voided& aVoided);
 
-  void Hear(const Chunk& aChunk);
+  void OnReceived(const Chunk& aChunk);
 
   template<typename Other>
-  void Hear(const Other&)
+  void OnReceived(const Other&)
   {
   }
 
   void End(Request& aRequest);
 
-  /** Nobody waits past its deadline, and no class without anything in flight
-   * past its floor span. */
-  void CheckNobodyOverstays() const;
+  /** Checks that no request waits past its deadline, and no class with nothing
+   * in flight waits longer than the floor start delay. */
+  void CheckWaitingTimes() const;
 
   void OnToken(uint64_t aId, bool aLast);
 
   std::mt19937_64 mRandom;
-  Behaviour mBehaviour;
+  RandomLoadOptions mOptions;
   VirtualTime mTime;
   SidecarCore mCore;
   VirtualEngine mEngine;
   std::map<uint64_t, Request> mRequests;
   std::map<std::string, ClassRecord> mClasses;
-  uint64_t mNext = 1;
+  uint64_t mNextNumber = 1;
   uint64_t mRegularStarts = 0;
   Tier mHighestGranted = kTierCount;
-  /** The last one that was told its deadline can't be met. */
-  std::optional<Offer> mSentAway;
-  Millis mReturnAt;
-  Millis mWake = Millis::Never();
+  /** The last offer declined as DeadlineUnmeetable. */
+  std::optional<Offer> mUnmeetableOffer;
+  Millis mRetryAt;
+  Millis mWakeTime = Millis::Never();
 };
 
 } // namespace replay
--- a/tests/replay/replayrun.cpp
+++ b/tests/replay/replayrun.cpp
@@ -14,39 +14,43 @@
 
 namespace {
 
-/** After the last deadline, so that everything has come to its end. */
-constexpr Millis kSettle{ 40000 };
+/** Time after the last deadline in which all requests end. */
+constexpr Millis kSettleTime{ 40000 };
 
-/** A caller of the trace, through all its repeats. */
+/** A caller of the trace, across all its retries. */
 struct Caller
 {
-  uint64_t mRepeat = 0;
-  Millis mFirst{};
-  Millis mLast{};
+  uint64_t mRetry = 0;
+  Millis mFirstTokenAt{};
+  Millis mLastTokenAt{};
   uint32_t mTokens = 0;
-  bool mWhole = false;
+  bool mComplete = false;
   bool mEnded = false;
-  bool mLeft = false;
+  bool mCallerLeft = false;
   bool mAttained = false;
   Millis mEndedAt{};
   std::optional<Refusal> mRefusal{};
 };
 
-/** Plays the callers of a trace against one router. */
-class Run
+/** Simulates the callers of a trace against one router. */
+class ReplayRun
 {
 public:
-  Run(const Trace& aTrace, const RouterMaker& aMaker)
+  ReplayRun(const Trace& aTrace, const RouterMaker& aMaker)
     : mTrace(aTrace)
     , mCallers(aTrace.mRequests.size())
   {
     mRouter = aMaker(
       mTime,
       aTrace,
-      { .mOnToken = [this](CallerRequest aWho) { OnToken(aWho); },
-        .mOnWhole = [this](CallerRequest aWho) { OnWhole(aWho); },
-        .mOnRefused = [this](CallerRequest aWho,
-                             const Refusal& aWhy) { OnRefused(aWho, aWhy); } });
+      { .mOnToken =
+          [this](CallerRequest aCallerRequest) { OnToken(aCallerRequest); },
+        .mOnComplete =
+          [this](CallerRequest aCallerRequest) { OnComplete(aCallerRequest); },
+        .mOnRefused =
+          [this](CallerRequest aCallerRequest, const Refusal& aRefusal) {
+            OnRefused(aCallerRequest, aRefusal);
+          } });
   }
 
   Score Play()
@@ -56,14 +60,14 @@
       const TraceRequest& request = mTrace.mRequests[i];
       const Millis at = request.mAt + kWarmUp;
       mTime.At(at, [this, i] { mRouter->Submit({ .mIndex = i }); });
-      mTime.At(DeadlineOf(i), [this, i] { Leave(i); });
+      mTime.At(DeadlineOf(i), [this, i] { Abandon(i); });
       end = std::max(end, DeadlineOf(i));
     }
     for (const TraceFault& fault : mTrace.mFaults) {
       mTime.At(fault.mAt + kWarmUp, [this, &fault] { mRouter->Apply(fault); });
     }
-    mTime.RunUntil(end + kSettle);
-    return Judge();
+    mTime.RunUntil(end + kSettleTime);
+    return ComputeScore();
   }
 
 private:
@@ -80,70 +84,71 @@
     return ArrivalOf(aIndex) + mTrace.ClassOf(request).mDeadline;
   }
 
-  Caller* Current(CallerRequest aWho)
+  Caller* Current(CallerRequest aCallerRequest)
   {
-    Caller& caller = mCallers[aWho.mIndex];
-    return caller.mRepeat == aWho.mRepeat && !caller.mEnded ? &caller : nullptr;
+    Caller& caller = mCallers[aCallerRequest.mIndex];
+    return caller.mRetry == aCallerRequest.mRetry && !caller.mEnded ? &caller
+                                                                    : nullptr;
   }
 
-  void OnToken(CallerRequest aWho)
+  void OnToken(CallerRequest aCallerRequest)
   {
-    Caller* caller = Current(aWho);
+    Caller* caller = Current(aCallerRequest);
     if (!caller) {
       return;
     }
     if (caller->mTokens++ == 0) {
-      caller->mFirst = mTime.Now();
+      caller->mFirstTokenAt = mTime.Now();
     }
-    caller->mLast = mTime.Now();
+    caller->mLastTokenAt = mTime.Now();
   }
 
-  void OnWhole(CallerRequest aWho)
+  void OnComplete(CallerRequest aCallerRequest)
   {
-    Caller* caller = Current(aWho);
+    Caller* caller = Current(aCallerRequest);
     if (!caller) {
-      mTwice += mCallers[aWho.mIndex].mLeft ? 0 : 1;
+      mEndedTwice += mCallers[aCallerRequest.mIndex].mCallerLeft ? 0 : 1;
       return;
     }
-    caller->mWhole = true;
+    caller->mComplete = true;
     End(*caller);
   }
 
-  void OnRefused(CallerRequest aWho, const Refusal& aWhy)
+  void OnRefused(CallerRequest aCallerRequest, const Refusal& aRefusal)
   {
-    Caller* caller = Current(aWho);
+    Caller* caller = Current(aCallerRequest);
     if (!caller) {
-      mTwice += mCallers[aWho.mIndex].mLeft ? 0 : 1;
+      mEndedTwice += mCallers[aCallerRequest.mIndex].mCallerLeft ? 0 : 1;
       return;
     }
-    if (aWhy.mRan == Ran::No) {
-      mSaidNo.push_back(aWho);
+    if (aRefusal.mRan == Ran::No) {
+      mReportedNotRun.push_back(aCallerRequest);
     }
-    caller->mRefusal = aWhy;
-    const bool again =
-      mTrace.mRepeatAfter > Millis() && caller->mRepeat < mTrace.mRepeats &&
+    caller->mRefusal = aRefusal;
+    const bool retry =
+      mTrace.mRetryDelay > Millis() && caller->mRetry < mTrace.mMaxRetries &&
       caller->mTokens == 0 &&
-      mTime.Now() + mTrace.mRepeatAfter < DeadlineOf(aWho.mIndex);
-    if (!again) {
+      mTime.Now() + mTrace.mRetryDelay < DeadlineOf(aCallerRequest.mIndex);
+    if (!retry) {
       return End(*caller);
     }
-    ++caller->mRepeat;
-    mTime.After(mTrace.mRepeatAfter, [this, aWho] {
-      if (Current({ aWho.mIndex, aWho.mRepeat + 1 })) {
-        mRouter->Submit({ aWho.mIndex, aWho.mRepeat + 1 });
+    ++caller->mRetry;
+    mTime.After(mTrace.mRetryDelay, [this, aCallerRequest] {
+      if (Current({ aCallerRequest.mIndex, aCallerRequest.mRetry + 1 })) {
+        mRouter->Submit({ aCallerRequest.mIndex, aCallerRequest.mRetry + 1 });
       }
     });
   }
 
-  void Leave(size_t aIndex)
+  void Abandon(size_t aIndex)
   {
     Caller& caller = mCallers[aIndex];
     if (caller.mEnded) {
       return;
     }
-    caller.mLeft = true;
+    caller.mCallerLeft = true;
     End(caller);
-    mRouter->Leave({ .mIndex = aIndex, .mRepeat = caller.mRepeat });
+    mRouter->Abandon({ .mIndex = aIndex, .mRetry = caller.mRetry });
   }
 
   void End(Caller& aCaller)
@@ -152,88 +157,90 @@
     aCaller.mEndedAt = mTime.Now();
   }
 
-  Score Judge()
+  Score ComputeScore()
   {
     Score score;
     for (size_t i = 0; i < mCallers.size(); ++i) {
-      JudgeOne(i, score);
+      ScoreRequest(i, score);
     }
-    for (auto& [name, ofClass] : score.mClasses) {
-      std::sort(ofClass.mFirstTokens.begin(), ofClass.mFirstTokens.end());
-      std::sort(ofClass.mRefusedAfter.begin(), ofClass.mRefusedAfter.end());
+    for (auto& [name, classScore] : score.mClasses) {
+      std::sort(classScore.mFirstTokenTimes.begin(),
+                classScore.mFirstTokenTimes.end());
+      std::sort(classScore.mRefusalTimes.begin(),
+                classScore.mRefusalTimes.end());
     }
-    JudgeWork(score);
-    score.mTwice = mTwice;
+    ScoreWork(score);
+    score.mEndedTwice = mEndedTwice;
     score.mPrefilled = mRouter->PrefilledTokens();
     score.mDump = mRouter->Dump();
     return score;
   }
 
-  void JudgeOne(size_t aIndex, Score& aScore)
+  void ScoreRequest(size_t aIndex, Score& aScore)
   {
     Caller& caller = mCallers[aIndex];
     const TraceRequest& request = mTrace.mRequests[aIndex];
     const RequestClass& requestClass = mTrace.ClassOf(request);
-    ClassScore& ofClass = aScore.mClasses[request.mClass];
-    ++ofClass.mAsked;
+    ClassScore& classScore = aScore.mClasses[request.mClass];
+    ++classScore.mRequestCount;
     aScore.mLost += caller.mEnded ? 0 : 1;
-    const Millis first = caller.mFirst - ArrivalOf(aIndex);
+    const Millis first = caller.mFirstTokenAt - ArrivalOf(aIndex);
     if (caller.mTokens > 0) {
-      ofClass.mFirstTokens.push_back(first.Count());
+      classScore.mFirstTokenTimes.push_back(first.Count());
     }
-    if (!caller.mWhole) {
+    if (!caller.mComplete) {
       const Millis after = caller.mEndedAt - ArrivalOf(aIndex);
-      ofClass.mRefusedAfter.push_back(after.Count());
-      const auto kind = caller.mLeft || !caller.mRefusal
+      classScore.mRefusalTimes.push_back(after.Count());
+      const auto kind = caller.mCallerLeft || !caller.mRefusal
                           ? std::string_view("caller_left_at_deadline")
                           : Name(caller.mRefusal->mKind);
-      ++ofClass.mRefused[std::string(kind)];
+      ++classScore.mRefused[std::string(kind)];
       return;
     }
-    ++ofClass.mCompleted;
+    ++classScore.mCompleted;
     const bool lateFirst = first > requestClass.mFirstTokenTarget;
-    const Millis span = caller.mLast - caller.mFirst;
-    const bool slow =
-      span > requestClass.mBetweenTokenTarget * (int64_t{ caller.mTokens } - 1);
-    ofClass.mLateFirst += lateFirst ? 1 : 0;
-    ofClass.mSlowTokens += slow ? 1 : 0;
+    const Millis duration = caller.mLastTokenAt - caller.mFirstTokenAt;
+    const bool slow = duration > requestClass.mBetweenTokenTarget *
+                                   (int64_t{ caller.mTokens } - 1);
+    classScore.mLateFirstTokens += lateFirst ? 1 : 0;
+    classScore.mSlowTokens += slow ? 1 : 0;
     caller.mAttained = !lateFirst && !slow;
-    ofClass.mAttained += caller.mAttained ? 1 : 0;
+    classScore.mAttained += caller.mAttained ? 1 : 0;
   }
 
-  void JudgeWork(Score& aScore) const
+  void ScoreWork(Score& aScore) const
   {
     double all = 0;
     double useful = 0;
     double inTime = 0;
     std::map<CallerRequest, size_t> runs;
-    for (const Spent& spent : mRouter->Executions()) {
-      all += spent.mCost;
-      const Caller& caller = mCallers[spent.mRequest.mIndex];
-      const bool received = caller.mWhole && spent.mWhole &&
-                            caller.mRepeat == spent.mRequest.mRepeat;
-      useful += received ? spent.mCost : 0;
-      inTime += received && caller.mAttained ? spent.mCost : 0;
-      ++runs[spent.mRequest];
+    for (const ExecutionCost& execution : mRouter->Executions()) {
+      all += execution.mCost;
+      const Caller& caller = mCallers[execution.mRequest.mIndex];
+      const bool received = caller.mComplete && execution.mComplete &&
+                            caller.mRetry == execution.mRequest.mRetry;
+      useful += received ? execution.mCost : 0;
+      inTime += received && caller.mAttained ? execution.mCost : 0;
+      ++runs[execution.mRequest];
     }
-    for (const auto& [who, count] : runs) {
-      if (count > 1 && !mTrace.mRequests[who.mIndex].mIdempotent) {
-        ++aScore.mRunTwice;
+    for (const auto& [callerRequest, count] : runs) {
+      if (count > 1 && !mTrace.mRequests[callerRequest.mIndex].mIdempotent) {
+        ++aScore.mExecutedTwice;
       }
     }
-    for (const CallerRequest& who : mSaidNo) {
-      aScore.mFalseNo += runs.count(who);
+    for (const CallerRequest& callerRequest : mReportedNotRun) {
+      aScore.mFalseNotRun += runs.count(callerRequest);
     }
     aScore.mWaste = all > 0 ? 1 - useful / all : 0;
-    aScore.mGoodput = inTime / Best();
+    aScore.mGoodput = inTime / MaxWorkInTime();
   }
 
   /**
-   * An upper bound on the work that any router could have in time: all engines
-   * as one, perfectly divisible, always the answer that is due first, with
-   * everything known beforehand about its length.
+   * An upper bound on the work that any router could finish in time: treats all
+   * engines as one, perfectly divisible, that serves the earliest due time
+   * first and knows every response length in advance.
    */
-  double Best() const
+  double MaxWorkInTime() const
   {
     constexpr int64_t kBin = 100;
     std::multimap<Millis, double> due;
@@ -243,7 +250,7 @@
          now += Millis(kBin)) {
       for (; next < mCallers.size() && mTrace.mRequests[next].mAt < now;
            ++next) {
-        due.emplace(InTime(mTrace.mRequests[next]),
+        due.emplace(LatestTimelyEnd(mTrace.mRequests[next]),
                     CostOf(mTrace.mRequests[next]));
       }
       double left = SpeedAt(now) * static_cast<double>(kBin);
@@ -263,12 +270,12 @@
   }
 
   /**
-   * The last moment at which the whole answer can come in time: begun by the
-   * first-token target, and then at the pace of a full batch, with half as
-   * much again for others' prefill. A slower pace would do for the targets,
-   * but no engine has it without wasting its batch.
+   * The latest time at which a response can end and still meet its targets: it
+   * starts by the first-token target and continues at the pace of a full batch,
+   * plus half of that for other requests' prefill. The targets allow a slower
+   * pace, but an engine that slow would waste its batch.
    */
-  Millis InTime(const TraceRequest& aRequest) const
+  Millis LatestTimelyEnd(const TraceRequest& aRequest) const
   {
     const RequestClass& requestClass = mTrace.ClassOf(aRequest);
     const standin::BatchOptions& batch = mTrace.mBatch;
@@ -278,23 +285,23 @@
     const double pace =
       std::min(step * 1.5,
                static_cast<double>(requestClass.mBetweenTokenTarget.Count()));
-    const Millis answer(std::llround(pace * aRequest.mOutputTokens));
-    const Millis last = requestClass.mFirstTokenTarget + answer;
+    const Millis response(std::llround(pace * aRequest.mOutputTokens));
+    const Millis last = requestClass.mFirstTokenTarget + response;
     return aRequest.mAt + std::min(last, requestClass.mDeadline);
   }
 
   static double CostOf(const TraceRequest& aRequest)
   {
-    return LeastCost(aRequest.mPromptTokens, aRequest.mOutputTokens);
+    return MinCost(aRequest.mPromptTokens, aRequest.mOutputTokens);
   }
 
-  /** How many engines' worth of work is done, faults taken into account. */
+  /** Combined speed in units of one healthy engine, with faults applied. */
   double SpeedAt(Millis aNow) const
   {
     std::vector<double> speed(mTrace.mEngines, 1);
     for (const TraceFault& fault : mTrace.mFaults) {
       if (fault.mAt <= aNow) {
-        speed[fault.mEngine] = fault.mSlow > 0 ? 1 / fault.mSlow : 0;
+        speed[fault.mEngine] = fault.mSlowdown > 0 ? 1 / fault.mSlowdown : 0;
       }
     }
     return std::accumulate(speed.begin(), speed.end(), 0.0);
@@ -304,8 +311,8 @@
   VirtualTime mTime;
   std::vector<Caller> mCallers;
   std::unique_ptr<Router> mRouter;
-  std::vector<CallerRequest> mSaidNo;
-  size_t mTwice = 0;
+  std::vector<CallerRequest> mReportedNotRun;
+  size_t mEndedTwice = 0;
 };
 
 } // namespace
@@ -313,56 +320,57 @@
 double
 ClassScore::Attainment() const
 {
-  return static_cast<double>(mAttained) / static_cast<double>(mAsked);
+  return static_cast<double>(mAttained) / static_cast<double>(mRequestCount);
 }
 
 double
 ClassScore::Completion() const
 {
-  return static_cast<double>(mCompleted) / static_cast<double>(mAsked);
+  return static_cast<double>(mCompleted) / static_cast<double>(mRequestCount);
 }
 
 Score
 Replay(const Trace& aTrace, const RouterMaker& aMaker)
 {
-  return Run(aTrace, aMaker).Play();
+  return ReplayRun(aTrace, aMaker).Play();
 }
 
 std::vector<std::string>
-BrokenPromises(const Trace& aTrace, const Score& aScore)
+FailedExpectations(const Trace& aTrace, const Score& aScore)
 {
-  std::vector<std::string> broken;
-  const auto demand = [&](bool aHolds, const std::string& aWhat, double aGot) {
-    if (aHolds) {
-      return;
-    }
-    std::ostringstream text;
-    text << aWhat << ", got " << aGot;
-    broken.push_back(text.str());
-  };
-  for (const Promise& promise : aTrace.mPromises) {
-    const ClassScore& ofClass = aScore.mClasses.at(promise.mClass);
-    demand(ofClass.Attainment() >= promise.mLeastAttainment,
-           promise.mClass + " attainment at least " +
-             std::to_string(promise.mLeastAttainment),
-           ofClass.Attainment());
-    demand(ofClass.Completion() >= promise.mLeastCompleted,
-           promise.mClass + " completed at least " +
-             std::to_string(promise.mLeastCompleted),
-           ofClass.Completion());
+  std::vector<std::string> failures;
+  const auto expect =
+    [&](bool aHolds, const std::string& aRequirement, double aGot) {
+      if (aHolds) {
+        return;
+      }
+      std::ostringstream text;
+      text << aRequirement << ", got " << aGot;
+      failures.push_back(text.str());
+    };
+  for (const Expectation& expectation : aTrace.mExpectations) {
+    const ClassScore& classScore = aScore.mClasses.at(expectation.mClass);
+    expect(classScore.Attainment() >= expectation.mMinAttainment,
+           expectation.mClass + " attainment at least " +
+             std::to_string(expectation.mMinAttainment),
+           classScore.Attainment());
+    expect(classScore.Completion() >= expectation.mMinCompleted,
+           expectation.mClass + " completed at least " +
+             std::to_string(expectation.mMinCompleted),
+           classScore.Completion());
   }
-  demand(aScore.mGoodput >= aTrace.mLeastGoodput,
-         "goodput at least " + std::to_string(aTrace.mLeastGoodput),
+  expect(aScore.mGoodput >= aTrace.mMinGoodput,
+         "goodput at least " + std::to_string(aTrace.mMinGoodput),
          aScore.mGoodput);
-  demand(aScore.mWaste <= aTrace.mMostWaste,
-         "waste at most " + std::to_string(aTrace.mMostWaste),
+  expect(aScore.mWaste <= aTrace.mMaxWaste,
+         "waste at most " + std::to_string(aTrace.mMaxWaste),
          aScore.mWaste);
-  const size_t wrong =
-    aScore.mLost + aScore.mTwice + aScore.mRunTwice + aScore.mFalseNo;
-  demand(wrong == 0,
-         "nothing lost, ended twice, run twice or falsely called not run",
+  const size_t wrong = aScore.mLost + aScore.mEndedTwice +
+                       aScore.mExecutedTwice + aScore.mFalseNotRun;
+  expect(wrong == 0,
+         "no request lost, ended twice, run twice or falsely reported not run",
          static_cast<double>(wrong));
-  return broken;
+  return failures;
 }
 
 int64_t
--- a/tests/replay/replayrun.h
+++ b/tests/replay/replayrun.h
@@ -9,47 +9,49 @@
 
 namespace replay {
 
-/** How a class fared in a replay. */
+/** The results of one request class in a replay. */
 struct ClassScore
 {
-  size_t mAsked = 0;
-  /** Whole, within the deadline, and both token targets met. */
+  size_t mRequestCount = 0;
+  /** Completed within the deadline with both token targets met. */
   size_t mAttained = 0;
-  /** Whole within the deadline. */
+  /** Completed within the deadline. */
   size_t mCompleted = 0;
-  /** Whole within the deadline, though the first token was late. */
-  size_t mLateFirst = 0;
-  /** Whole within the deadline, though tokens came too slowly. */
+  /** Completed within the deadline, but the first token was late. */
+  size_t mLateFirstTokens = 0;
+  /** Completed within the deadline, but tokens came too slowly. */
   size_t mSlowTokens = 0;
-  /** Given no whole answer, by the last error kind. */
+  /** Not completed, by the last error kind. */
   std::map<std::string, size_t> mRefused;
-  /** From the arrival, of answers that began; sorted, in milliseconds. */
-  std::vector<int64_t> mFirstTokens;
-  /** From the arrival to the last refusal of those refused, sorted. */
-  std::vector<int64_t> mRefusedAfter;
+  /** Times from arrival to first token, sorted, in milliseconds. */
+  std::vector<int64_t> mFirstTokenTimes;
+  /** Times from arrival to the end of requests that were not completed, sorted,
+   * in milliseconds. */
+  std::vector<int64_t> mRefusalTimes;
 
   double Attainment() const;
   double Completion() const;
 };
 
-/** The outcome of one replay. */
+/** The results of one replay. */
 struct Score
 {
   std::map<std::string, ClassScore> mClasses;
-  /** Work of answers that met all their targets, as a part of an upper bound
-   * on what any router could have reached. */
+  /** Work of responses that met all their targets, as a share of an upper bound
+   * on what any router could reach. */
   double mGoodput = 0;
-  /** Work for answers that nobody got whole in time, of all work. */
+  /** Share of all work spent on responses that no caller received complete in
+   * time. */
   double mWaste = 0;
-  /** Requests that neither ended whole nor with an error. */
+  /** Requests that ended neither complete nor with an error. */
   size_t mLost = 0;
-  /** Answers that ended twice. */
-  size_t mTwice = 0;
+  /** Requests whose end was reported twice. */
+  size_t mEndedTwice = 0;
   /** Non-idempotent requests that were executed more than once. */
-  size_t mRunTwice = 0;
-  /** Errors that said `ran: no` of a request that had been executed. */
-  size_t mFalseNo = 0;
-  /** Prompt tokens that the engines read, where the router counts them. */
+  size_t mExecutedTwice = 0;
+  /** Errors that reported `ran: no` for a request that had been executed. */
+  size_t mFalseNotRun = 0;
+  /** Prompt tokens that the engines prefilled; 0 if not counted. */
   uint64_t mPrefilled = 0;
   std::string mDump;
 };
@@ -58,9 +60,9 @@
 Score
 Replay(const Trace& aTrace, const RouterMaker& aMaker);
 
-/** The promises that the score breaks, in words; empty if it keeps all. */
+/** Describes each expectation that the score fails; empty if it meets all. */
 std::vector<std::string>
-BrokenPromises(const Trace& aTrace, const Score& aScore);
+FailedExpectations(const Trace& aTrace, const Score& aScore);
 
 /** A quantile of sorted values; 0 if there are none. */
 int64_t
--- a/tests/replay/replaytest.cpp
+++ b/tests/replay/replaytest.cpp
@@ -14,69 +14,71 @@
   return ReadTrace(TREFOILARCH_TRACES, aName);
 }
 
-/** Attainment of the design, and of the better of the two baselines. */
-struct Compared
+/** Attainment of the sidecar router and of the better baseline. */
+struct AttainmentComparison
 {
-  double mDesign = 0;
+  double mSidecarRouter = 0;
   double mBaseline = 0;
 };
 
-Compared
+AttainmentComparison
 AttainmentOf(const Trace& aTrace, const std::string& aClass)
 {
   const auto attainment = [&](const RouterMaker& aMaker) {
     return Replay(aTrace, aMaker).mClasses.at(aClass).Attainment();
   };
-  return { .mDesign = attainment(MakeDesign),
+  return { .mSidecarRouter = attainment(MakeSidecarRouter),
            .mBaseline =
              std::max(attainment(MakeRoundRobin), attainment(MakeTwoChoices)) };
 }
 
 } // namespace
 
-/** Whatever the trace, every caller gets one end, what may not be repeated
- * runs once, and what is said not to have run has not run. */
+/** In every trace each request ends once, non-idempotent requests run at most
+ * once, and requests reported as not run have not run. */
 Test(replay, nothing_is_lost_doubled_or_misreported)
 {
   const auto names = TraceNames(TREFOILARCH_TRACES);
   cr_assert_eq(names.size(), 8);
   for (const std::string& name : names) {
-    const Score score = Replay(Read(name), MakeDesign);
+    const Score score = Replay(Read(name), MakeSidecarRouter);
     cr_assert_eq(score.mLost, 0, "%s", name.c_str());
-    cr_assert_eq(score.mTwice, 0, "%s", name.c_str());
-    cr_assert_eq(score.mRunTwice, 0, "%s", name.c_str());
-    cr_assert_eq(score.mFalseNo, 0, "%s", name.c_str());
+    cr_assert_eq(score.mEndedTwice, 0, "%s", name.c_str());
+    cr_assert_eq(score.mExecutedTwice, 0, "%s", name.c_str());
+    cr_assert_eq(score.mFalseNotRun, 0, "%s", name.c_str());
   }
 }
 
-/** The same trace and seed give the same outcome. */
+/** The same trace and seed give the same results. */
 Test(replay, is_deterministic)
 {
   const Trace trace = Read("half_lost");
-  cr_assert_eq(Replay(trace, MakeDesign).mDump,
-               Replay(trace, MakeDesign).mDump);
+  cr_assert_eq(Replay(trace, MakeSidecarRouter).mDump,
+               Replay(trace, MakeSidecarRouter).mDump);
 }
 
-/** A flood of the lowest tier costs the highest nothing. */
+/** A flood of the lowest tier does not degrade the highest. */
 Test(replay, flood_of_public_pages_leaves_agents_alone)
 {
-  const Compared agents = AttainmentOf(Read("public_flood"), "mid_call");
-  cr_assert_geq(agents.mDesign, 0.99);
-  cr_assert_gt(agents.mDesign, agents.mBaseline);
+  const AttainmentComparison agents =
+    AttainmentOf(Read("public_flood"), "mid_call");
+  cr_assert_geq(agents.mSidecarRouter, 0.99);
+  cr_assert_gt(agents.mSidecarRouter, agents.mBaseline);
 }
 
-/** Twelve drivers at once are all served in time. */
+/** Bursts of twelve simultaneous requests are served in time. */
 Test(replay, line_of_flatbeds_is_served_in_time)
 {
   const Trace trace = Read("line_of_flatbeds");
-  cr_assert(BrokenPromises(trace, Replay(trace, MakeDesign)).empty());
+  cr_assert(
+    FailedExpectations(trace, Replay(trace, MakeSidecarRouter)).empty());
 }
 
-/** Those who are refused are told at once, not near their deadline. */
+/** Refusals are sent at once, not near the deadline. */
 Test(replay, refusals_come_at_once)
 {
-  const Score score = Replay(Read("public_flood"), MakeDesign);
+  const Score score = Replay(Read("public_flood"), MakeSidecarRouter);
   const ClassScore& pages = score.mClasses.at("public");
-  cr_assert_gt(pages.mRefusedAfter.size(), 1000);
-  cr_assert_lt(Quantile(pages.mRefusedAfter, 0.5), 100);
+  cr_assert_gt(pages.mRefusalTimes.size(), 1000);
+  cr_assert_lt(Quantile(pages.mRefusalTimes, 0.5), 100);
 }
--- a/tests/replay/router.h
+++ b/tests/replay/router.h
@@ -13,84 +13,84 @@
 
 namespace replay {
 
-/** One request of a caller: its place in the trace, and how often it has been
- * asked before. */
+/** One submission of a caller's request: its index in the trace, and the number
+ * of earlier submissions. */
 struct CallerRequest
 {
   size_t mIndex = 0;
-  uint64_t mRepeat = 0;
+  uint64_t mRetry = 0;
 
   auto operator<=>(const CallerRequest&) const = default;
 };
 
-/** What a router tells a caller. */
+/** Callbacks through which a router reports to callers. */
 struct CallerHooks
 {
   std::function<void(CallerRequest)> mOnToken;
-  std::function<void(CallerRequest)> mOnWhole;
+  std::function<void(CallerRequest)> mOnComplete;
   std::function<void(CallerRequest, trefoilarch::Refusal)> mOnRefused;
 };
 
-/** What was spent for a caller's request in one execution. */
-struct Spent
+/** The cost of one execution of a caller's request. */
+struct ExecutionCost
 {
   CallerRequest mRequest;
   double mCost = 0;
-  bool mWhole = false;
+  bool mComplete = false;
 };
 
-/** A way to route a trace's requests to its engines. */
+/** Routes a trace's requests to its engines. */
 class Router
 {
 public:
   virtual ~Router() = default;
   virtual void Submit(CallerRequest aRequest) = 0;
-  virtual void Leave(CallerRequest aRequest) = 0;
+  virtual void Abandon(CallerRequest aRequest) = 0;
   virtual void Apply(const TraceFault& aFault) = 0;
-  /** Every execution that is over. */
-  virtual std::vector<Spent> Executions() const = 0;
-  /** Prompt tokens that the engines read, where the router counts them. */
+  /** All executions that have ended. */
+  virtual std::vector<ExecutionCost> Executions() const = 0;
+  /** Prompt tokens that the engines prefilled; 0 if not counted. */
   virtual uint64_t PrefilledTokens() const { return 0; }
-  /** For the report's details; may be empty. */
+  /** State for the detailed report; may be empty. */
   virtual std::string Dump() const { return {}; }
 };
 
 using RouterMaker = std::function<
   std::unique_ptr<Router>(VirtualTime&, const Trace&, CallerHooks)>;
 
-/** The library: an EntryCore for each entry, a SidecarCore by each engine. */
+/** The library with one EntryCore per entry and one SidecarCore per engine. */
 std::unique_ptr<Router>
-MakeDesign(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks);
+MakeSidecarRouter(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks);
 
-/** How gates are made for a replay. */
-struct GatesOptions
+/** Options for a router of gates in a replay. */
+struct GateRouterOptions
 {
-  /** Whether entries tell each other what they send. */
-  bool mPeers = false;
-  /** How many of the next entries each one tells, and how often at the most: a
-   * large fleet's entries tell some, less often. */
-  size_t mMostTold = SIZE_MAX;
-  Millis mTellSpan{ 20 };
-  /** Empty for the gates' own way to place requests. */
+  /** Whether entries send each other updates about the requests they send. */
+  bool mSendsPeerUpdates = false;
+  /** How many of the next entries each one updates, and the minimum interval
+   * between updates. A large fleet's entries update only some, less often. */
+  size_t mMaxUpdatedPeers = SIZE_MAX;
+  Millis mPeerUpdateInterval{ 20 };
+  /** Empty for the library's own placement cost. */
   trefoilarch::PlacementCost mPlacementCost;
 };
 
-/** The library without sidecars: a DirectRouter for each entry, straight to
- * the engines, whose load it knows by their answers. */
+/** The library without sidecars: one DirectRouter per entry sends straight to
+ * the engines and learns their load from their responses. */
 std::unique_ptr<Router>
-MakeGates(VirtualTime& aTime,
-          const Trace& aTrace,
-          CallerHooks aHooks,
-          const GatesOptions& aOptions = {});
+MakeGateRouter(VirtualTime& aTime,
+               const Trace& aTrace,
+               CallerHooks aHooks,
+               const GateRouterOptions& aOptions = {});
 
-/** Baseline: engines in rotation, each first in, first out. */
+/** Baseline: round robin over the engines, each first in, first out. */
 std::unique_ptr<Router>
 MakeRoundRobin(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks);
 
 /**
- * Baseline: of two engines drawn at random the one with less by its last
- * report, bound at once; reports come each 500 ms and are 500 ms old. The
- * engines honour the tiers.
+ * Baseline: binds each request on arrival to the less loaded of two random
+ * engines by their last reports, which come every 500 ms and are 500 ms old.
+ * The engines honour the tiers.
  */
 std::unique_ptr<Router>
 MakeTwoChoices(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks);
--- a/tests/replay/sidecarloadtest.cpp
+++ b/tests/replay/sidecarloadtest.cpp
@@ -9,27 +9,27 @@
 using namespace replay;
 
 /**
- * Over random arrivals, lengths, engine speeds, withdrawals and grants that
- * nobody starts: no request of a higher tier is shed or preempted for a lower
- * one, a start out of order is a floor start that was owed, no class starves,
- * none is lost or answered twice, and a request that was given up is told at
- * once when to come back.
+ * With random arrivals, lengths, engine speeds, withdrawals and unused grants:
+ * no request is shed or preempted for one of a lower tier, a start out of order
+ * is a floor start to which the class was entitled, no class starves, no
+ * request is lost or ends twice, and a declined request is sent a retry time
+ * at once.
  */
-Test(sidecarload, keeps_its_promises)
+Test(sidecarload, scheduling_invariants_hold)
 {
   size_t floorStarts = 0;
   size_t shed = 0;
   const bool holds = rc::check([&] {
-    const auto percent = [](int aMost) {
-      return *rc::gen::inRange(0, aMost + 1) / 100.0;
+    const auto percent = [](int aMax) {
+      return *rc::gen::inRange(0, aMax + 1) / 100.0;
     };
     RandomLoad load(
       *rc::gen::arbitrary<uint64_t>(),
       { .mArrivalsPerSecond = static_cast<double>(*rc::gen::inRange(1, 60)),
-        .mNeverStarts = percent(20),
-        .mWithdraws = percent(30),
-        .mIdempotent = percent(100),
-        .mSlowdowns = percent(50) });
+        .mNeverStartProbability = percent(20),
+        .mWithdrawProbability = percent(30),
+        .mIdempotentProbability = percent(100),
+        .mSlowdownProbability = percent(50) });
     load.Play(Millis(15000));
     floorStarts += load.mFloorStarts;
     shed += load.mShed;
@@ -40,11 +40,11 @@
 }
 
 /**
- * A time to come back is honest: of those who keep to it, while nobody else
- * comes, nearly all are served. The estimate can't be better than the lengths
- * that it is made from, which are random here.
+ * At least 90 % of the callers that retry at the stated time, without other
+ * load, are served. The retry time is estimated from request lengths, which are
+ * random here, so it can't be exact.
  */
-Test(sidecarload, who_comes_back_when_told_is_served)
+Test(sidecarload, retry_at_the_stated_time_is_served)
 {
   int returned = 0;
   int served = 0;
@@ -52,8 +52,8 @@
     RandomLoad load(
       *rc::gen::arbitrary<uint64_t>(),
       { .mArrivalsPerSecond = static_cast<double>(*rc::gen::inRange(20, 80)),
-        .mLeastDeadline = 5000 });
-    const auto outcome = load.PlayReturn(Millis(15000));
+        .mMinDeadline = 5000 });
+    const auto outcome = load.PlayRetry(Millis(15000));
     returned += outcome ? 1 : 0;
     served += outcome.value_or(false) ? 1 : 0;
   });
--- a/tests/replay/design.cpp
+++ b/tests/replay/sidecarrouter.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-/** One way between an entry and a sidecar. */
+/** One-way delay between an entry and a sidecar. */
 constexpr Millis kNetwork{ 1 };
 constexpr Millis kConnect{ 3 };
 constexpr const char* kModel = "base";
 
 CallerRequest
-CallerOf(const RequestId& aId)
+CallerRequestOf(const RequestId& aId)
 {
-  return { .mIndex = aId.mLow, .mRepeat = aId.mHigh };
+  return { .mIndex = aId.mLow, .mRetry = aId.mHigh };
 }
 
 std::shared_ptr<const Classifier>
@@ -42,11 +42,12 @@
   return std::make_shared<Classifier>(policy);
 }
 
-/** The daemons' part: carries out the actions of the library's cores. */
-class Design : public Router
+/** Stands in for the daemons: performs the actions that the library's cores
+ * return. */
+class SidecarRouter : public Router
 {
 public:
-  Design(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks)
+  SidecarRouter(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks)
     : mTime(aTime)
     , mTrace(aTrace)
     , mHooks(std::move(aHooks))
@@ -62,62 +63,62 @@
 
   void Submit(CallerRequest aRequest) override
   {
-    const TraceRequest& asked = mTrace.mRequests[aRequest.mIndex];
+    const TraceRequest& traceRequest = mTrace.mRequests[aRequest.mIndex];
     EntryRequest request;
-    request.mId = { .mHigh = aRequest.mRepeat, .mLow = aRequest.mIndex };
-    request.mClassified =
-      *mClassifier->Classify(CallerClaims{ .mWorkspace = asked.mWorkspace,
-                                           .mTokenHash = {},
-                                           .mWantedClass = asked.mClass,
-                                           .mLabels = {},
-                                           .mModel = kModel,
-                                           .mService = {},
-                                           .mDataCentre = {},
-                                           .mDeadline = {},
-                                           .mIdempotent = asked.mIdempotent });
+    request.mId = { .mHigh = aRequest.mRetry, .mLow = aRequest.mIndex };
+    request.mClassified = *mClassifier->Classify(
+      CallerClaims{ .mWorkspace = traceRequest.mWorkspace,
+                    .mTokenHash = {},
+                    .mWantedClass = traceRequest.mClass,
+                    .mLabels = {},
+                    .mModel = kModel,
+                    .mService = {},
+                    .mDataCentre = {},
+                    .mDeadline = {},
+                    .mIdempotent = traceRequest.mIdempotent });
     request.mCall.mTokenStream = true;
-    request.mPromptTokens = asked.mPromptTokens;
-    request.mPrefixHash = asked.mPrefix + 1;
+    request.mPromptTokens = traceRequest.mPromptTokens;
+    request.mPrefixHash = traceRequest.mPrefix + 1;
     Entry& entry = EntryOf(aRequest);
-    Do(entry, entry.mCore->OnRequest(std::move(request), mTime.Now()));
+    RunActions(entry, entry.mCore->OnRequest(std::move(request), mTime.Now()));
   }
 
-  void Leave(CallerRequest aRequest) override
+  void Abandon(CallerRequest aRequest) override
   {
     Entry& entry = EntryOf(aRequest);
-    const RequestId id{ .mHigh = aRequest.mRepeat, .mLow = aRequest.mIndex };
-    Do(entry, entry.mCore->OnCallerLeft(id, mTime.Now()));
+    const RequestId id{ .mHigh = aRequest.mRetry, .mLow = aRequest.mIndex };
+    RunActions(entry, entry.mCore->OnCallerLeft(id, mTime.Now()));
   }
 
   void Apply(const TraceFault& aFault) override
   {
     Sidecar& sidecar =
       *mSidecars.at("engine-" + std::to_string(aFault.mEngine));
-    if (aFault.mSlow > 0) {
-      return sidecar.mEngine->SetSlow(aFault.mSlow);
+    if (aFault.mSlowdown > 0) {
+      return sidecar.mEngine->SetSlowdown(aFault.mSlowdown);
     }
     sidecar.mUp = false;
     sidecar.mEngine->Crash();
     for (auto& [name, entry] : mEntries) {
       mTime.After(kNetwork, [this, &entry = *entry, upstream = sidecar.mName] {
-        Do(entry, entry.mCore->OnChannelDown(upstream, mTime.Now()));
+        RunActions(entry, entry.mCore->OnChannelDown(upstream, mTime.Now()));
       });
     }
   }
 
-  std::vector<Spent> Executions() const override
+  std::vector<ExecutionCost> Executions() const override
   {
-    std::vector<Spent> spent;
+    std::vector<ExecutionCost> costs;
     for (const auto& [name, sidecar] : mSidecars) {
       for (const Execution& execution : sidecar->mEngine->Executions()) {
         const AttemptKey& key = mCalls.at(execution.mId);
-        spent.push_back({ .mRequest = CallerOf(key.mRequest),
-                          .mCost = LeastCost(execution.mPromptTokens,
-                                             execution.mOutputTokens),
-                          .mWhole = mWhole.count(execution.mId) > 0 });
+        costs.push_back(
+          { .mRequest = CallerRequestOf(key.mRequest),
+            .mCost = MinCost(execution.mPromptTokens, execution.mOutputTokens),
+            .mComplete = mCompletedCalls.count(execution.mId) > 0 });
       }
     }
-    return spent;
+    return costs;
   }
 
   std::string Dump() const override
@@ -137,14 +138,14 @@
     std::unique_ptr<VirtualEngine> mEngine;
     std::map<AttemptKey, uint64_t> mRunning;
     bool mUp = true;
-    Millis mWake = Millis::Never();
+    Millis mWakeTime = Millis::Never();
   };
 
   struct Entry
   {
     EntryId mName;
     std::unique_ptr<EntryCore> mCore;
-    Millis mWake = Millis::Never();
+    Millis mWakeTime = Millis::Never();
   };
 
   void AddSidecar(const UpstreamId& aName)
@@ -182,9 +183,9 @@
                         .mDataCentre = {},
                         .mLabels = { { "model", kModel } } });
     }
-    Do(entry, entry.mCore->SetUpstreams(views, {}, mTime.Now()));
+    RunActions(entry, entry.mCore->SetUpstreams(views, {}, mTime.Now()));
     for (const auto& [name, sidecar] : mSidecars) {
-      Do(entry, entry.mCore->OnChannelUp(name, mTime.Now()));
+      RunActions(entry, entry.mCore->OnChannelUp(name, mTime.Now()));
     }
   }
 
@@ -194,106 +195,111 @@
     return *std::next(mEntries.begin(), static_cast<ptrdiff_t>(place))->second;
   }
 
-  void Do(Entry& aEntry, EntryActions aActions)
+  void RunActions(Entry& aEntry, EntryActions aActions)
   {
     for (EntryAction& action : aActions) {
-      std::visit([&](auto& aOne) { Carry(aEntry, aOne); }, action);
+      std::visit([&](auto& aAction) { Perform(aEntry, aAction); }, action);
     }
-    PlanWake(aEntry);
+    ScheduleWake(aEntry);
   }
 
-  void Do(Sidecar& aSidecar, SidecarActions aActions)
+  void RunActions(Sidecar& aSidecar, SidecarActions aActions)
   {
     for (SidecarAction& action : aActions) {
-      std::visit([&](auto& aOne) { Carry(aSidecar, aOne); }, action);
+      std::visit([&](auto& aAction) { Perform(aSidecar, aAction); }, action);
     }
-    PlanWake(aSidecar);
+    ScheduleWake(aSidecar);
   }
 
-  template<typename Party>
-  void PlanWake(Party& aParty)
+  template<typename Node>
+  void ScheduleWake(Node& aNode)
   {
-    const Millis wake = std::max(aParty.mCore->NextWake(), mTime.Now());
-    if (wake >= aParty.mWake || wake >= Millis::Never()) {
+    const Millis wake = std::max(aNode.mCore->NextWake(), mTime.Now());
+    if (wake >= aNode.mWakeTime || wake >= Millis::Never()) {
       return;
     }
-    aParty.mWake = wake;
-    mTime.At(wake, [this, &aParty, wake] {
-      if (aParty.mWake != wake) {
+    aNode.mWakeTime = wake;
+    mTime.At(wake, [this, &aNode, wake] {
+      if (aNode.mWakeTime != wake) {
         return;
       }
-      aParty.mWake = Millis::Never();
-      if constexpr (std::is_same_v<Party, Sidecar>) {
-        if (!aParty.mUp) {
+      aNode.mWakeTime = Millis::Never();
+      if constexpr (std::is_same_v<Node, Sidecar>) {
+        if (!aNode.mUp) {
           return;
         }
       }
-      Do(aParty, aParty.mCore->OnTick(mTime.Now()));
+      RunActions(aNode, aNode.mCore->OnTick(mTime.Now()));
     });
   }
 
-  void Carry(Entry& aEntry, SendToSidecar& aSend)
+  void Perform(Entry& aEntry, SendToSidecar& aSend)
   {
     Sidecar& sidecar = *mSidecars.at(aSend.mUpstream);
-    mTime.After(
-      kNetwork,
-      [this,
-       &sidecar,
-       name = aEntry.mName,
-       message = std::move(aSend.mMessage)]() mutable {
-        if (sidecar.mUp) {
-          Do(sidecar,
-             sidecar.mCore->OnMessage(name, std::move(message), mTime.Now()));
-        }
-      });
+    mTime.After(kNetwork,
+                [this,
+                 &sidecar,
+                 name = aEntry.mName,
+                 message = std::move(aSend.mMessage)]() mutable {
+                  if (sidecar.mUp) {
+                    RunActions(sidecar,
+                               sidecar.mCore->OnMessage(
+                                 name, std::move(message), mTime.Now()));
+                  }
+                });
   }
 
-  void Carry(Entry& aEntry, ReopenChannel& aReopen)
+  void Perform(Entry& aEntry, ReopenChannel& aReopen)
   {
     Sidecar& sidecar = *mSidecars.at(aReopen.mUpstream);
     mTime.After(kConnect, [this, &aEntry, &sidecar] {
       if (sidecar.mUp) {
-        Do(aEntry, aEntry.mCore->OnChannelUp(sidecar.mName, mTime.Now()));
+        RunActions(aEntry,
+                   aEntry.mCore->OnChannelUp(sidecar.mName, mTime.Now()));
       } else {
-        Do(aEntry, aEntry.mCore->OnChannelDown(sidecar.mName, mTime.Now()));
+        RunActions(aEntry,
+                   aEntry.mCore->OnChannelDown(sidecar.mName, mTime.Now()));
       }
     });
   }
 
-  void Carry(Entry&, AnswerHead&) {}
+  void Perform(Entry&, AnswerHead&) {}
 
-  void Carry(Entry&, AnswerData& aData)
+  void Perform(Entry&, AnswerData& aData)
   {
     for (size_t i = 0; i < aData.mData.size(); ++i) {
-      mHooks.mOnToken(CallerOf(aData.mId));
+      mHooks.mOnToken(CallerRequestOf(aData.mId));
     }
   }
 
-  void Carry(Entry&, AnswerEnd& aEnd) { mHooks.mOnWhole(CallerOf(aEnd.mId)); }
+  void Perform(Entry&, AnswerEnd& aEnd)
+  {
+    mHooks.mOnComplete(CallerRequestOf(aEnd.mId));
+  }
 
-  void Carry(Entry&, AnswerError& aError)
+  void Perform(Entry&, AnswerError& aError)
   {
-    mHooks.mOnRefused(CallerOf(aError.mId), aError.mRefusal);
+    mHooks.mOnRefused(CallerRequestOf(aError.mId), aError.mRefusal);
   }
 
-  void Carry(Sidecar& aSidecar, SendToEntry& aSend)
+  void Perform(Sidecar& aSidecar, SendToEntry& aSend)
   {
     Entry& entry = *mEntries.at(aSend.mEntry);
     mTime.After(
       kNetwork,
       [this, &aSidecar, &entry, message = std::move(aSend.mMessage)]() mutable {
         if (aSidecar.mUp) {
-          Do(entry,
-             entry.mCore->OnMessage(
-               aSidecar.mName, std::move(message), mTime.Now()));
+          RunActions(entry,
+                     entry.mCore->OnMessage(
+                       aSidecar.mName, std::move(message), mTime.Now()));
         }
       });
   }
 
-  void Carry(Sidecar& aSidecar, StartCall& aStart)
+  void Perform(Sidecar& aSidecar, StartCall& aStart)
   {
     const TraceRequest& request =
-      mTrace.mRequests[CallerOf(aStart.mKey.mRequest).mIndex];
+      mTrace.mRequests[CallerRequestOf(aStart.mKey.mRequest).mIndex];
     const uint64_t id = mNextId++;
     mCalls[id] = aStart.mKey;
     aSidecar.mRunning[aStart.mKey] = id;
@@ -305,7 +311,7 @@
                               .mOutputTokens = request.mOutputTokens });
   }
 
-  void Carry(Sidecar& aSidecar, CancelCall& aCancel)
+  void Perform(Sidecar& aSidecar, CancelCall& aCancel)
   {
     const auto found = aSidecar.mRunning.find(aCancel.mKey);
     if (found == aSidecar.mRunning.end()) {
@@ -319,15 +325,16 @@
   {
     const AttemptKey key = mCalls.at(aId);
     if (aLast) {
-      mWhole.insert(aId);
+      mCompletedCalls.insert(aId);
       aSidecar.mRunning.erase(key);
     }
-    Do(aSidecar,
-       aSidecar.mCore->OnCall(
-         CallData{ .mKey = key, .mData = "t", .mTokens = 1 }, mTime.Now()));
+    RunActions(
+      aSidecar,
+      aSidecar.mCore->OnCall(
+        CallData{ .mKey = key, .mData = "t", .mTokens = 1 }, mTime.Now()));
     if (aLast) {
-      Do(aSidecar,
-         aSidecar.mCore->OnCall(CallDone{ .mKey = key }, mTime.Now()));
+      RunActions(aSidecar,
+                 aSidecar.mCore->OnCall(CallDone{ .mKey = key }, mTime.Now()));
     }
   }
 
@@ -338,16 +345,16 @@
   std::map<UpstreamId, std::unique_ptr<Sidecar>> mSidecars;
   std::map<EntryId, std::unique_ptr<Entry>> mEntries;
   std::map<uint64_t, AttemptKey> mCalls;
-  std::set<uint64_t> mWhole;
+  std::set<uint64_t> mCompletedCalls;
   uint64_t mNextId = 1;
 };
 
 } // namespace
 
 std::unique_ptr<Router>
-MakeDesign(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks)
+MakeSidecarRouter(VirtualTime& aTime, const Trace& aTrace, CallerHooks aHooks)
 {
-  return std::make_unique<Design>(aTime, aTrace, std::move(aHooks));
+  return std::make_unique<SidecarRouter>(aTime, aTrace, std::move(aHooks));
 }
 
 } // namespace replay
--- a/tests/replay/trace.h
+++ b/tests/replay/trace.h
@@ -23,28 +23,29 @@
   bool mIdempotent = true;
 };
 
-/** Something that happens to an engine. */
+/** A slowdown, a recovery or the loss of one engine. */
 struct TraceFault
 {
   Millis mAt;
   size_t mEngine = 0;
-  /** Steps take this many times as long; 0 means that the host is lost. */
-  double mSlow = 1;
+  /** Factor on the duration of steps; 0 means that the host is lost. */
+  double mSlowdown = 1;
 };
 
-/** A bound on what a replay of the trace through the design must give. */
-struct Promise
+/** Lower bounds on one class's results in a replay through the sidecar
+ * router. */
+struct Expectation
 {
   std::string mClass;
-  double mLeastAttainment = 0; /**< share of all that was asked, 0 to 1 */
-  double mLeastCompleted = 0;  /**< share completed before the deadline */
+  double mMinAttainment = 0; /**< share of all requests, 0 to 1 */
+  double mMinCompleted = 0;  /**< share completed before the deadline */
 };
 
-/** A recorded or generated load, and the outcome that is promised for it. */
+/** A recorded or generated load and the bounds that its results must meet. */
 struct Trace
 {
   std::string mName;
-  std::string mAbout;
+  std::string mDescription;
   uint64_t mSeed = 0;
   size_t mEntries = 2;
   size_t mEngines = 4;
@@ -52,40 +53,40 @@
   std::vector<trefoilarch::RequestClass> mClasses;
   std::vector<TraceRequest> mRequests;
   std::vector<TraceFault> mFaults;
-  /** Refused callers ask again after this, without regard to the time they
-   * were told, up to mRepeats times; 0 for callers that do not ask again. */
-  Millis mRepeatAfter;
-  uint32_t mRepeats = 0;
-  std::vector<Promise> mPromises;
-  double mLeastGoodput = 0; /**< tokens in time, of the engines' best */
-  double mMostWaste = 1;    /**< share of the engines' work */
+  /** Refused callers retry after this delay, whatever retry time the refusal
+   * states, up to mMaxRetries times; 0 for callers that do not retry. */
+  Millis mRetryDelay;
+  uint32_t mMaxRetries = 0;
+  std::vector<Expectation> mExpectations;
+  double mMinGoodput = 0; /**< work in time, as a share of the upper bound */
+  double mMaxWaste = 1;   /**< share of the engines' work */
 
   const trefoilarch::RequestClass& ClassOf(const TraceRequest& aRequest) const;
   Millis End() const;
 };
 
-/** The size and speed of the engines in every replay. */
+/** Default size and speed of the engines in replays. */
 standin::BatchOptions
 ReplayBatch();
 
-/** The least time that an engine of ReplayBatch() spends on a request, in
- * milliseconds: its prefill, and its share of the steps of a full batch. */
+/** The minimum time in milliseconds that an engine of ReplayBatch() spends on a
+ * request: its prefill, and its share of the steps of a full batch. */
 double
-LeastCost(uint32_t aPromptTokens, uint32_t aOutputTokens);
+MinCost(uint32_t aPromptTokens, uint32_t aOutputTokens);
 
-/** The generated traces, each from its own stated seed. */
+/** Generates all traces, each from its own recorded seed. */
 std::vector<Trace>
 GenerateTraces();
 
-/** Writes NAME.json (the promise) and NAME.csv (the requests). */
+/** Writes NAME.json (settings and expectations) and NAME.csv (requests). */
 void
 WriteTrace(const Trace& aTrace, const std::string& aFolder);
 
-/** Reads what WriteTrace wrote; throws std::runtime_error on bad files. */
+/** Reads the files of WriteTrace; throws std::runtime_error on bad files. */
 Trace
 ReadTrace(const std::string& aFolder, const std::string& aName);
 
-/** The names of the traces in a folder, in order. */
+/** The names of the traces in a folder, sorted. */
 std::vector<std::string>
 TraceNames(const std::string& aFolder);
 
--- a/tests/replay/tracefiles.cpp
+++ b/tests/replay/tracefiles.cpp
@@ -62,30 +62,31 @@
   for (const TraceFault& fault : aTrace.mFaults) {
     faults.push_back({ { "at_ms", fault.mAt.Count() },
                        { "engine", fault.mEngine },
-                       { "slow", fault.mSlow } });
+                       { "slow", fault.mSlowdown } });
   }
-  json promises = json::array();
-  for (const Promise& promise : aTrace.mPromises) {
-    promises.push_back({ { "class", promise.mClass },
-                         { "least_attainment", promise.mLeastAttainment },
-                         { "least_completed", promise.mLeastCompleted } });
+  json expectations = json::array();
+  for (const Expectation& expectation : aTrace.mExpectations) {
+    expectations.push_back(
+      { { "class", expectation.mClass },
+        { "least_attainment", expectation.mMinAttainment },
+        { "least_completed", expectation.mMinCompleted } });
   }
-  return { { "about", aTrace.mAbout },
+  return { { "about", aTrace.mDescription },
            { "seed", aTrace.mSeed },
            { "entries", aTrace.mEntries },
            { "engines", aTrace.mEngines },
-           { "repeat_after_ms", aTrace.mRepeatAfter.Count() },
-           { "repeats", aTrace.mRepeats },
+           { "repeat_after_ms", aTrace.mRetryDelay.Count() },
+           { "repeats", aTrace.mMaxRetries },
            { "classes", std::move(classes) },
            { "faults", std::move(faults) },
            { "promised",
-             { { "classes", std::move(promises) },
-               { "least_goodput", aTrace.mLeastGoodput },
-               { "most_waste", aTrace.mMostWaste } } } };
+             { { "classes", std::move(expectations) },
+               { "least_goodput", aTrace.mMinGoodput },
+               { "most_waste", aTrace.mMaxWaste } } } };
 }
 
 std::ifstream
-Open(const std::filesystem::path& aPath)
+OpenFile(const std::filesystem::path& aPath)
 {
   std::ifstream file(aPath);
   if (!file) {
@@ -95,15 +96,15 @@
 }
 
 void
-ReadPromises(const json& aPromised, Trace& aTrace)
+ReadExpectations(const json& aExpected, Trace& aTrace)
 {
-  aTrace.mLeastGoodput = aPromised.at("least_goodput");
-  aTrace.mMostWaste = aPromised.at("most_waste");
-  for (const json& promise : aPromised.at("classes")) {
-    aTrace.mPromises.push_back(
-      { .mClass = promise.at("class"),
-        .mLeastAttainment = promise.at("least_attainment"),
-        .mLeastCompleted = promise.at("least_completed") });
+  aTrace.mMinGoodput = aExpected.at("least_goodput");
+  aTrace.mMaxWaste = aExpected.at("most_waste");
+  for (const json& expectation : aExpected.at("classes")) {
+    aTrace.mExpectations.push_back(
+      { .mClass = expectation.at("class"),
+        .mMinAttainment = expectation.at("least_attainment"),
+        .mMinCompleted = expectation.at("least_completed") });
   }
 }
 
@@ -114,7 +115,7 @@
   const auto field = [&line] {
     std::string text;
     if (!std::getline(line, text, ',')) {
-      throw std::runtime_error("a request of a trace lacks a field");
+      throw std::runtime_error("a request of the trace lacks a field");
     }
     return text;
   };
@@ -140,7 +141,7 @@
       return requestClass;
     }
   }
-  throw std::runtime_error("a request of an unknown class: " + aRequest.mClass);
+  throw std::runtime_error("request of an unknown class: " + aRequest.mClass);
 }
 
 Millis
@@ -167,29 +168,29 @@
 Trace
 ReadTrace(const std::string& aFolder, const std::string& aName)
 {
-  const json head = json::parse(Open(PathOf(aFolder, aName, ".json")));
+  const json head = json::parse(OpenFile(PathOf(aFolder, aName, ".json")));
   Trace trace;
   trace.mName = aName;
-  trace.mAbout = head.at("about");
+  trace.mDescription = head.at("about");
   trace.mSeed = head.at("seed");
   trace.mEntries = head.at("entries");
   trace.mEngines = head.at("engines");
   trace.mBatch = ReplayBatch();
-  trace.mRepeatAfter = Millis(head.at("repeat_after_ms"));
-  trace.mRepeats = head.at("repeats");
+  trace.mRetryDelay = Millis(head.at("repeat_after_ms"));
+  trace.mMaxRetries = head.at("repeats");
   for (const json& requestClass : head.at("classes")) {
     trace.mClasses.push_back(ClassFrom(requestClass));
   }
   for (const json& fault : head.at("faults")) {
     trace.mFaults.push_back({ .mAt = Millis(fault.at("at_ms")),
                               .mEngine = fault.at("engine"),
-                              .mSlow = fault.at("slow") });
+                              .mSlowdown = fault.at("slow") });
   }
-  ReadPromises(head.at("promised"), trace);
-  std::ifstream rows = Open(PathOf(aFolder, aName, ".csv"));
+  ReadExpectations(head.at("promised"), trace);
+  std::ifstream rows = OpenFile(PathOf(aFolder, aName, ".csv"));
   std::string line;
   if (!std::getline(rows, line) || line != kColumns) {
-    throw std::runtime_error("other columns than expected in " + aName);
+    throw std::runtime_error("unexpected column header in trace " + aName);
   }
   while (std::getline(rows, line)) {
     trace.mRequests.push_back(RequestFrom(line));
--- a/tests/replay/virtualengine.cpp
+++ b/tests/replay/virtualengine.cpp
@@ -27,22 +27,23 @@
 }
 
 void
-VirtualEngine::StartWith(const EngineCall& aCall, const VirtualEngine& aHolder)
+VirtualEngine::StartWithPrefixFrom(const EngineCall& aCall,
+                                   const VirtualEngine& aHolder)
 {
   std::vector<uint64_t> blocks = BlocksOf(aCall);
-  const size_t here = mBatch.Held(blocks);
-  const size_t there = aHolder.mBatch.Held(blocks);
-  if (there <= here) {
+  const size_t cachedHere = mBatch.Held(blocks);
+  const size_t cachedAtHolder = aHolder.mBatch.Held(blocks);
+  if (cachedAtHolder <= cachedHere) {
     return Start(aCall);
   }
-  blocks.resize(there);
+  blocks.resize(cachedAtHolder);
   constexpr double kFetchShare = 1.0 / 9;
   const double tokens =
-    static_cast<double>((there - here) * standin::kBlockTokens);
-  const Millis span(static_cast<int64_t>(
+    static_cast<double>((cachedAtHolder - cachedHere) * standin::kBlockTokens);
+  const Millis fetchTime(static_cast<int64_t>(
     std::ceil(tokens * mOptions.mPrefillMillis * kFetchShare)));
-  mTime.After(span, [this, aCall, blocks, life = mLife] {
-    if (life == mLife) {
+  mTime.After(fetchTime, [this, aCall, blocks, incarnation = mIncarnation] {
+    if (incarnation == mIncarnation) {
       mBatch.Bring(blocks);
       Start(aCall);
     }
@@ -81,7 +82,7 @@
   }
   mBatch = standin::BatchModel(mOptions);
   mStepping = false;
-  ++mLife;
+  ++mIncarnation;
 }
 
 void
@@ -92,10 +93,10 @@
     return;
   }
   const Call& call = found->second;
-  const bool prefilled = call.mDone > 0 || mBatch.Waiting() == 0;
+  const bool prefilled = call.mGeneratedTokens > 0 || mBatch.Waiting() == 0;
   mExecutions.push_back({ .mId = aId,
                           .mPromptTokens = prefilled ? call.mPrompt : 0,
-                          .mOutputTokens = call.mDone });
+                          .mOutputTokens = call.mGeneratedTokens });
   mCalls.erase(found);
 }
 
@@ -107,10 +108,10 @@
     return;
   }
   const standin::BatchStep step = mBatch.Step();
-  mClock += step.mMillis * mSlow;
+  mClock += step.mMillis * mSlowdown;
   const Millis end(static_cast<int64_t>(std::ceil(mClock)));
-  mTime.At(end, [this, step, life = mLife] {
-    if (life != mLife) {
+  mTime.At(end, [this, step, incarnation = mIncarnation] {
+    if (incarnation != mIncarnation) {
       return;
     }
     Deliver(step);
@@ -126,7 +127,7 @@
     if (found == mCalls.end()) {
       continue;
     }
-    const bool last = ++found->second.mDone >= found->second.mOutput;
+    const bool last = ++found->second.mGeneratedTokens >= found->second.mOutput;
     if (last) {
       Close(id);
     }
--- a/tests/replay/virtualengine.h
+++ b/tests/replay/virtualengine.h
@@ -10,7 +10,7 @@
 
 namespace replay {
 
-/** One request as an engine gets it. */
+/** A request as an engine receives it. */
 struct EngineCall
 {
   uint64_t mId = 0;
@@ -21,20 +21,20 @@
   uint32_t mOutputTokens = 0;
 };
 
-/** What an engine has spent on one call. */
+/** The tokens that an engine processed for one call. */
 struct Execution
 {
   uint64_t mId = 0;
-  uint32_t mPromptTokens = 0; /**< 0 if it left before its prefill */
+  uint32_t mPromptTokens = 0; /**< 0 if it was cancelled before its prefill */
   uint32_t mOutputTokens = 0;
 };
 
-/** What an engine tells of a request; the last token ends it. */
+/** Called for each generated token; the last one ends the call. */
 using OnToken = std::function<void(uint64_t aId, bool aLast)>;
 
 /**
- * A model engine in virtual time: the stand-in's batch model, stepped, with a
- * speed that can change. It counts the work that each request cost.
+ * A simulated engine in virtual time: steps the stand-in's batch model at a
+ * variable speed and records the tokens processed for each call.
  */
 class VirtualEngine
 {
@@ -44,20 +44,21 @@
                 OnToken aOnToken);
 
   void Start(const EngineCall& aCall);
-  /** Starts it once what aHolder has of its prompt beyond what is here has been
-   * brought, at a ninth of the time that reading takes. */
-  void StartWith(const EngineCall& aCall, const VirtualEngine& aHolder);
+  /** Starts the call after fetching the prompt blocks that only aHolder has in
+   * its cache. A fetch takes a ninth of the time of their prefill. */
+  void StartWithPrefixFrom(const EngineCall& aCall,
+                           const VirtualEngine& aHolder);
   void Cancel(uint64_t aId);
-  /** Loses all that runs; nobody is told. */
+  /** Drops all calls without reporting their end. */
   void Crash();
-  /** Steps take this many times as long. */
-  void SetSlow(double aFactor) { mSlow = aFactor; }
+  /** Sets the factor on the duration of steps. */
+  void SetSlowdown(double aFactor) { mSlowdown = aFactor; }
 
   size_t Running() const { return mBatch.Running(); }
   size_t Waiting() const { return mBatch.Waiting(); }
   uint64_t PrefilledTokens() const { return mBatch.PrefilledTokens(); }
-  size_t Open() const { return mCalls.size(); }
-  /** Calls that are over, whole or not. */
+  size_t OpenCalls() const { return mCalls.size(); }
+  /** Calls that have ended, complete or not. */
   const std::vector<Execution>& Executions() const { return mExecutions; }
 
 private:
@@ -65,10 +66,10 @@
   {
     uint32_t mPrompt = 0;
     uint32_t mOutput = 0;
-    uint32_t mDone = 0;
+    uint32_t mGeneratedTokens = 0;
   };
 
-  /** Notes what the call has cost and forgets it. */
+  /** Records the call's execution and removes the call. */
   void Close(uint64_t aId);
 
   void Step();
@@ -82,9 +83,9 @@
   std::map<uint64_t, Call> mCalls;
   std::vector<Execution> mExecutions;
   double mClock = 0;
-  double mSlow = 1;
+  double mSlowdown = 1;
   bool mStepping = false;
-  uint64_t mLife = 0;
+  uint64_t mIncarnation = 0;
 };
 
 } // namespace replay
--- a/tests/replay/virtualtime.h
+++ b/tests/replay/virtualtime.h
@@ -17,19 +17,20 @@
 public:
   Millis Now() const { return mNow; }
 
-  /** Events of one moment run in the order in which they were planned. */
-  void At(Millis aWhen, std::function<void()> aWhat)
+  /** Events with the same time run in the order in which they were
+   * scheduled. */
+  void At(Millis aTime, std::function<void()> aEvent)
   {
-    mEvents.emplace(std::pair(std::max(aWhen, mNow), mPlanned++),
-                    std::move(aWhat));
+    mEvents.emplace(std::pair(std::max(aTime, mNow), mScheduledCount++),
+                    std::move(aEvent));
   }
 
-  void After(Millis aSpan, std::function<void()> aWhat)
+  void After(Millis aDelay, std::function<void()> aEvent)
   {
-    At(mNow + aSpan, std::move(aWhat));
+    At(mNow + aDelay, std::move(aEvent));
   }
 
-  /** Runs what is planned until then. */
+  /** Runs all events up to and including that time. */
   void RunUntil(Millis aEnd)
   {
     while (!mEvents.empty() && mEvents.begin()->first.first <= aEnd) {
@@ -42,7 +43,7 @@
 
 private:
   Millis mNow{ 1 };
-  uint64_t mPlanned = 0;
+  uint64_t mScheduledCount = 0;
   std::map<std::pair<Millis, uint64_t>, std::function<void()>> mEvents;
 };
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -12,18 +12,18 @@
   TCLAP::ValueArg<int> seeds("", "seeds", "how many", false, 1, "N", line);
   TCLAP::ValueArg<int> seconds("", "seconds", "each", false, 10, "S", line);
   line.parse(aCount, aArguments);
-  int broken = 0;
+  int failedSeeds = 0;
   for (int each = 0; each < seeds.getValue(); ++each) {
     const uint64_t number = seed.getValue() + static_cast<uint64_t>(each);
     soak::SoakRun run({ .mSeed = number, .mSeconds = seconds.getValue() });
     const soak::SoakResult result = run.Run();
     std::cout << "seed " << number << ": " << result.mRequests << " requests, "
               << result.mServed << " served, " << result.mFaults << " faults, "
-              << result.mBroken.size() << " broken promises" << std::endl;
-    for (const std::string& promise : result.mBroken) {
-      std::cout << "  " << promise << std::endl;
+              << result.mViolations.size() << " violations" << std::endl;
+    for (const std::string& violation : result.mViolations) {
+      std::cout << "  " << violation << std::endl;
     }
-    broken += result.mBroken.empty() ? 0 : 1;
+    failedSeeds += result.mViolations.empty() ? 0 : 1;
   }
-  return broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+  return failedSeeds == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/soak/soakchecks.cpp
+++ b/tests/soak/soakchecks.cpp
@@ -9,126 +9,136 @@
 
 namespace {
 
-/** The least body of a good plain answer, as the worker's plan has it. */
+/** Size of the body of a successful plain response of the worker. */
 constexpr int kBodyBytes = 100;
 
-/** How long after the time limit an answer may come, and how long a gate is
- * excused after a fault of its own. */
-constexpr int64_t kLateMs = 1200;
+/** How long after the time limit a response may come, the time limit, and how
+ * long a gate may take to recover after a fault of its own. */
+constexpr int64_t kLatenessToleranceMs = 1200;
 constexpr int64_t kTimeLimitMs = 2500;
-constexpr int64_t kExcusedMs = 3000;
+constexpr int64_t kRecoveryMs = 3000;
 
 bool
-Overlaps(const std::vector<FaultSpan>& aSpans,
+Overlaps(const std::vector<FaultInterval>& aIntervals,
          size_t aGate,
          int64_t aFrom,
          int64_t aTo)
 {
-  return std::any_of(aSpans.begin(), aSpans.end(), [&](const FaultSpan& aSpan) {
-    return aSpan.mGate == aGate && aSpan.mFrom <= aTo &&
-           aSpan.mTo + kExcusedMs >= aFrom;
-  });
+  return std::any_of(
+    aIntervals.begin(), aIntervals.end(), [&](const FaultInterval& aInterval) {
+      return aInterval.mGate == aGate && aInterval.mStartedAt <= aTo &&
+             aInterval.mEndsAt + kRecoveryMs >= aFrom;
+    });
 }
 
-/** An upstream that leaves gets no request later than this, and a limit is
- * obeyed by all gates after this. */
+/** Time after which an upstream that leaves gets no more requests, and time
+ * after which all gates obey a reported rate limit. */
 constexpr int64_t kDrainMs = 2000;
-constexpr int64_t kLimitKnownMs = 3000;
+constexpr int64_t kLimitPropagationMs = 3000;
 
-/** Whether a gate and the store were well all that time. */
+/** Whether the gate and the store had no fault in that interval. */
 bool
-AllWell(const std::vector<FaultSpan>& aSpans,
-        size_t aGate,
-        int64_t aFrom,
-        int64_t aTo)
+HasNoFault(const std::vector<FaultInterval>& aIntervals,
+           size_t aGate,
+           int64_t aFrom,
+           int64_t aTo)
 {
   return std::none_of(
-    aSpans.begin(), aSpans.end(), [&](const FaultSpan& aSpan) {
-      const bool concerns = aSpan.mGate == aGate || (aSpan.mGate == SIZE_MAX &&
-                                                     aSpan.mWorker == SIZE_MAX);
-      return concerns && aSpan.mFrom <= aTo && aSpan.mTo + kExcusedMs >= aFrom;
+    aIntervals.begin(), aIntervals.end(), [&](const FaultInterval& aInterval) {
+      const bool concerns =
+        aInterval.mGate == aGate ||
+        (aInterval.mGate == SIZE_MAX && aInterval.mWorker == SIZE_MAX);
+      return concerns && aInterval.mStartedAt <= aTo &&
+             aInterval.mEndsAt + kRecoveryMs >= aFrom;
     });
 }
 
-/** Runs at the span's worker from so long after its begin until its end, of
- * gates that were well and reached a store that was well. */
+/** Ids of the runs at the interval's worker that came more than aAfter after
+ * its start and before its end, through gates without a fault of their own or
+ * of the store. */
 std::vector<std::string>
-RunsWithin(const FaultSpan& aSpan,
+RunsWithin(const FaultInterval& aInterval,
            int64_t aAfter,
            const std::vector<json>& aRuns,
            const std::map<std::string, size_t>& aGates,
-           const std::vector<FaultSpan>& aSpans)
+           const std::vector<FaultInterval>& aIntervals)
 {
   std::vector<std::string> ids;
   for (const json& run : aRuns) {
     const auto at = run.at("at_ms").get<int64_t>();
     const std::string id = run.at("id");
     const auto gate = aGates.find(id);
-    const bool within = run.at("worker") == aSpan.mWorker &&
-                        at > aSpan.mFrom + aAfter && at < aSpan.mTo;
+    const bool within = run.at("worker") == aInterval.mWorker &&
+                        at > aInterval.mStartedAt + aAfter &&
+                        at < aInterval.mEndsAt;
     if (within && gate != aGates.end() &&
-        AllWell(aSpans, gate->second, aSpan.mFrom, at)) {
+        HasNoFault(aIntervals, gate->second, aInterval.mStartedAt, at)) {
       ids.push_back(id);
     }
   }
   return ids;
 }
 
-/** What upstreams see that leave, or name a rate limit. */
+/** Checks the runs at workers that leave, are unlisted or report a limit. */
 void
 CheckWorkers(const std::vector<SoakRecord>& aRecords,
              const std::vector<json>& aRuns,
-             const std::vector<FaultSpan>& aSpans,
-             std::vector<std::string>& aBroken)
+             const std::vector<FaultInterval>& aIntervals,
+             std::vector<std::string>& aViolations)
 {
   std::map<std::string, size_t> gates;
   for (const SoakRecord& record : aRecords) {
     gates[record.mId] = record.mGate;
   }
-  for (const FaultSpan& span : aSpans) {
-    if (span.mWhat == kWorkerLeaves || span.mWhat == kWorkerUnlisted) {
+  for (const FaultInterval& interval : aIntervals) {
+    if (interval.mFaultName == kWorkerLeaves ||
+        interval.mFaultName == kWorkerUnlisted) {
       for (const std::string& id :
-           RunsWithin(span, kDrainMs, aRuns, gates, aSpans)) {
-        aBroken.push_back("a leaving upstream gets no request: " + id);
+           RunsWithin(interval, kDrainMs, aRuns, gates, aIntervals)) {
+        aViolations.push_back(
+          "a leaving or unlisted upstream received a request: " + id);
       }
     }
-    if (span.mWhat == kWorkerLimits) {
+    if (interval.mFaultName == kWorkerLimits) {
       const size_t runs =
-        RunsWithin(span, kLimitKnownMs, aRuns, gates, aSpans).size();
-      const int64_t millis = span.mTo - span.mFrom - kLimitKnownMs;
+        RunsWithin(interval, kLimitPropagationMs, aRuns, gates, aIntervals)
+          .size();
+      const int64_t millis =
+        interval.mEndsAt - interval.mStartedAt - kLimitPropagationMs;
       const int64_t allowed =
-        std::max<int64_t>(0, millis) * kNamedLimit * 3 / 2000 + 5;
+        std::max<int64_t>(0, millis) * kReportedLimit * 3 / 2000 + 5;
       if (static_cast<int64_t>(runs) > allowed) {
-        aBroken.push_back("a rate limit is kept: " + std::to_string(runs) +
-                          " in " + std::to_string(millis) + " ms");
+        aViolations.push_back(
+          "a reported rate limit was exceeded: " + std::to_string(runs) +
+          " runs in " + std::to_string(millis) + " ms");
       }
     }
   }
 }
 
-/** Collects what is broken, with the request that shows it. */
+/** Collects violations, each with the request that shows it. */
 class Checker
 {
 public:
-  Checker(std::vector<std::string>& aBroken, const SoakRecord& aRecord)
-    : mBroken(aBroken)
+  Checker(std::vector<std::string>& aViolations, const SoakRecord& aRecord)
+    : mViolations(aViolations)
     , mRecord(aRecord)
   {
   }
 
-  void Expect(bool aHolds, const char* aPromise) const
+  void Expect(bool aHolds, const char* aProperty) const
   {
     if (!aHolds) {
-      mBroken.push_back(std::string(aPromise) + ": " + mRecord.mId + " (" +
-                        mRecord.mPlan + ", " + mRecord.mKind + ", status " +
-                        std::to_string(mRecord.mStatus) + ", gate " +
-                        std::to_string(mRecord.mGate) + ", sent at " +
-                        std::to_string(mRecord.mSentAt) + ")");
+      mViolations.push_back(std::string(aProperty) + ": " + mRecord.mId + " (" +
+                            mRecord.mPlan + ", " + mRecord.mKind + ", status " +
+                            std::to_string(mRecord.mStatus) + ", gate " +
+                            std::to_string(mRecord.mGate) + ", sent at " +
+                            std::to_string(mRecord.mSentAt) + ")");
     }
   }
 
 private:
-  std::vector<std::string>& mBroken;
+  std::vector<std::string>& mViolations;
   const SoakRecord& mRecord;
 };
 
@@ -137,13 +147,14 @@
 {
   int next = 1;
   for (const int event : aRecord.mEvents) {
-    aChecker.Expect(event == next, "a stream has no gap and no repetition");
+    aChecker.Expect(event == next,
+                    "a stream must have no missing or repeated event");
     next = event + 1;
   }
   const bool all =
     static_cast<int>(aRecord.mEvents.size()) == aRecord.mEventsDue;
   aChecker.Expect(!aRecord.mComplete || all,
-                  "a stream that ends early does not look whole");
+                  "a truncated stream must not look complete");
 }
 
 } // namespace
@@ -151,12 +162,12 @@
 std::vector<std::string>
 CheckSoak(const std::vector<SoakRecord>& aRecords,
           const std::vector<json>& aRuns,
-          const std::vector<FaultSpan>& aSpans,
+          const std::vector<FaultInterval>& aIntervals,
           const std::vector<Revocation>& aRevoked,
           int aRevokeMs)
 {
-  std::vector<std::string> broken;
-  CheckWorkers(aRecords, aRuns, aSpans, broken);
+  std::vector<std::string> violations;
+  CheckWorkers(aRecords, aRuns, aIntervals, violations);
   std::map<std::string, std::vector<const json*>> runs;
   for (const json& run : aRuns) {
     runs[run.at("id")].push_back(&run);
@@ -166,58 +177,62 @@
     revoked[each.mKey] = each.mAt;
   }
   for (const SoakRecord& record : aRecords) {
-    const Checker checker(broken, record);
+    const Checker checker(violations, record);
     const auto place = runs.find(record.mId);
-    const std::vector<const json*> mine =
+    const std::vector<const json*> requestRuns =
       place == runs.end() ? std::vector<const json*>{} : place->second;
     runs.erase(record.mId);
     const bool refused = record.mStatus == 429 || record.mStatus == 503;
     const bool streams = record.mKind == "stream" || record.mKind == "resume";
-    const auto copies =
-      std::count_if(mine.begin(), mine.end(), [](const json* aRun) {
+    const auto copies = std::count_if(
+      requestRuns.begin(), requestRuns.end(), [](const json* aRun) {
         return aRun->at("headers").contains("Kv-From");
       });
     if (record.mKind == "once" || record.mKind == "stream") {
-      checker.Expect(mine.size() <= 1U + static_cast<size_t>(copies),
-                     "what may run once runs once");
-      checker.Expect(copies <= 1, "a copy is used once");
+      checker.Expect(requestRuns.size() <= 1U + static_cast<size_t>(copies),
+                     "a request that may run once must run at most once");
+      checker.Expect(copies <= 1, "a copy must be used at most once");
     } else {
-      checker.Expect(mine.size() <= 3U + static_cast<size_t>(copies),
-                     "no more attempts than allowed");
+      checker.Expect(requestRuns.size() <= 3U + static_cast<size_t>(copies),
+                     "attempts must not exceed the maximum");
     }
-    checker.Expect(!refused || mine.empty(), "told not run, not run");
-    checker.Expect(!refused || record.mReturnTold,
-                   "a refusal says when to come back");
+    checker.Expect(!refused || requestRuns.empty(),
+                   "a request reported as not run must not have run");
+    checker.Expect(!refused || record.mHasRetryAfter,
+                   "a refusal must state a retry time");
     checker.Expect(record.mStatus != 200 || record.mSealed,
-                   "a success has the upstream's seal");
+                   "a successful response must have the upstream's seal");
     if (record.mStatus == 200 && streams) {
       CheckStream(checker, record);
     } else if (record.mStatus == 200 && record.mComplete) {
-      checker.Expect(record.mSize == kBodyBytes, "the answer is whole");
+      checker.Expect(record.mSize == kBodyBytes, "a response must be complete");
     }
-    const auto gone = revoked.find(record.mKey);
-    if (gone != revoked.end() && record.mSentAt > gone->second + aRevokeMs) {
-      checker.Expect(mine.empty(), "a revoked key runs nothing");
+    const auto revocation = revoked.find(record.mKey);
+    if (revocation != revoked.end() &&
+        record.mSentAt > revocation->second + aRevokeMs) {
+      checker.Expect(requestRuns.empty(),
+                     "a revoked key must not run requests");
     }
     const bool calm = !Overlaps(
-      aSpans, record.mGate, record.mSentAt - kExcusedMs, record.mEndedAt);
-    checker.Expect(!calm ||
-                     record.mEndedAt - record.mSentAt < kTimeLimitMs + kLateMs,
-                   "an answer comes by the time limit");
-    checker.Expect(!calm || record.mStatus != 0, "every request is answered");
+      aIntervals, record.mGate, record.mSentAt - kRecoveryMs, record.mEndedAt);
+    checker.Expect(!calm || record.mEndedAt - record.mSentAt <
+                              kTimeLimitMs + kLatenessToleranceMs,
+                   "a response must arrive by the time limit");
+    checker.Expect(!calm || record.mStatus != 0,
+                   "every request must get a response");
     checker.Expect(record.mStatus != 400 && record.mStatus != 404,
-                   "no proper request is called improper");
-    for (const json* run : mine) {
+                   "a valid request must not be rejected as invalid");
+    for (const json* run : requestRuns) {
       checker.Expect(run->at("headers").value("X-Tenant", "") == "desk",
-                     "the workspace is the key's");
+                     "the workspace must be that of the key");
       checker.Expect(!run->at("headers").contains("X-Credential"),
-                     "the key stays here");
+                     "the key must not be sent to the worker");
     }
   }
   for (const auto& [id, others] : runs) {
-    broken.push_back("a run that nobody asked for: " + id);
+    violations.push_back("a run without a request: " + id);
   }
-  return broken;
+  return violations;
 }
 
 } // namespace soak
--- a/tests/soak/soakfaults.cpp
+++ b/tests/soak/soakfaults.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 SoakFault
-OnGate(std::string aName, int aSignal, bool aRestarts)
+GateFault(std::string aName, int aSignal, bool aRestarts)
 {
   return { .mName = std::move(aName),
-           .mOfGate = true,
-           .mStrike =
+           .mTargetsGate = true,
+           .mInject =
              [aSignal](PlatformFleet& aFleet, size_t aGate) {
                aFleet.Gate(aGate).Signal(aSignal);
              },
-           .mHeal =
+           .mUndo =
              [aSignal, aRestarts](PlatformFleet& aFleet, size_t aGate) {
                if (aRestarts) {
                  aFleet.RestartGate(aGate);
@@ -30,27 +30,27 @@
 }
 
 SoakFault
-OnStore(std::string aName, const json& aOrder)
+StoreFault(std::string aName, const json& aCommand)
 {
   return { .mName = std::move(aName),
-           .mStrike = [aOrder](const PlatformFleet& aFleet,
-                               size_t) { aFleet.Control(aOrder); },
-           .mHeal =
+           .mInject = [aCommand](const PlatformFleet& aFleet,
+                                 size_t) { aFleet.Control(aCommand); },
+           .mUndo =
              [](const PlatformFleet& aFleet, size_t) {
                aFleet.Control({ { "fault", "up" } });
              } };
 }
 
 SoakFault
-OnStoreLink(std::string aName, const json& aOrder)
+StoreLinkFault(std::string aName, const json& aCommand)
 {
   return { .mName = std::move(aName),
-           .mOfGate = true,
-           .mStrike =
-             [aOrder](PlatformFleet& aFleet, size_t aGate) {
-               aFleet.StoreProxy(aGate).Order(aOrder);
+           .mTargetsGate = true,
+           .mInject =
+             [aCommand](PlatformFleet& aFleet, size_t aGate) {
+               aFleet.StoreProxy(aGate).Order(aCommand);
              },
-           .mHeal =
+           .mUndo =
              [](PlatformFleet& aFleet, size_t aGate) {
                aFleet.StoreProxy(aGate).Order({ { "delay_ms", 0 },
                                                 { "refuse_new", false },
@@ -59,15 +59,15 @@
 }
 
 SoakFault
-OnWorkerLink(std::string aName, const json& aOrder)
+WorkerLinkFault(std::string aName, const json& aCommand)
 {
   return { .mName = std::move(aName),
-           .mOfWorker = true,
-           .mStrike =
-             [aOrder](PlatformFleet& aFleet, size_t aWorker) {
-               aFleet.WorkerProxy(aWorker).Order(aOrder);
+           .mTargetsWorker = true,
+           .mInject =
+             [aCommand](PlatformFleet& aFleet, size_t aWorker) {
+               aFleet.WorkerProxy(aWorker).Order(aCommand);
              },
-           .mHeal =
+           .mUndo =
              [](PlatformFleet& aFleet, size_t aWorker) {
                aFleet.WorkerProxy(aWorker).Order({ { "delay_ms", 0 },
                                                    { "refuse_new", false },
@@ -81,48 +81,50 @@
 SoakFaultList()
 {
   static const std::vector<SoakFault> kAll = {
-    OnGate("gate killed", SIGKILL, true),
-    OnGate("gate paused", SIGSTOP, false),
-    OnGate("gate stopped", SIGTERM, true),
-    OnGate("gate told to reload", SIGHUP, false),
-    OnStore("store down", { { "fault", "down" } }),
-    OnStore("store busy", { { "fault", "busy" } }),
-    OnStore("store silent", { { "fault", "silent" } }),
-    OnStore("store resets", { { "fault", "reset" } }),
-    OnStore("store slow", { { "fault", "slow" }, { "delay_ms", 300 } }),
-    OnStore("history dropped", { { "drop_history", true } }),
-    OnStoreLink("store link cut", { { "cut", true }, { "refuse_new", true } }),
-    OnStoreLink("store link silent",
-                { { "silence", "both" }, { "silence_new", true } }),
-    OnStoreLink("open store connections silent", { { "silence", "both" } }),
-    OnStoreLink("store link one way", { { "silence", "down" } }),
-    OnWorkerLink("worker gone", { { "cut", true }, { "refuse_new", true } }),
-    OnWorkerLink("worker dark",
-                 { { "silence", "both" }, { "silence_new", true } }),
-    OnWorkerLink("worker connections reset", { { "cut", true } }),
-    OnWorkerLink("open worker connections silent", { { "silence", "both" } }),
-    OnWorkerLink("worker link slow", { { "delay_ms", 150 } }),
+    GateFault("gate killed", SIGKILL, true),
+    GateFault("gate paused", SIGSTOP, false),
+    GateFault("gate stopped", SIGTERM, true),
+    GateFault("gate reloads", SIGHUP, false),
+    StoreFault("store down", { { "fault", "down" } }),
+    StoreFault("store busy", { { "fault", "busy" } }),
+    StoreFault("store silent", { { "fault", "silent" } }),
+    StoreFault("store resets", { { "fault", "reset" } }),
+    StoreFault("store slow", { { "fault", "slow" }, { "delay_ms", 300 } }),
+    StoreFault("history dropped", { { "drop_history", true } }),
+    StoreLinkFault("store link cut",
+                   { { "cut", true }, { "refuse_new", true } }),
+    StoreLinkFault("store link silent",
+                   { { "silence", "both" }, { "silence_new", true } }),
+    StoreLinkFault("open store connections silent", { { "silence", "both" } }),
+    StoreLinkFault("store link one way", { { "silence", "down" } }),
+    WorkerLinkFault("worker gone", { { "cut", true }, { "refuse_new", true } }),
+    WorkerLinkFault("worker dark",
+                    { { "silence", "both" }, { "silence_new", true } }),
+    WorkerLinkFault("worker connections reset", { { "cut", true } }),
+    WorkerLinkFault("open worker connections silent",
+                    { { "silence", "both" } }),
+    WorkerLinkFault("worker link slow", { { "delay_ms", 150 } }),
     { .mName = kWorkerLeaves,
-      .mOfWorker = true,
-      .mStrike = [](const PlatformFleet& aFleet,
+      .mTargetsWorker = true,
+      .mInject = [](const PlatformFleet& aFleet,
                     size_t aWorker) { aFleet.List(aWorker, "draining"); },
-      .mHeal = [](const PlatformFleet& aFleet,
+      .mUndo = [](const PlatformFleet& aFleet,
                   size_t aWorker) { aFleet.List(aWorker); } },
     { .mName = kWorkerUnlisted,
-      .mOfWorker = true,
-      .mStrike =
+      .mTargetsWorker = true,
+      .mInject =
         [](const PlatformFleet& aFleet, size_t aWorker) {
           aFleet.Unlist("i-" + std::to_string(aWorker));
         },
-      .mHeal = [](const PlatformFleet& aFleet,
+      .mUndo = [](const PlatformFleet& aFleet,
                   size_t aWorker) { aFleet.List(aWorker); } },
     { .mName = kWorkerLimits,
-      .mOfWorker = true,
-      .mStrike =
+      .mTargetsWorker = true,
+      .mInject =
         [](const PlatformFleet& aFleet, size_t aWorker) {
-          aFleet.SetLimit(aWorker, std::to_string(kNamedLimit));
+          aFleet.SetLimit(aWorker, std::to_string(kReportedLimit));
         },
-      .mHeal = [](const PlatformFleet& aFleet,
+      .mUndo = [](const PlatformFleet& aFleet,
                   size_t aWorker) { aFleet.SetLimit(aWorker, ""); } },
   };
   return kAll;
--- a/tests/soak/soakrecord.h
+++ b/tests/soak/soakrecord.h
@@ -6,47 +6,48 @@
 
 namespace soak {
 
-/** A request as its caller saw it; times on the host's steady clock in ms. */
+/** A request as observed by its caller; times on the host's steady clock in
+ * ms. */
 struct SoakRecord
 {
   std::string mId;
   std::string mKind; /**< the route: safe, once, stream or resume */
   std::string mKey;
-  /** What the worker was told to do. */
+  /** The behaviour that the request asks of the worker. */
   std::string mPlan;
   size_t mGate = 0;
   int64_t mSentAt = 0;
   int64_t mEndedAt = 0;
-  int mStatus = 0; /**< 0: no answer */
+  int mStatus = 0; /**< 0 without a response */
   bool mSealed = false;
   bool mComplete = false; /**< by its framing */
-  bool mReturnTold = false;
-  int mSize = 0; /**< of a body that is no stream */
+  bool mHasRetryAfter = false;
+  int mSize = 0; /**< of a body that is not a stream */
   std::vector<int> mEvents;
   int mEventsDue = 0;
 };
 
-/** A span in which a gate, or the store, was under a fault. */
-struct FaultSpan
+/** An interval in which a fault of a gate, a worker or the store was active. */
+struct FaultInterval
 {
-  std::string mWhat;
-  /** Of the gate, where it is one gate's. */
+  std::string mFaultName;
+  /** Index of the gate, for a fault of one gate. */
   size_t mGate = SIZE_MAX;
-  /** Of the worker, where it is one worker's. */
+  /** Index of the worker, for a fault of one worker. */
   size_t mWorker = SIZE_MAX;
-  int64_t mFrom = 0;
-  int64_t mTo = 0;
+  int64_t mStartedAt = 0;
+  int64_t mEndsAt = 0;
 };
 
-/** The faults that promises of their own are made for. */
+/** Names of the faults that have checks of their own. */
 constexpr const char* kWorkerLeaves = "worker leaves";
 constexpr const char* kWorkerUnlisted = "worker unlisted";
 constexpr const char* kWorkerLimits = "worker names a limit";
 
-/** Requests a second, as kWorkerLimits names it. */
-constexpr int kNamedLimit = 2;
+/** Requests per second that the fault kWorkerLimits reports. */
+constexpr int kReportedLimit = 2;
 
-/** The key that was taken away, and when the store acknowledged that. */
+/** A revoked key, and when the store acknowledged its revocation. */
 struct Revocation
 {
   std::string mKey;
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -25,9 +25,10 @@
 constexpr int kDeadlineMs = 2500;
 constexpr int kRecoverMs = 12000;
 
-/** What a worker does with a plain request; the usual more often. An answer
- * without a length that is reset is left out: the relay between passes on a
- * reset as an end, so the gate can't tell. It is tested without a relay. */
+/** Worker behaviours for plain requests; the usual ones occur more often. A
+ * reset of a response without a length is left out: the fault proxy forwards a
+ * reset as a normal close, so the gate can't detect it. Tests without the proxy
+ * cover it. */
 constexpr std::array kPlans = {
   "ok",      "ok",        "ok,delay=20", "ok,delay=80", "ok",        "error",
   "not_run", "cut_head",  "cut_body",    "garbage",     "unsealed",  "extra",
@@ -45,16 +46,16 @@
 
 template<typename List>
 const char*
-Any(const List& aList, std::mt19937_64& aRandom)
+RandomItem(const List& aList, std::mt19937_64& aRandom)
 {
   return aList[std::uniform_int_distribution<size_t>(0, aList.size() - 1)(
     aRandom)];
 }
 
 int
-Below(int aMost, std::mt19937_64& aRandom)
+RandomBelow(int aLimit, std::mt19937_64& aRandom)
 {
-  return std::uniform_int_distribution<int>(0, aMost - 1)(aRandom);
+  return std::uniform_int_distribution<int>(0, aLimit - 1)(aRandom);
 }
 
 void
@@ -63,9 +64,9 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(aMillis));
 }
 
-/** The data of a chunked body, and whether its end was seen. */
+/** Decodes a chunked body; the flag is true if its last chunk was received. */
 std::pair<std::string, bool>
-Dechunked(const std::string& aBody)
+DecodeChunked(const std::string& aBody)
 {
   std::string data;
   size_t place = 0;
@@ -106,8 +107,8 @@
                          .mPeers = true })
   , mAddresses(aOptions.mGates)
 {
-  for (size_t each = 0; each < mOptions.mGates; ++each) {
-    UpdateAddress(each);
+  for (size_t index = 0; index < mOptions.mGates; ++index) {
+    UpdateAddress(index);
   }
 }
 
@@ -115,40 +116,42 @@
 SoakRun::Run()
 {
   std::vector<std::thread> callers;
-  for (size_t each = 0; each < mOptions.mCallers; ++each) {
-    callers.emplace_back([this, each] { CallerLoop(each); });
+  for (size_t index = 0; index < mOptions.mCallers; ++index) {
+    callers.emplace_back([this, index] { CallerLoop(index); });
   }
   FaultLoop();
   SoakResult result;
-  for (size_t each = 0; each < mOptions.mGates; ++each) {
+  for (size_t index = 0; index < mOptions.mGates; ++index) {
     const bool back =
-      integration::Await([&] { return mFleet.ReadyStatus(each) == 200; },
+      integration::Await([&] { return mFleet.ReadyStatus(index) == 200; },
                          trefoilarch::Millis(kRecoverMs));
     if (!back) {
-      result.mBroken.push_back("gate " + std::to_string(each) +
-                               " did not recover");
+      result.mViolations.push_back("gate " + std::to_string(index) +
+                                   " did not recover");
     }
   }
   mStop = true;
-  for (std::thread& each : callers) {
-    each.join();
+  for (std::thread& caller : callers) {
+    caller.join();
   }
   Pause(1000);
   std::vector<json> runs;
-  for (size_t each = 0; each < mOptions.mWorkers; ++each) {
-    for (json run : mFleet.Runs(each)) {
-      run["worker"] = each;
+  for (size_t index = 0; index < mOptions.mWorkers; ++index) {
+    for (json run : mFleet.Runs(index)) {
+      run["worker"] = index;
       runs.push_back(std::move(run));
     }
   }
-  const auto broken = CheckSoak(mRecords, runs, mSpans, mRevoked, kRevokeMs);
-  result.mBroken.insert(result.mBroken.end(), broken.begin(), broken.end());
+  const auto violations =
+    CheckSoak(mRecords, runs, mIntervals, mRevoked, kRevokeMs);
+  result.mViolations.insert(
+    result.mViolations.end(), violations.begin(), violations.end());
   result.mRequests = mRecords.size();
   result.mServed = static_cast<size_t>(
     std::count_if(mRecords.begin(), mRecords.end(), [](const auto& aRecord) {
       return aRecord.mStatus == 200 && aRecord.mComplete;
     }));
-  result.mFaults = mSpans.size();
+  result.mFaults = mIntervals.size();
   return result;
 }
 
@@ -169,19 +172,19 @@
   static constexpr std::array kKinds = { "safe", "once", "stream", "resume" };
   SoakRecord record{ .mId = "c" + std::to_string(aCaller) + "-" +
                             std::to_string(aNumber),
-                     .mKind = Any(kKinds, aRandom),
-                     .mGate = static_cast<size_t>(
-                       Below(static_cast<int>(mOptions.mGates), aRandom)) };
+                     .mKind = RandomItem(kKinds, aRandom),
+                     .mGate = static_cast<size_t>(RandomBelow(
+                       static_cast<int>(mOptions.mGates), aRandom)) };
   {
     const std::lock_guard lock(mMutex);
-    record.mKey = Below(3, aRandom) == 0 ? mSecondKey : mGoodKey;
+    record.mKey = RandomBelow(3, aRandom) == 0 ? mSecondKey : mGoodKey;
   }
   const bool stream = record.mKind == "stream" || record.mKind == "resume";
   GateCall call{ .mId = record.mId,
                  .mMethod = record.mKind == "safe" ? "GET" : "POST",
                  .mPath = "/" + record.mKind + "/x",
-                 .mPlan =
-                   stream ? Any(kStreamPlans, aRandom) : Any(kPlans, aRandom),
+                 .mPlan = stream ? RandomItem(kStreamPlans, aRandom)
+                                 : RandomItem(kPlans, aRandom),
                  .mKey = record.mKey,
                  .mDeadlineMs = kDeadlineMs };
   record.mPlan = call.mPlan;
@@ -217,7 +220,7 @@
   const std::string head = text.substr(0, end + 2);
   aRecord.mStatus = std::stoi(head.substr(9, 3));
   aRecord.mSealed = head.find("X-Response-Seal:") != std::string::npos;
-  aRecord.mReturnTold = head.find("Retry-After:") != std::string::npos;
+  aRecord.mHasRetryAfter = head.find("Retry-After:") != std::string::npos;
   const size_t length = head.find("Content-Length: ");
   std::string body = text.substr(end + 4);
   if (length != std::string::npos) {
@@ -234,7 +237,7 @@
   if (aRecord.mStatus != 200) {
     return;
   }
-  const auto [data, ended] = Dechunked(body);
+  const auto [data, ended] = DecodeChunked(body);
   aRecord.mComplete = ended;
   std::istringstream lines(data);
   std::string line;
@@ -267,65 +270,68 @@
   struct Active
   {
     const SoakFault* mFault = nullptr;
-    size_t mWhich = 0;
-    FaultSpan mSpan;
+    size_t mTarget = 0;
+    FaultInterval mInterval;
   };
   std::mt19937_64 random(mOptions.mSeed);
   const auto& faults = SoakFaultList();
   std::vector<Active> active;
   const int64_t end = SteadyNow() + mOptions.mSeconds * 1000;
   uint64_t version = 10;
-  const auto heal = [&](const Active& aOne) {
-    aOne.mFault->mHeal(mFleet, aOne.mWhich);
-    if (aOne.mFault->mRestarts) {
-      UpdateAddress(aOne.mWhich);
+  const auto undo = [&](const Active& aActive) {
+    aActive.mFault->mUndo(mFleet, aActive.mTarget);
+    if (aActive.mFault->mRestarts) {
+      UpdateAddress(aActive.mTarget);
     }
-    FaultSpan span = aOne.mSpan;
-    span.mTo = SteadyNow();
+    FaultInterval interval = aActive.mInterval;
+    interval.mEndsAt = SteadyNow();
     const std::lock_guard lock(mMutex);
-    mSpans.push_back(std::move(span));
+    mIntervals.push_back(std::move(interval));
   };
   while (SteadyNow() < end) {
-    std::erase_if(active, [&](const Active& aOne) {
-      const bool due = SteadyNow() >= aOne.mSpan.mTo;
+    std::erase_if(active, [&](const Active& aActive) {
+      const bool due = SteadyNow() >= aActive.mInterval.mEndsAt;
       if (due) {
-        heal(aOne);
+        undo(aActive);
       }
       return due;
     });
     const SoakFault& fault = faults[static_cast<size_t>(
-      Below(static_cast<int>(faults.size()), random))];
-    const size_t most = fault.mOfGate ? mOptions.mGates : mOptions.mWorkers;
-    const auto which =
-      static_cast<size_t>(Below(static_cast<int>(most), random));
+      RandomBelow(static_cast<int>(faults.size()), random))];
+    const size_t targets =
+      fault.mTargetsGate ? mOptions.mGates : mOptions.mWorkers;
+    const auto target =
+      static_cast<size_t>(RandomBelow(static_cast<int>(targets), random));
     const bool busy =
-      std::any_of(active.begin(), active.end(), [&](const Active& aOne) {
-        return aOne.mFault->mOfGate == fault.mOfGate && aOne.mWhich == which;
+      std::any_of(active.begin(), active.end(), [&](const Active& aActive) {
+        return aActive.mFault->mTargetsGate == fault.mTargetsGate &&
+               aActive.mTarget == target;
       });
     if (!busy && active.size() < 4) {
       const int64_t now = SteadyNow();
       active.push_back(
         { .mFault = &fault,
-          .mWhich = which,
-          .mSpan = { .mWhat = fault.mName,
-                     .mGate = fault.mOfGate ? which : SIZE_MAX,
-                     .mWorker = fault.mOfWorker ? which : SIZE_MAX,
-                     .mFrom = now,
-                     .mTo = now + 300 + Below(4500, random) } });
-      fault.mStrike(mFleet, which);
+          .mTarget = target,
+          .mInterval = { .mFaultName = fault.mName,
+                         .mGate = fault.mTargetsGate ? target : SIZE_MAX,
+                         .mWorker = fault.mTargetsWorker ? target : SIZE_MAX,
+                         .mStartedAt = now,
+                         .mEndsAt = now + 300 + RandomBelow(4500, random) } });
+      fault.mInject(mFleet, target);
     }
-    if (Below(4, random) == 0) {
-      const std::string fresh = "key-" + std::to_string(version);
-      mFleet.PutPolicy(PlatformFleet::MakePolicy(version, { mGoodKey, fresh }));
+    if (RandomBelow(4, random) == 0) {
+      const std::string newKey = "key-" + std::to_string(version);
+      mFleet.PutPolicy(
+        PlatformFleet::MakePolicy(version, { mGoodKey, newKey }));
       const std::lock_guard lock(mMutex);
       mRevoked.push_back({ .mKey = mSecondKey, .mAt = SteadyNow() });
-      mSecondKey = fresh;
+      mSecondKey = newKey;
       version++;
     }
-    Pause(100 + Below(900, random));
+    Pause(100 + RandomBelow(900, random));
   }
-  for (const Active& each : active) {
-    heal(each);
+  for (const Active& remaining : active) {
+    undo(remaining);
   }
 }
 
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -12,7 +12,7 @@
 
 namespace soak {
 
-/** How long and with how many. */
+/** Seed, duration and size of a run. */
 struct SoakOptions
 {
   uint64_t mSeed = 1;
@@ -22,20 +22,21 @@
   size_t mCallers = 8;
 };
 
-/** What a run found. */
+/** The results of a run. */
 struct SoakResult
 {
-  std::vector<std::string> mBroken;
+  std::vector<std::string> mViolations;
   size_t mRequests = 0;
   size_t mServed = 0;
   size_t mFaults = 0;
 };
 
 /**
- * One seeded run: callers send requests that workers answer in all manner of
- * ways, while gates are killed, stopped, paused and restarted, links are cut,
- * delayed or silenced, the store fails and the policy changes. At the end all
- * is healed, and what callers and workers saw is checked.
+ * One seeded run: callers send requests, to which workers respond well and in
+ * many faulty ways, while gates are killed, stopped, paused and restarted,
+ * links are cut, delayed or silenced, the store fails and the policy changes.
+ * At the end all faults are undone, and the records of callers and workers are
+ * checked.
  */
 class SoakRun
 {
@@ -49,7 +50,7 @@
 
   void CallerLoop(size_t aCaller);
   SoakRecord MakeCall(std::mt19937_64& aRandom, size_t aCaller, int aNumber);
-  /** Sends and reads; the answer's body, with its head in the record. */
+  /** Sends the request, records the response's head and returns its body. */
   std::string Exchange(SoakRecord& aRecord, platformtest::GateCall aCall) const;
   void CallStream(SoakRecord& aRecord,
                   const platformtest::GateCall& aCall) const;
@@ -62,7 +63,7 @@
   mutable std::mutex mMutex;
   std::vector<std::string> mAddresses;
   std::vector<SoakRecord> mRecords;
-  std::vector<FaultSpan> mSpans;
+  std::vector<FaultInterval> mIntervals;
   std::vector<Revocation> mRevoked;
   std::string mGoodKey = "key-1";
   std::string mSecondKey = "key-2";
@@ -73,29 +74,30 @@
 int64_t
 SteadyNow();
 
-/** What a fault does and how it is undone. */
+/** A fault, and how it is undone. */
 struct SoakFault
 {
   std::string mName;
-  /** It harms one gate. */
-  bool mOfGate = false;
-  /** It is of one worker. */
-  bool mOfWorker = false;
-  std::function<void(platformtest::PlatformFleet&, size_t)> mStrike;
-  std::function<void(platformtest::PlatformFleet&, size_t)> mHeal;
-  /** The gate's process is another one afterwards. */
+  /** Affects one gate. */
+  bool mTargetsGate = false;
+  /** Affects one worker. */
+  bool mTargetsWorker = false;
+  std::function<void(platformtest::PlatformFleet&, size_t)> mInject;
+  std::function<void(platformtest::PlatformFleet&, size_t)> mUndo;
+  /** The gate is a new process afterwards. */
   bool mRestarts = false;
 };
 
-/** All faults that a run draws from. */
+/** All faults from which a run chooses. */
 const std::vector<SoakFault>&
 SoakFaultList();
 
-/** Checks what was seen against what the pages promise. */
+/** Checks the records against the documented guarantees; returns all
+ * violations. */
 std::vector<std::string>
 CheckSoak(const std::vector<SoakRecord>& aRecords,
           const std::vector<nlohmann::json>& aRuns,
-          const std::vector<FaultSpan>& aSpans,
+          const std::vector<FaultInterval>& aIntervals,
           const std::vector<Revocation>& aRevoked,
           int aRevokeMs);
 
