--- a/src/libtrefoilarch/classifier.cpp
+++ b/src/libtrefoilarch/classifier.cpp
@@ -28,7 +28,7 @@
  * sets override both.
  */
 Labels
-TrafficLabels(const CallerClaims& aClaims,
+TrafficLabels(const CallerAttributes& aClaims,
               const Workspace& aWorkspace,
               const std::string& aClass)
 {
@@ -91,7 +91,7 @@
 }
 
 Result<ClassifiedRequest>
-Classifier::Classify(const CallerClaims& aClaims) const
+Classifier::Classify(const CallerAttributes& aClaims) const
 {
   const auto workspace = mPolicy->mWorkspaces.find(aClaims.mWorkspace);
   if (workspace == mPolicy->mWorkspaces.end()) {
@@ -102,9 +102,9 @@
   if (!tokenHash.empty() && tokenHash != aClaims.mTokenHash) {
     return FailWith(ErrorKind::BadToken, "the token is not the workspace's");
   }
-  const std::string& name = aClaims.mWantedClass.empty()
+  const std::string& name = aClaims.mRequestedClass.empty()
                               ? workspace->second.mDefaultClass
-                              : aClaims.mWantedClass;
+                              : aClaims.mRequestedClass;
   const auto found = mPolicy->mClasses.find(name);
   if (found == mPolicy->mClasses.end()) {
     return FailWith(ErrorKind::UnknownClass,
--- a/src/libtrefoilarch/classifier.h
+++ b/src/libtrefoilarch/classifier.h
@@ -10,11 +10,11 @@
 namespace trefoilarch {
 
 /** What a caller states about itself and its request. */
-struct CallerClaims
+struct CallerAttributes
 {
   std::string mWorkspace;
   std::string mTokenHash; /**< SHA-256 of the caller's token, or empty */
-  std::string mWantedClass;
+  std::string mRequestedClass;
   Labels mLabels;
   std::string mModel;   /**< for a model engine, or empty */
   std::string mService; /**< for a plain service, or empty */
@@ -54,7 +54,7 @@
   /**
    * Fails with UnknownWorkspace, BadToken, UnknownClass or ClassNotAllowed.
    */
-  Result<ClassifiedRequest> Classify(const CallerClaims& aClaims) const;
+  Result<ClassifiedRequest> Classify(const CallerAttributes& aClaims) const;
 
   /**
    * Whether the upstream may serve the traffic; never true for a drained
--- a/src/libtrefoilarch/directlimits.cpp
+++ b/src/libtrefoilarch/directlimits.cpp
@@ -127,7 +127,7 @@
     return std::nullopt;
   }
   const Millis minDelay = std::max(*capacityIn, kMinReturnDelay);
-  return ReturnIn(aRequest, minDelay, minDelay);
+  return RetryDelay(aRequest, minDelay, minDelay);
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/directplacing.cpp
+++ b/src/libtrefoilarch/directplacing.cpp
@@ -65,13 +65,13 @@
   if (!late) {
     return std::nullopt;
   }
-  return ReturnIn(aRequest, *late, *late / 2);
+  return RetryDelay(aRequest, *late, *late / 2);
 }
 
 Millis
-DirectRouter::ReturnIn(const BoundRequest& aRequest,
-                       Millis aMin,
-                       Millis aJitter)
+DirectRouter::RetryDelay(const BoundRequest& aRequest,
+                         Millis aMin,
+                         Millis aJitter)
 {
   const Millis limit = aRequest.mDeadline - aRequest.mArrivedAt;
   std::uniform_int_distribution<int64_t> jitter(0, aJitter.Count());
--- a/src/libtrefoilarch/directrouter.h
+++ b/src/libtrefoilarch/directrouter.h
@@ -417,7 +417,7 @@
   /** The retry delay of a rejected request: aMin plus a random part of aJitter,
    * so that requests rejected together aren't retried together, but within the
    * caller's timeout. */
-  Millis ReturnIn(const BoundRequest& aRequest, Millis aMin, Millis aJitter);
+  Millis RetryDelay(const BoundRequest& aRequest, Millis aMin, Millis aJitter);
   /** The retry delay if the request would start too late, or empty. */
   std::optional<Millis> Overload(const BoundRequest& aRequest, Millis aNow);
   StartForecast ForecastFor(const BoundRequest& aRequest, Millis aNow);
--- a/src/libtrefoilio/callrunner.h
+++ b/src/libtrefoilio/callrunner.h
@@ -12,7 +12,7 @@
 /** Result of a finished call. */
 enum class CallEnd
 {
-  Whole,
+  Complete,
   NeverSent, /**< no connection was made; the upstream received nothing */
   Broken,    /**< any other failure; the upstream may have run the call */
 };
--- a/src/libtrefoilio/curlcall.cpp
+++ b/src/libtrefoilio/curlcall.cpp
@@ -221,7 +221,7 @@
     return;
   }
   if (aResult == CURLE_OK && mHeadDelivered) {
-    mHooks.mOnEnd(CallEnd::Whole);
+    mHooks.mOnEnd(CallEnd::Complete);
   } else {
     mHooks.mOnEnd(mSent ? CallEnd::Broken : CallEnd::NeverSent);
   }
--- a/src/libtrefoilio/httpmessage.h
+++ b/src/libtrefoilio/httpmessage.h
@@ -42,9 +42,9 @@
 /** Result of one step of a streamed body. */
 enum class StreamStep
 {
-  Data, /**< mOut holds bytes to send */
-  End,  /**< the body is complete */
-  Cut,  /**< abort the connection, so that the body does not look complete */
+  Data,  /**< mOut holds bytes to send */
+  End,   /**< the body is complete */
+  Abort, /**< abort the connection, so that the body does not look complete */
 };
 
 /**
--- a/src/libtrefoilio/httpserver.cpp
+++ b/src/libtrefoilio/httpserver.cpp
@@ -135,7 +135,7 @@
     if (ulfius_init_instance(&mInstance, mPort, nullptr, nullptr) != U_OK) {
       throw std::runtime_error("cannot create the HTTP server");
     }
-    mInstance.max_post_body_size = mOptions.mMostBody + 1;
+    mInstance.max_post_body_size = mOptions.mMaxBodyBytes + 1;
     mInstance.check_utf8 = 0;
     mInstance.allowed_post_processor = U_POST_PROCESS_NONE;
     ulfius_set_default_endpoint(&mInstance, &OnRequest, this);
@@ -159,7 +159,7 @@
 private:
   ConnectionWatchOptions WatchOptions() const
   {
-    const size_t body = mOptions.mMostBody;
+    const size_t body = mOptions.mMaxBodyBytes;
     return { .mMaxRequestBytes = body + body / 8 + mOptions.mMaxHeaderBytes +
                                  kFramingReserveBytes,
              .mReceiveTimeout = std::chrono::seconds(mOptions.mReceiveSeconds),
@@ -294,7 +294,7 @@
 
   HttpReply Answer(const HttpRequest& aRequest) const
   {
-    if (aRequest.mBody.size() > mOptions.mMostBody) {
+    if (aRequest.mBody.size() > mOptions.mMaxBodyBytes) {
       return mBadInput(BadInput::BodyTooLarge);
     }
     if (HeaderBytes(aRequest) > mOptions.mMaxHeaderBytes) {
--- a/src/libtrefoilio/httpserver.h
+++ b/src/libtrefoilio/httpserver.h
@@ -14,7 +14,7 @@
 {
   std::string mAddress = "127.0.0.1";
   uint16_t mPort = 0; /**< 0: any free port */
-  size_t mMostBody = size_t{ 4 } * 1024 * 1024;
+  size_t mMaxBodyBytes = size_t{ 4 } * 1024 * 1024;
   size_t mMaxHeaderBytes = size_t{ 16 } * 1024;
   size_t mMaxConnections = 1000;
   /** Requests not received completely after this are rejected; seconds. */
--- a/src/libtrefoilio/logs.cpp
+++ b/src/libtrefoilio/logs.cpp
@@ -71,7 +71,7 @@
 } // namespace
 
 void
-SetUpLogs(LogLevel aMinLevel, std::string aProcess)
+ConfigureLogging(LogLevel aMinLevel, std::string aProcess)
 {
   ProcessName() = std::move(aProcess);
   el::Configurations settings;
--- a/src/libtrefoilio/logs.h
+++ b/src/libtrefoilio/logs.h
@@ -24,7 +24,7 @@
 
 /** Configures easylogging++ to write single lines to standard error. */
 void
-SetUpLogs(LogLevel aMinLevel, std::string aProcess);
+ConfigureLogging(LogLevel aMinLevel, std::string aProcess);
 
 /**
  * Logs a state change as one line: event=... key=value... Quotes values where
--- a/src/libtrefoilio/streamstate.cpp
+++ b/src/libtrefoilio/streamstate.cpp
@@ -64,7 +64,7 @@
   while (mPending.empty() && mLastStep == StreamStep::Data) {
     mLastStep = mSource(mPending);
     if (mLastStep == StreamStep::Data && PeerLeft(mSocket)) {
-      mLastStep = StreamStep::Cut;
+      mLastStep = StreamStep::Abort;
       mPending.clear();
     }
   }
--- a/src/trefoilarchctl/operatorclient.cpp
+++ b/src/trefoilarchctl/operatorclient.cpp
@@ -32,7 +32,7 @@
   };
   hooks.mOnEnd = [aCollector](CallEnd aEnd) {
     Answer& answer = aCollector->mAnswer;
-    answer.mKind = aEnd == CallEnd::Whole       ? Answer::Kind::Complete
+    answer.mKind = aEnd == CallEnd::Complete    ? Answer::Kind::Complete
                    : aEnd == CallEnd::NeverSent ? Answer::Kind::NeverSent
                                                 : Answer::Kind::Lost;
     aCollector->mDone.set_value(std::move(answer));
--- a/src/trefoilarchd/answerwriter.cpp
+++ b/src/trefoilarchd/answerwriter.cpp
@@ -216,7 +216,7 @@
       return StreamStep::End;
     }
     if (state->mErrorWritten || state->mReader->CallerGone()) {
-      return StreamStep::Cut;
+      return StreamStep::Abort;
     }
     if (state->mData.empty() && !state->mRefusal) {
       state->WaitForEvent(kKeepAliveInterval);
@@ -267,10 +267,10 @@
   reply.mStream =
     [state = mState, assemble, written = false](std::string& aOut) mutable {
       if (written) {
-        return state->mEnded ? StreamStep::End : StreamStep::Cut;
+        return state->mEnded ? StreamStep::End : StreamStep::Abort;
       }
       if (state->mReader->CallerGone()) {
-        return StreamStep::Cut;
+        return StreamStep::Abort;
       }
       state->CollectFor(kKeepAliveInterval);
       written = state->mEnded || state->mRefusal;
--- a/src/trefoilarchd/callerrequest.cpp
+++ b/src/trefoilarchd/callerrequest.cpp
@@ -191,14 +191,14 @@
   return text;
 }
 
-Result<CallerClaims>
+Result<CallerAttributes>
 ReadClaims(const HttpRequest& aHttp, const std::string& aDataCentre)
 {
   const trefoilio::HttpHeaders& headers = aHttp.mHeaders;
-  CallerClaims claims;
+  CallerAttributes claims;
   claims.mDataCentre = aDataCentre;
   claims.mWorkspace = FindHeader(headers, "X-Trefoilarch-Workspace");
-  claims.mWantedClass = FindHeader(headers, "X-Trefoilarch-Class");
+  claims.mRequestedClass = FindHeader(headers, "X-Trefoilarch-Class");
   BOOST_LEAF_ASSIGN(claims.mLabels,
                     ReadLabels(FindHeader(headers, "X-Trefoilarch-Labels")));
   BOOST_LEAF_ASSIGN(
--- a/src/trefoilarchd/callerrequest.h
+++ b/src/trefoilarchd/callerrequest.h
@@ -12,7 +12,7 @@
 /** A caller's HTTP request, parsed and validated, not yet classified. */
 struct CallerRequest
 {
-  CallerClaims mClaims;
+  CallerAttributes mClaims;
   Call mCall;
   std::string mIdempotencyKey;
   uint32_t mPromptTokens = 0; /**< estimate */
@@ -31,7 +31,7 @@
 Sha256Hex(const std::string& aText);
 
 /** Reads the claims in the headers. Fails with InvalidRequest. */
-Result<CallerClaims>
+Result<CallerAttributes>
 ReadClaims(const trefoilio::HttpRequest& aHttp, const std::string& aDataCentre);
 
 /** Reads a chat completion. Fails with InvalidRequest. */
--- a/src/trefoilarchd/callerservice.cpp
+++ b/src/trefoilarchd/callerservice.cpp
@@ -2,8 +2,8 @@
 
 #include "answerreader.h"
 #include "answerwriter.h"
-#include "claimhold.h"
 #include "claimservice.h"
+#include "claimtracker.h"
 #include "endpoint.h"
 #include "refusalreply.h"
 #include "routerservice.h"
@@ -189,7 +189,7 @@
 {
   BOOST_LEAF_AUTO(claims, ReadClaims(aHttp, mOptions.mDataCentre));
   BOOST_LEAF_AUTO(classifier, CurrentPolicyClassifier());
-  claims.mWantedClass.clear();
+  claims.mRequestedClass.clear();
   BOOST_LEAF_CHECK(classifier->Classify(claims));
   nlohmann::ordered_json list = { { "object", "list" },
                                   { "data", nlohmann::json::array() } };
@@ -227,7 +227,7 @@
   BOOST_LEAF_AUTO(reply,
                   Submit(std::move(aRequest),
                          std::move(classified),
-                         admission.mHold,
+                         admission.mClaimTracker,
                          aHttp,
                          aId,
                          arrived));
@@ -240,7 +240,7 @@
 Result<HttpReply>
 CallerService::Submit(CallerRequest aRequest,
                       ClassifiedRequest aClassified,
-                      const std::shared_ptr<ClaimHold>& aClaim,
+                      const std::shared_ptr<ClaimTracker>& aClaim,
                       const HttpRequest& aHttp,
                       const RequestId& aId,
                       Millis aArrived)
--- a/src/trefoilarchd/callerservice.h
+++ b/src/trefoilarchd/callerservice.h
@@ -64,12 +64,13 @@
                                    const RequestId& aId);
   Result<std::shared_ptr<const Classifier>> CurrentPolicyClassifier() const;
   /** Submits the request to the router and waits for the response's head. */
-  Result<trefoilio::HttpReply> Submit(CallerRequest aRequest,
-                                      ClassifiedRequest aClassified,
-                                      const std::shared_ptr<ClaimHold>& aClaim,
-                                      const trefoilio::HttpRequest& aHttp,
-                                      const RequestId& aId,
-                                      Millis aArrived);
+  Result<trefoilio::HttpReply> Submit(
+    CallerRequest aRequest,
+    ClassifiedRequest aClassified,
+    const std::shared_ptr<ClaimTracker>& aClaim,
+    const trefoilio::HttpRequest& aHttp,
+    const RequestId& aId,
+    Millis aArrived);
   trefoilio::HttpReply Refuse(const Refusal& aRefusal, const RequestId& aId);
   trefoilio::HttpReply RefuseBadInput(trefoilio::BadInput aInput);
   RequestId RandomId();
--- a/src/trefoilarchd/claimgate.cpp
+++ b/src/trefoilarchd/claimgate.cpp
@@ -1,8 +1,8 @@
 #include "claimgate.h"
 
 #include "answerassembler.h"
-#include "claimhold.h"
 #include "claimservice.h"
+#include "claimtracker.h"
 #include "refusalreply.h"
 
 #include <utility>
@@ -92,7 +92,8 @@
                   call.mMethod + " " + aRequest.mClaims.mService + call.mPath +
                     "\n" + call.mBody);
   if (claim.mOutcome == ClaimOutcome::Run) {
-    return ClaimAdmission{ .mHold = std::make_shared<ClaimHold>(mClaims, aId) };
+    return ClaimAdmission{ .mClaimTracker =
+                             std::make_shared<ClaimTracker>(mClaims, aId) };
   }
   if (claim.mOutcome == ClaimOutcome::Finished && claim.mAnswer) {
     return ClaimAdmission{ .mRepeat =
--- a/src/trefoilarchd/claimgate.h
+++ b/src/trefoilarchd/claimgate.h
@@ -11,14 +11,14 @@
 
 namespace trefoilarch {
 
-class ClaimHold;
+class ClaimTracker;
 class ClaimService;
 
 /** How a request that was not rejected proceeds. */
 struct ClaimAdmission
 {
   /** Reports the outcome; null if the request needs no claim. */
-  std::shared_ptr<ClaimHold> mHold;
+  std::shared_ptr<ClaimTracker> mClaimTracker;
   /** Set if the request is a duplicate: the response to the first one. */
   std::optional<trefoilio::HttpReply> mRepeat;
 };
--- a/src/trefoilarchd/claimservice.h
+++ b/src/trefoilarchd/claimservice.h
@@ -53,7 +53,7 @@
   /**
    * Waits for the decision, at most the decision timeout plus kAnswerSlack.
    * The request may run only if the outcome is Run; its own outcome must then
-   * be reported by one of the calls below (see ClaimHold).
+   * be reported by one of the calls below (see ClaimTracker).
    */
   ClaimDecided Claim(const RequestId& aId,
                      const std::string& aWorkspace,
--- a/src/trefoilarchd/claimhold.cpp
+++ b/src/trefoilarchd/claimtracker.cpp
@@ -1,4 +1,4 @@
-#include "claimhold.h"
+#include "claimtracker.h"
 
 #include "claimservice.h"
 
@@ -6,13 +6,13 @@
 
 namespace trefoilarch {
 
-ClaimHold::ClaimHold(ClaimService& aService, const RequestId& aId)
+ClaimTracker::ClaimTracker(ClaimService& aService, const RequestId& aId)
   : mService(aService)
   , mId(aId)
 {
 }
 
-ClaimHold::~ClaimHold()
+ClaimTracker::~ClaimTracker()
 {
   if (!mEnded) {
     mService.MaybeRan(mId);
@@ -20,14 +20,14 @@
 }
 
 void
-ClaimHold::OnHead(int32_t aStatus, const Headers& aHeaders)
+ClaimTracker::OnHead(int32_t aStatus, const Headers& aHeaders)
 {
   mAnswer.mStatus = aStatus;
   mAnswer.mContentType = trefoilio::FindHeader(aHeaders, "Content-Type");
 }
 
 void
-ClaimHold::OnData(std::string_view aData)
+ClaimTracker::OnData(std::string_view aData)
 {
   mTooLong = mTooLong || mAnswer.mBody.size() + aData.size() >
                            mService.MaxCachedAnswerSize();
@@ -39,7 +39,7 @@
 }
 
 void
-ClaimHold::OnEnd()
+ClaimTracker::OnEnd()
 {
   mEnded = true;
   if (mTooLong) {
@@ -50,7 +50,7 @@
 }
 
 void
-ClaimHold::OnError(const Refusal& aRefusal)
+ClaimTracker::OnError(const Refusal& aRefusal)
 {
   mEnded = true;
   if (aRefusal.mRan == Ran::No) {
--- a/src/trefoilarchd/claimhold.h
+++ b/src/trefoilarchd/claimtracker.h
@@ -16,13 +16,13 @@
  * outcome to the claim service. If it is destroyed before the response has
  * ended, it reports that the request may have run.
  */
-class ClaimHold
+class ClaimTracker
 {
 public:
-  ClaimHold(ClaimService& aService, const RequestId& aId);
-  ~ClaimHold();
-  ClaimHold(const ClaimHold&) = delete;
-  ClaimHold& operator=(const ClaimHold&) = delete;
+  ClaimTracker(ClaimService& aService, const RequestId& aId);
+  ~ClaimTracker();
+  ClaimTracker(const ClaimTracker&) = delete;
+  ClaimTracker& operator=(const ClaimTracker&) = delete;
 
   void OnHead(int32_t aStatus, const Headers& aHeaders);
   void OnData(std::string_view aData);
--- a/src/trefoilarchd/entryprocess.cpp
+++ b/src/trefoilarchd/entryprocess.cpp
@@ -51,7 +51,7 @@
   CallerOptions options;
   options.mHttp.mAddress = listen.mAddress;
   options.mHttp.mPort = listen.mPort;
-  options.mHttp.mMostBody = aSettings.Integer("most-body-bytes");
+  options.mHttp.mMaxBodyBytes = aSettings.Integer("most-body-bytes");
   options.mHttp.mMaxHeaderBytes = aSettings.Integer("most-header-bytes");
   options.mHttp.mReceiveSeconds = aSettings.Integer("receive-seconds");
   options.mMaxOpen = aSettings.Integer("most-open");
--- a/src/trefoilarchd/main.cpp
+++ b/src/trefoilarchd/main.cpp
@@ -142,8 +142,8 @@
     std::cout << "settings are valid\n";
     return EXIT_SUCCESS;
   }
-  trefoilio::SetUpLogs(LevelOf(settings.Text("log-level")),
-                       settings.Text("name"));
+  trefoilio::ConfigureLogging(LevelOf(settings.Text("log-level")),
+                              settings.Text("name"));
   try {
     return Serve(settings);
   } catch (const std::exception& error) {
--- a/src/trefoilarchd/orderservice.cpp
+++ b/src/trefoilarchd/orderservice.cpp
@@ -212,7 +212,7 @@
 }
 
 std::string
-OrderService::Standing(const std::string& aId) const
+OrderService::StatusOf(const std::string& aId) const
 {
   std::lock_guard lock(mMutex);
   const auto found = mStatuses.find(aId);
@@ -252,7 +252,7 @@
   }
   if (aRequest.mMethod == "GET" && path.size() > kOrdersPath.size() + 1) {
     const std::string id(path.substr(kOrdersPath.size() + 1));
-    const std::string status = Standing(id);
+    const std::string status = StatusOf(id);
     if (!status.empty()) {
       return JsonReply(200, { { "id", id }, { "status", status } });
     }
--- a/src/trefoilarchd/orderservice.h
+++ b/src/trefoilarchd/orderservice.h
@@ -48,7 +48,7 @@
   /** Returns false if the queue is full or the id was used before. */
   bool Submit(EngineOrder aOrder);
   /** Returns "waiting", "done", "failed", "not_sent", "unknown", or "". */
-  std::string Standing(const std::string& aId) const;
+  std::string StatusOf(const std::string& aId) const;
 
   /** Handles POST /v1/orders and GET /v1/orders/{id}. */
   trefoilio::HttpReply HandleOperator(const trefoilio::HttpRequest& aRequest);
--- a/src/trefoilarchd/routerservice.cpp
+++ b/src/trefoilarchd/routerservice.cpp
@@ -1,6 +1,6 @@
 #include "routerservice.h"
 
-#include "claimhold.h"
+#include "claimtracker.h"
 
 #include "libtrefoilio/systemclock.h"
 
@@ -53,7 +53,7 @@
 bool
 RouterService::Submit(EntryRequest aRequest,
                       std::shared_ptr<AnswerMailbox> aMailbox,
-                      std::shared_ptr<ClaimHold> aClaim)
+                      std::shared_ptr<ClaimTracker> aClaim)
 {
   return mRing->TryPush(
     Submitted{ std::move(aRequest), std::move(aMailbox), std::move(aClaim) });
@@ -359,7 +359,7 @@
 }
 
 void
-RouterService::ForwardToClaim(ClaimHold& aClaim, const AnswerEvent& aEvent)
+RouterService::ForwardToClaim(ClaimTracker& aClaim, const AnswerEvent& aEvent)
 {
   if (const auto* head = std::get_if<AnswerHead>(&aEvent)) {
     aClaim.OnHead(head->mStatus, head->mHeaders);
--- a/src/trefoilarchd/routerservice.h
+++ b/src/trefoilarchd/routerservice.h
@@ -23,7 +23,7 @@
 
 namespace trefoilarch {
 
-class ClaimHold;
+class ClaimTracker;
 
 /** A sidecar that this entry keeps a channel to. */
 struct SidecarAddress
@@ -72,7 +72,7 @@
    */
   bool Submit(EntryRequest aRequest,
               std::shared_ptr<AnswerMailbox> aMailbox,
-              std::shared_ptr<ClaimHold> aClaim);
+              std::shared_ptr<ClaimTracker> aClaim);
   void CallerLeft(RequestId aId);
 
   void SetSidecars(std::vector<SidecarAddress> aSidecars);
@@ -97,7 +97,7 @@
   {
     EntryRequest mRequest;
     std::shared_ptr<AnswerMailbox> mMailbox;
-    std::shared_ptr<ClaimHold> mClaim;
+    std::shared_ptr<ClaimTracker> mClaim;
   };
   struct CallerDisconnected
   {
@@ -147,7 +147,7 @@
   struct Answer
   {
     std::shared_ptr<AnswerMailbox> mMailbox; /**< null if the caller left */
-    std::shared_ptr<ClaimHold> mClaim;       /**< null if it has none */
+    std::shared_ptr<ClaimTracker> mClaim;    /**< null if it has none */
   };
 
   void Run();
@@ -169,7 +169,7 @@
   void Perform(AnswerEnd aAction);
   void Perform(AnswerError aAction);
   /** Passes a response event to the claim. */
-  static void ForwardToClaim(ClaimHold& aClaim, const AnswerEvent& aEvent);
+  static void ForwardToClaim(ClaimTracker& aClaim, const AnswerEvent& aEvent);
   void Deliver(RequestId aId, AnswerEvent aEvent, bool aLast);
   void OpenChannel(const UpstreamId& aUpstream, Link& aLink);
   void CloseChannel(Link& aLink);
--- a/src/trefoilarchd/upstreamservice.cpp
+++ b/src/trefoilarchd/upstreamservice.cpp
@@ -201,7 +201,7 @@
                        .mKind = ErrorKind::UpstreamUnreachable,
                        .mRan = Ran::No };
   }
-  if (aEnd == CallEnd::Whole && aCall.mTokenStream &&
+  if (aEnd == CallEnd::Complete && aCall.mTokenStream &&
       IsRejection(aCall.mStatus)) {
     return CallFailed{ .mKey = aKey,
                        .mKind = ErrorKind::UpstreamRefused,
--- a/src/trefoilbench/policybench.cpp
+++ b/src/trefoilbench/policybench.cpp
@@ -83,10 +83,10 @@
   return all;
 }
 
-CallerClaims
+CallerAttributes
 MakeClaims(const Size& aSize, size_t aNumber)
 {
-  CallerClaims claims;
+  CallerAttributes claims;
   claims.mWorkspace = NumberedName("workspace-", aNumber % aSize.mWorkspaces);
   claims.mTokenHash = std::string(64, 'a');
   claims.mModel = NumberedName("model-", aNumber % aSize.mModels);
@@ -110,7 +110,7 @@
 }
 
 Labels
-TrafficOf(const Classifier& aClassifier, const CallerClaims& aClaims)
+TrafficOf(const Classifier& aClassifier, const CallerAttributes& aClaims)
 {
   return boost::leaf::try_handle_all(
     [&]() -> Result<Labels> {
@@ -132,7 +132,7 @@
   const auto policy = std::make_shared<Policy>(MakePolicy(aSize));
   const auto classifier = std::make_shared<Classifier>(policy);
   const std::vector<UpstreamView> upstreams = MakeUpstreams(aSize);
-  std::vector<CallerClaims> claims;
+  std::vector<CallerAttributes> claims;
   std::vector<Labels> traffic;
   for (size_t index = 0; index < kRequests; ++index) {
     claims.push_back(MakeClaims(aSize, index));
--- a/src/trefoilload/answerchecker.cpp
+++ b/src/trefoilload/answerchecker.cpp
@@ -30,7 +30,7 @@
   switch (aOutcome) {
     case CallOutcome::Open:
       return "open";
-    case CallOutcome::Whole:
+    case CallOutcome::Complete:
       return "whole";
     case CallOutcome::Refused:
       return "refused";
@@ -60,7 +60,7 @@
 }
 
 void
-AnswerChecker::TakeHead(int aStatus, const trefoilio::HttpHeaders& aHeaders)
+AnswerChecker::OnHead(int aStatus, const trefoilio::HttpHeaders& aHeaders)
 {
   mRecord.mStatus = aStatus;
   mRecord.mRequestId =
@@ -68,7 +68,7 @@
 }
 
 void
-AnswerChecker::TakeData(const std::string& aData, int64_t aNow)
+AnswerChecker::OnData(const std::string& aData, int64_t aNow)
 {
   if (!IsStream()) {
     mBody += aData;
@@ -80,17 +80,17 @@
   if (mRecord.mFirst == 0) {
     mRecord.mFirst = aNow;
   } else {
-    mRecord.mLongestGap = std::max(mRecord.mLongestGap, aNow - mLastTokenAt);
+    mRecord.mMaxGap = std::max(mRecord.mMaxGap, aNow - mLastTokenAt);
   }
   mLastTokenAt = aNow;
 }
 
 void
-AnswerChecker::TakeEnd(CallEnd aEnd, int64_t aNow)
+AnswerChecker::OnEnd(CallEnd aEnd, int64_t aNow)
 {
   mRecord.mEnded = aNow;
   mRecord.mFirst = mRecord.mFirst == 0 ? aNow : mRecord.mFirst;
-  mRecord.mOutcome = Evaluate(aEnd == CallEnd::Whole);
+  mRecord.mOutcome = Evaluate(aEnd == CallEnd::Complete);
 }
 
 CallOutcome
@@ -109,7 +109,7 @@
     return EvaluateError();
   }
   mRecord.mTokens = mRequest.mService.empty() ? mExpected.Tokens() : 1;
-  return MatchesExpectedBody() ? CallOutcome::Whole : CallOutcome::Wrong;
+  return MatchesExpectedBody() ? CallOutcome::Complete : CallOutcome::Wrong;
 }
 
 CallOutcome
@@ -122,7 +122,7 @@
     return CallOutcome::Wrong;
   }
   if (aComplete && mStreamedAnswer.IsWhole()) {
-    return CallOutcome::Whole;
+    return CallOutcome::Complete;
   }
   if (mStreamedAnswer.Done()) {
     return CallOutcome::Wrong;
--- a/src/trefoilload/answerchecker.h
+++ b/src/trefoilload/answerchecker.h
@@ -18,9 +18,9 @@
   AnswerChecker(const TraceRequest& aRequest,
                 const trefoilio::HttpRequest& aSent);
 
-  void TakeHead(int aStatus, const trefoilio::HttpHeaders& aHeaders);
-  void TakeData(const std::string& aData, int64_t aNow);
-  void TakeEnd(trefoilio::CallEnd aEnd, int64_t aNow);
+  void OnHead(int aStatus, const trefoilio::HttpHeaders& aHeaders);
+  void OnData(const std::string& aData, int64_t aNow);
+  void OnEnd(trefoilio::CallEnd aEnd, int64_t aNow);
 
   CallRecord& Record() { return mRecord; }
 
--- a/src/trefoilload/callrecord.h
+++ b/src/trefoilload/callrecord.h
@@ -10,7 +10,7 @@
 enum class CallOutcome
 {
   Open,       /**< still in progress */
-  Whole,      /**< the complete expected response */
+  Complete,   /**< the complete expected response */
   Refused,    /**< an error response that reports it has not run */
   Failed,     /**< accepted, but ended with a reported error */
   Wrong,      /**< unexpected bytes, or truncated but ended as complete */
@@ -33,7 +33,7 @@
   int64_t mSent = 0;
   int64_t mFirst = 0; /**< first token, or the complete response */
   int64_t mEnded = 0;
-  int64_t mLongestGap = 0; /**< between consecutive tokens */
+  int64_t mMaxGap = 0; /**< between consecutive tokens */
   size_t mTokens = 0;
 };
 
--- a/src/trefoilload/classtargets.cpp
+++ b/src/trefoilload/classtargets.cpp
@@ -33,7 +33,7 @@
             const CallRecord& aRecord,
             const ClassTarget& aTarget)
 {
-  if (aRecord.mOutcome != CallOutcome::Whole) {
+  if (aRecord.mOutcome != CallOutcome::Complete) {
     return false;
   }
   const int64_t first = aRecord.mFirst - aRecord.mSent;
@@ -52,7 +52,7 @@
 bool
 MeetsDeadline(const CallRecord& aRecord, const ClassTarget& aTarget)
 {
-  return aRecord.mOutcome == CallOutcome::Whole &&
+  return aRecord.mOutcome == CallOutcome::Complete &&
          aRecord.mEnded - aRecord.mSent <= aTarget.mDeadline;
 }
 
--- a/src/trefoilload/executions.cpp
+++ b/src/trefoilload/executions.cpp
@@ -65,7 +65,7 @@
     if (found == aExecutions.end()) {
       continue;
     }
-    if (record.mOutcome == CallOutcome::Whole) {
+    if (record.mOutcome == CallOutcome::Complete) {
       received += std::min<uint64_t>(record.mTokens, found->second.mTokens);
     }
     const bool mayRepeat = aTrace.mRequests[i].mIdempotent;
--- a/src/trefoilload/replayer.cpp
+++ b/src/trefoilload/replayer.cpp
@@ -87,17 +87,17 @@
       .mOnHead =
         [this, &aChecker](int aStatus, const trefoilio::HttpHeaders& aHeaders) {
           const std::lock_guard lock(mMutex);
-          aChecker.TakeHead(aStatus, aHeaders);
+          aChecker.OnHead(aStatus, aHeaders);
         },
       .mOnData =
         [this, &aChecker](const std::string& aData) {
           const std::lock_guard lock(mMutex);
-          aChecker.TakeData(aData, Now());
+          aChecker.OnData(aData, Now());
         },
       .mOnEnd =
         [this, &aChecker](trefoilio::CallEnd aEnd) {
           const std::lock_guard lock(mMutex);
-          aChecker.TakeEnd(aEnd, Now());
+          aChecker.OnEnd(aEnd, Now());
           --mOpenCalls;
           mCallEnded.notify_all();
         },
--- a/src/trefoilload/report.cpp
+++ b/src/trefoilload/report.cpp
@@ -26,7 +26,7 @@
 bool
 IsFailure(CallOutcome aOutcome)
 {
-  return aOutcome != CallOutcome::Whole && aOutcome != CallOutcome::Refused;
+  return aOutcome != CallOutcome::Complete && aOutcome != CallOutcome::Refused;
 }
 
 /** Samples of one class for the quantiles. */
@@ -46,7 +46,7 @@
   ++aReport.mSent;
   aReport.mRefused += aRecord.mOutcome == CallOutcome::Refused ? 1 : 0;
   aReport.mFailed += IsFailure(aRecord.mOutcome) ? 1 : 0;
-  if (aRecord.mOutcome != CallOutcome::Whole) {
+  if (aRecord.mOutcome != CallOutcome::Complete) {
     return;
   }
   ++aReport.mCompleted;
@@ -59,7 +59,7 @@
     aTimes.mFirstTokenTimes.push_back(aRecord.mFirst - aRecord.mSent);
   }
   if (aRequest.mStream) {
-    aTimes.mMaxGaps.push_back(aRecord.mLongestGap);
+    aTimes.mMaxGaps.push_back(aRecord.mMaxGap);
   }
 }
 
--- a/tests/bench/capacitybench.cpp
+++ b/tests/bench/capacitybench.cpp
@@ -200,7 +200,7 @@
     }
     for (const auto& call : calls) {
       const auto outcome = call->AwaitEnd().mOutcome;
-      completeCount += outcome == trefoilload::CallOutcome::Whole ? 1 : 0;
+      completeCount += outcome == trefoilload::CallOutcome::Complete ? 1 : 0;
     }
   }
   const double requests = kRequestRounds * kConcurrentRequests;
--- a/tests/bench/probecall.cpp
+++ b/tests/bench/probecall.cpp
@@ -47,7 +47,7 @@
     std::lock_guard lock(state->mMutex);
     state->mEnded = true;
     state->mResult.mComplete =
-      aEnd == trefoilio::CallEnd::Whole && state->mResult.mStatus == 200;
+      aEnd == trefoilio::CallEnd::Complete && state->mResult.mStatus == 200;
     state->mChanged.notify_all();
   };
   mState->mSentAt = Clock::now();
--- a/tests/chaos/chaosrun.cpp
+++ b/tests/chaos/chaosrun.cpp
@@ -139,7 +139,7 @@
 ChaosRun::IsTargeted(const Fault& aFault, size_t aTarget) const
 {
   return std::ranges::any_of(mActive, [&](const ActiveFault& aActive) {
-    return aActive.mFault.mOfEntry == aFault.mOfEntry &&
+    return aActive.mFault.mTargetsEntry == aFault.mTargetsEntry &&
            aActive.mTarget == aTarget;
   });
 }
@@ -150,14 +150,14 @@
   constexpr int64_t kMinDurationMs = 200;
   constexpr size_t kDurationRangeMs = 3000;
   const Fault& fault = mFaults[RandomBelow(mFaults.size())];
-  const size_t target = RandomBelow(fault.mOfEntry ? kEntries : kEngines);
+  const size_t target = RandomBelow(fault.mTargetsEntry ? kEntries : kEngines);
   if (IsTargeted(fault, target)) {
     return;
   }
   if (fault.mEntryDies) {
     mKillTimes[target].push_back(Now());
   }
-  fault.mStrike(mFleet, target);
+  fault.mInject(mFleet, target);
   ++mReport.mFaults[fault.mName];
   mActive.push_back(
     { .mFault = fault,
@@ -174,7 +174,7 @@
       ++active;
       continue;
     }
-    active->mFault.mHeal(mFleet, active->mTarget);
+    active->mFault.mUndo(mFleet, active->mTarget);
     active = mActive.erase(active);
   }
 }
@@ -228,7 +228,7 @@
       continue;
     }
     const std::string violation =
-      integration::BrokenPromise(mFleet,
+      integration::FindViolation(mFleet,
                                  *call->mCall,
                                  { .mIdempotent = call->mIdempotent,
                                    .mEntryMayDie = EntryDiedDuring(*call) });
--- a/tests/integration/atmostoncetest.cpp
+++ b/tests/integration/atmostoncetest.cpp
@@ -78,7 +78,7 @@
   std::vector<std::string> all;
   for (size_t i = 0; i < aCalls.size(); ++i) {
     const bool dies = aFault.mEntryDies && i % 2 == 0;
-    const std::string broken = BrokenPromise(
+    const std::string broken = FindViolation(
       aFleet, *aCalls[i], { .mIdempotent = false, .mEntryMayDie = dies });
     if (!broken.empty()) {
       all.push_back(broken);
@@ -97,16 +97,16 @@
   Fleet fleet(Crowded());
   Calls calls;
   ReachMoment(fleet, calls, aMoment);
-  aFault.mStrike(fleet, 0);
+  aFault.mInject(fleet, 0);
   SendWave(fleet, calls, 4);
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
-  aFault.mHeal(fleet, 0);
+  aFault.mUndo(fleet, 0);
   SetStalled(fleet, 0, false);
   for (const std::string& broken : BrokenPromises(fleet, calls, aFault)) {
     cr_expect(false, "%s: %s", aFault.mName.c_str(), broken.c_str());
   }
   const bool anyWhole = std::ranges::any_of(calls, [](const auto& aCall) {
-    return aCall->Record().mOutcome == CallOutcome::Whole;
+    return aCall->Record().mOutcome == CallOutcome::Complete;
   });
   cr_assert(anyWhole, "%s: nothing was answered", aFault.mName.c_str());
 }
@@ -138,7 +138,7 @@
 Test(atmostonce, sidecar_gone_for_good)
 {
   Fault fault = FaultNamed("sidecar killed");
-  fault.mHeal = [](Fleet&, size_t) {};
+  fault.mUndo = [](Fleet&, size_t) {};
   CheckAtMostOnce(fault, Moment::Started);
   CheckAtMostOnce(fault, Moment::Answering);
 }
--- a/tests/integration/badinputtest.cpp
+++ b/tests/integration/badinputtest.cpp
@@ -61,7 +61,7 @@
 {
   const size_t before = aFleet.Executions().size();
   const auto call = aFleet.Send(ChatRequest("mid-call", 10));
-  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Complete);
   cr_assert(aFleet.Executions().size() == before + 1);
 }
 
--- a/tests/integration/cancellationtest.cpp
+++ b/tests/integration/cancellationtest.cpp
@@ -66,9 +66,9 @@
   const auto waiting = fleet.Send(ChatRequest("drafting", 50));
   const std::string mark = waiting->Mark();
   waiting->Leave();
-  cr_assert(running->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(running->AwaitEnd().mOutcome == CallOutcome::Complete);
   const auto next = fleet.Send(ChatRequest("drafting", 20));
-  cr_assert(next->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(next->AwaitEnd().mOutcome == CallOutcome::Complete);
   cr_assert(fleet.RunsOf(mark) == 0);
 }
 
@@ -114,7 +114,7 @@
               const auto repeat = fleet.SendMarked(BookingRequest(), "seat", 0);
               const auto record = repeat->AwaitEnd();
               last = Name(record.mOutcome) + " " + record.mKind;
-              return record.mOutcome == CallOutcome::Whole;
+              return record.mOutcome == CallOutcome::Complete;
             }),
             "%s",
             last.c_str());
--- a/tests/integration/claimservicetest.cpp
+++ b/tests/integration/claimservicetest.cpp
@@ -2,8 +2,8 @@
 #include "httpcall.h"
 
 #include "libtrefoilio/kernel.h"
-#include "trefoilarchd/claimhold.h"
 #include "trefoilarchd/claimservice.h"
+#include "trefoilarchd/claimtracker.h"
 #include "trefoilarchd/grpcserverservice.h"
 
 #include <criterion/criterion.h>
@@ -108,7 +108,7 @@
   cr_assert(bench.mSecond->Claim(4, "k", "other").mOutcome ==
             ClaimOutcome::OtherIntent);
   {
-    ClaimHold hold(bench.mFirst->Service(), { 1, 1 });
+    ClaimTracker hold(bench.mFirst->Service(), { 1, 1 });
     hold.OnHead(201, { { "content-type", "text/x" } });
     hold.OnData("book");
     hold.OnData("ed");
@@ -125,7 +125,7 @@
 {
   Bench bench;
   cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
-  ClaimHold(bench.mFirst->Service(), { 1, 1 })
+  ClaimTracker(bench.mFirst->Service(), { 1, 1 })
     .OnError({ ErrorKind::Shed, Ran::No, Millis(100), "" });
   cr_assert(bench.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::Run);
   cr_assert(bench.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
@@ -144,7 +144,7 @@
   Bench bench;
   cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
   {
-    ClaimHold hold(bench.mFirst->Service(), { 1, 1 });
+    ClaimTracker hold(bench.mFirst->Service(), { 1, 1 });
   }
   cr_assert(bench.mFirst->Claim(2, "k").mOutcome == ClaimOutcome::MaybeRan);
   cr_assert(bench.mSecond->Claim(3, "k").mOutcome == ClaimOutcome::MaybeRan);
--- a/tests/integration/ctltest.cpp
+++ b/tests/integration/ctltest.cpp
@@ -68,7 +68,9 @@
 HttpReply
 Lost()
 {
-  return { .mStream = [](std::string&) { return trefoilio::StreamStep::Cut; } };
+  return { .mStream = [](std::string&) {
+    return trefoilio::StreamStep::Abort;
+  } };
 }
 
 /** One finished run of the tool. */
--- a/tests/integration/endtoendtest.cpp
+++ b/tests/integration/endtoendtest.cpp
@@ -31,7 +31,7 @@
     const auto booking = fleet.Send(BookingRequest(), entry);
     for (const auto* call : { &streamed, &whole, &once, &booking }) {
       const CallRecord record = (*call)->AwaitEnd();
-      cr_assert(record.mOutcome == CallOutcome::Whole,
+      cr_assert(record.mOutcome == CallOutcome::Complete,
                 "%s: %s",
                 Name(record.mOutcome).c_str(),
                 (*call)->Body().c_str());
@@ -80,7 +80,7 @@
   }
   for (const auto& call : calls) {
     const CallRecord record = call->AwaitEnd();
-    cr_assert(record.mOutcome == CallOutcome::Whole,
+    cr_assert(record.mOutcome == CallOutcome::Complete,
               "%s: %s",
               Name(record.mOutcome).c_str(),
               call->Body().c_str());
@@ -101,7 +101,7 @@
   for (int i = 0; i < 30; ++i) {
     const auto call = fleet.Send(ChatRequest("mid-call", 5));
     const CallRecord record = call->AwaitEnd();
-    cr_assert(record.mOutcome == CallOutcome::Whole ||
+    cr_assert(record.mOutcome == CallOutcome::Complete ||
                 record.mOutcome == CallOutcome::Refused,
               "%s %s",
               Name(record.mOutcome).c_str(),
@@ -110,13 +110,13 @@
   }
   cr_assert(!fleet.Entry().HasEnded());
   for (const auto& call : running) {
-    cr_expect(call->AwaitEnd().mOutcome == CallOutcome::Whole,
+    cr_expect(call->AwaitEnd().mOutcome == CallOutcome::Complete,
               "in flight: %s",
               call->Record().mKind.c_str());
   }
   fleet.PublishHosts();
   cr_assert(Await([&] {
     return fleet.Send(ChatRequest("mid-call", 5))->AwaitEnd().mOutcome ==
-           CallOutcome::Whole;
+           CallOutcome::Complete;
   }));
 }
--- a/tests/integration/faults.cpp
+++ b/tests/integration/faults.cpp
@@ -15,11 +15,11 @@
 EntryKilled()
 {
   return { .mName = "entry killed",
-           .mStrike = [](Fleet& aFleet,
+           .mInject = [](Fleet& aFleet,
                          size_t aWhich) { aFleet.Entry(aWhich).Kill(); },
-           .mHeal = [](Fleet& aFleet,
+           .mUndo = [](Fleet& aFleet,
                        size_t aWhich) { aFleet.RestartEntry(aWhich); },
-           .mOfEntry = true,
+           .mTargetsEntry = true,
            .mEntryDies = true };
 }
 
@@ -28,9 +28,9 @@
 {
   return {
     .mName = "sidecar killed",
-    .mStrike = [](Fleet& aFleet,
+    .mInject = [](Fleet& aFleet,
                   size_t aWhich) { aFleet.Upstream(aWhich).mSidecar->Kill(); },
-    .mHeal = [](Fleet& aFleet, size_t aWhich) { aFleet.RestartSidecar(aWhich); }
+    .mUndo = [](Fleet& aFleet, size_t aWhich) { aFleet.RestartSidecar(aWhich); }
   };
 }
 
@@ -38,11 +38,11 @@
 EngineKilled()
 {
   return { .mName = "engine killed",
-           .mStrike =
+           .mInject =
              [](Fleet& aFleet, size_t aWhich) {
                aFleet.Upstream(aWhich).mUpstream->Kill();
              },
-           .mHeal = [](Fleet& aFleet,
+           .mUndo = [](Fleet& aFleet,
                        size_t aWhich) { aFleet.RestartUpstream(aWhich); } };
 }
 
@@ -53,11 +53,11 @@
 {
   return {
     .mName = std::move(aName),
-    .mStrike = [aWho](Fleet& aFleet,
+    .mInject = [aWho](Fleet& aFleet,
                       size_t aWhich) { aWho(aFleet, aWhich).Signal(SIGSTOP); },
-    .mHeal = [aWho](Fleet& aFleet,
+    .mUndo = [aWho](Fleet& aFleet,
                     size_t aWhich) { aWho(aFleet, aWhich).Signal(SIGCONT); },
-    .mOfEntry = aEntry
+    .mTargetsEntry = aEntry
   };
 }
 
@@ -66,12 +66,12 @@
 {
   return {
     .mName = std::move(aName),
-    .mStrike =
+    .mInject =
       [aChannel, aOrder](Fleet& aFleet, size_t aWhich) {
         UpstreamHost& host = aFleet.Upstream(aWhich);
         (aChannel ? host.mChannelProxy : host.mUpstreamProxy)->Order(aOrder);
       },
-    .mHeal = [](Fleet&, size_t) {}
+    .mUndo = [](Fleet&, size_t) {}
   };
 }
 
@@ -79,11 +79,11 @@
 EngineTold(std::string aName, const json& aOrder, const json& aEnd)
 {
   return { .mName = std::move(aName),
-           .mStrike =
+           .mInject =
              [aOrder](Fleet& aFleet, size_t aWhich) {
                aFleet.Upstream(aWhich).Control(aOrder);
              },
-           .mHeal =
+           .mUndo =
              [aEnd](Fleet& aFleet, size_t aWhich) {
                aFleet.Upstream(aWhich).Control(aEnd);
              } };
@@ -93,11 +93,11 @@
 TableTold(std::string aName, const json& aFaults)
 {
   return { .mName = std::move(aName),
-           .mStrike =
+           .mInject =
              [aFaults](Fleet& aFleet, size_t) {
                aFleet.PlatformControl({ { "table", aFaults } });
              },
-           .mHeal =
+           .mUndo =
              [](Fleet& aFleet, size_t) {
                aFleet.PlatformControl({ { "table", { { "mode", "up" } } } });
              } };
--- a/tests/integration/faults.h
+++ b/tests/integration/faults.h
@@ -15,9 +15,9 @@
 struct Fault
 {
   std::string mName;
-  std::function<void(Fleet&, size_t)> mStrike;
-  std::function<void(Fleet&, size_t)> mHeal;
-  bool mOfEntry = false; /**< the number is an entry's */
+  std::function<void(Fleet&, size_t)> mInject;
+  std::function<void(Fleet&, size_t)> mUndo;
+  bool mTargetsEntry = false; /**< the number is an entry's */
   /** Callers of that entry lose their connection without a word. */
   bool mEntryDies = false;
 };
--- a/tests/integration/opencall.cpp
+++ b/tests/integration/opencall.cpp
@@ -36,18 +36,18 @@
         [state](int aStatus, const trefoilio::HttpHeaders& aHeaders) {
           const std::lock_guard lock(state->mMutex);
           state->mHeaders = aHeaders;
-          state->mChecker.TakeHead(aStatus, aHeaders);
+          state->mChecker.OnHead(aStatus, aHeaders);
         },
       .mOnData =
         [state](const std::string& aData) {
           const std::lock_guard lock(state->mMutex);
           state->mBody += aData;
-          state->mChecker.TakeData(aData, Now());
+          state->mChecker.OnData(aData, Now());
         },
       .mOnEnd =
         [state](trefoilio::CallEnd aEnd) {
           const std::lock_guard lock(state->mMutex);
-          state->mChecker.TakeEnd(aEnd, Now());
+          state->mChecker.OnEnd(aEnd, Now());
         } });
 }
 
--- a/tests/integration/orderservicetest.cpp
+++ b/tests/integration/orderservicetest.cpp
@@ -51,9 +51,9 @@
     return mService->HandleOperator({ "POST", "/v1/orders", {}, aOrder.dump() })
       .mStatus;
   }
-  bool AwaitStanding(const std::string& aId, const std::string& aStanding)
+  bool AwaitStanding(const std::string& aId, const std::string& aStatus)
   {
-    return Await([&] { return mService->Standing(aId) == aStanding; });
+    return Await([&] { return mService->StatusOf(aId) == aStatus; });
   }
 
 private:
@@ -139,7 +139,7 @@
 
   ChildProcess& Child() { return mProcess; }
   void Post(const json& aOrder) { PostJson(mUrl, aOrder); }
-  std::string Standing(const std::string& aId) const
+  std::string StatusOf(const std::string& aId) const
   {
     return GetJson(mUrl + "/" + aId).value("status", "");
   }
@@ -233,11 +233,11 @@
   SidecarDaemon second(bench, "b");
   second.Post(Load("2", "tallinn"));
   cr_assert(
-    Await([&] { return second.Standing("2") == "done"; }, Millis(60000)));
+    Await([&] { return second.StatusOf("2") == "done"; }, Millis(60000)));
   first.Child().Signal(SIGCONT);
   first.Post(Load("3", "vilnius"));
   cr_assert(
-    Await([&] { return first.Standing("3") == "done"; }, Millis(60000)));
+    Await([&] { return first.StatusOf("3") == "done"; }, Millis(60000)));
   const auto numbers = fences();
   cr_assert(numbers.size() >= 3);
   cr_assert(std::is_sorted(numbers.begin(), numbers.end()));
--- a/tests/integration/outagetest.cpp
+++ b/tests/integration/outagetest.cpp
@@ -34,7 +34,7 @@
   for (int i = 0; i < 30; ++i) {
     const auto call = fleet.Send(ChatRequest("mid-call", 5), i % 2);
     const CallRecord record = call->AwaitEnd();
-    cr_assert(record.mOutcome == CallOutcome::Whole,
+    cr_assert(record.mOutcome == CallOutcome::Complete,
               "%s %s: %s",
               aService,
               aFaults.dump().c_str(),
@@ -126,5 +126,5 @@
   fleet.PlatformControl({ { "hostlist", { { "mode", "up" } } } });
   cr_assert(fleet.AwaitReady(1));
   const auto call = fleet.Send(ChatRequest("mid-call", 5), 1);
-  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Complete);
 }
--- a/tests/integration/plannedstoptest.cpp
+++ b/tests/integration/plannedstoptest.cpp
@@ -43,7 +43,7 @@
 {
   for (const auto& call : aCalls) {
     const CallRecord record = call->AwaitEnd();
-    cr_expect(record.mOutcome == CallOutcome::Whole,
+    cr_expect(record.mOutcome == CallOutcome::Complete,
               "%s %s",
               Name(record.mOutcome).c_str(),
               record.mKind.c_str());
--- a/tests/integration/policyspreadtest.cpp
+++ b/tests/integration/policyspreadtest.cpp
@@ -100,7 +100,7 @@
     cr_assert(span <= kInForceWithin, "%ld ms", span);
   }
   const auto call = fleet.Send(ChatRequest("new", 5), 3);
-  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Complete);
 }
 
 Test(policyspread, of_racing_operators_one_wins_and_the_other_is_told)
@@ -177,7 +177,7 @@
             refused.dump().c_str());
   for (int i = 0; i < 10; ++i) {
     const auto call = fleet.Send(ChatRequest("mid-call", 5), i % 2);
-    cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Whole);
+    cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Complete);
   }
   SetPlatform(fleet, { { "mode", "up" } });
   cr_assert(Await([&] {
@@ -224,7 +224,7 @@
   cr_assert(fleet.AwaitReady(2));
   cr_assert(TargetAt(fleet, 2, "kept") == 3);
   const auto call = fleet.Send(ChatRequest("mid-call", 5), 2);
-  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Complete);
 }
 
 Test(policyspread, a_restarted_entry_has_the_newest_policy)
--- a/tests/integration/policytest.cpp
+++ b/tests/integration/policytest.cpp
@@ -54,8 +54,9 @@
 {
   const auto call = aFleet.Send(ChatRequest("drafting", 5), aEntry);
   const auto record = call->AwaitEnd();
-  cr_assert(
-    record.mOutcome == CallOutcome::Whole, "%s", Name(record.mOutcome).c_str());
+  cr_assert(record.mOutcome == CallOutcome::Complete,
+            "%s",
+            Name(record.mOutcome).c_str());
 }
 
 /** Changes go on, and reach the other entry, with the service in that mode. */
@@ -84,7 +85,7 @@
   for (size_t entry = 0; entry < 2; ++entry) {
     cr_assert(InForce(fleet, entry, changed["body"]["version"]));
     const auto call = fleet.Send(ChatRequest("drafting", 5), entry);
-    cr_assert(call->AwaitEnd().mOutcome != CallOutcome::Whole);
+    cr_assert(call->AwaitEnd().mOutcome != CallOutcome::Complete);
     cr_assert(fleet.RunsOf(call->Mark()) == 0);
   }
 }
--- a/tests/integration/repeatstest.cpp
+++ b/tests/integration/repeatstest.cpp
@@ -48,7 +48,7 @@
                 record.mOutcome != CallOutcome::Wrong,
               "%s",
               Describe(aCalls).c_str());
-    anyWhole = anyWhole || record.mOutcome == CallOutcome::Whole;
+    anyWhole = anyWhole || record.mOutcome == CallOutcome::Complete;
     allToldNo = allToldNo && record.mRan == "no";
   }
   const size_t runs = aFleet.RunsOf(aCalls.front()->Mark());
@@ -62,7 +62,7 @@
 {
   size_t count = 0;
   for (const auto& call : aCalls) {
-    count += call->Record().mOutcome == CallOutcome::Whole ? 1 : 0;
+    count += call->Record().mOutcome == CallOutcome::Complete ? 1 : 0;
   }
   return count;
 }
@@ -107,10 +107,10 @@
     cr_assert(calls.back()->AwaitEnd().mOutcome != CallOutcome::Open);
   }
   ExpectOneRunAtMost(fleet, calls);
-  cr_assert(calls.front()->Record().mOutcome == CallOutcome::Whole);
+  cr_assert(calls.front()->Record().mOutcome == CallOutcome::Complete);
   for (size_t i = 1; i < calls.size(); ++i) {
     const CallRecord record = calls[i]->Record();
-    cr_expect(record.mOutcome == CallOutcome::Whole ||
+    cr_expect(record.mOutcome == CallOutcome::Complete ||
                 record.mKind == "duplicate_finished",
               "%s",
               Describe(calls).c_str());
@@ -144,7 +144,7 @@
   Fleet fleet(TwoEntries());
   const auto first =
     fleet.SendMarked(OnceRequest("drafting", 30, false), "first", 0, {});
-  cr_assert(first->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(first->AwaitEnd().mOutcome == CallOutcome::Complete);
   auto other = OnceRequest("drafting", 30, false);
   other.mIdempotent = true; // so that no key of its own is sent
   const auto second =
--- a/tests/integration/silencetest.cpp
+++ b/tests/integration/silencetest.cpp
@@ -44,17 +44,17 @@
   fleet.Upstream().mChannelProxy->Order({ { "silence", aWay } });
   for (const auto& call : calls) {
     const CallRecord record = call->AwaitEnd();
-    cr_expect(record.mOutcome == CallOutcome::Whole,
+    cr_expect(record.mOutcome == CallOutcome::Complete,
               "silent %s: %s %s",
               aWay,
               Name(record.mOutcome).c_str(),
               record.mKind.c_str());
     cr_expect(fleet.RunsOf(call->Mark()) == 1);
-    criterion_info("silent %s: longest gap %ld ms", aWay, record.mLongestGap);
-    cr_expect(record.mLongestGap <= kFoundWithin,
+    criterion_info("silent %s: longest gap %ld ms", aWay, record.mMaxGap);
+    cr_expect(record.mMaxGap <= kFoundWithin,
               "silent %s: %ld ms",
               aWay,
-              record.mLongestGap);
+              record.mMaxGap);
   }
 }
 
@@ -73,7 +73,7 @@
   aFleet.Upstream(at).mUpstreamProxy->Order({ { "silence", "both" } });
   while (aOthersGoOn && !once->HasEnded()) {
     const auto other = aFleet.Send(ChatRequest("mid-call", 5));
-    cr_expect(other->AwaitEnd().mOutcome == CallOutcome::Whole);
+    cr_expect(other->AwaitEnd().mOutcome == CallOutcome::Complete);
   }
   const CallRecord record = once->AwaitEnd();
   cr_expect(record.mOutcome == CallOutcome::Failed && record.mRan == "maybe",
@@ -106,11 +106,11 @@
 {
   Fleet fleet(Proxied(1));
   cr_assert(fleet.Send(ChatRequest("mid-call", 5))->AwaitEnd().mOutcome ==
-            CallOutcome::Whole);
+            CallOutcome::Complete);
   fleet.Upstream().mChannelProxy->Order({ { "silence", "both" } });
   const auto call = fleet.Send(ChatRequest("mid-call", 5));
   const CallRecord record = call->AwaitEnd();
-  cr_assert(record.mOutcome == CallOutcome::Whole,
+  cr_assert(record.mOutcome == CallOutcome::Complete,
             "%s %s",
             Name(record.mOutcome).c_str(),
             record.mKind.c_str());
@@ -132,7 +132,7 @@
   const int64_t span = SilenceAnEngine(fleet, false);
   cr_assert(span <= kFoundAloneWithin, "%ld ms", span);
   const auto next = fleet.Send(ChatRequest("mid-call", 5));
-  cr_expect(next->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_expect(next->AwaitEnd().mOutcome == CallOutcome::Complete);
 }
 
 Test(silence, before_an_engines_first_token_is_rerun_where_that_is_safe)
@@ -148,7 +148,7 @@
   fleet.Upstream(0).Control({ { "stall", false } });
   fleet.Upstream(1).Control({ { "stall", false } });
   const CallRecord record = call->AwaitEnd();
-  cr_assert(record.mOutcome == CallOutcome::Whole,
+  cr_assert(record.mOutcome == CallOutcome::Complete,
             "%s %s",
             Name(record.mOutcome).c_str(),
             record.mKind.c_str());
--- a/tests/integration/standinstest.cpp
+++ b/tests/integration/standinstest.cpp
@@ -103,7 +103,7 @@
 {
   EngineAlone engine;
   const auto whole = engine.Send(ChatRequest("mid-call", 30), "whole");
-  cr_assert(whole->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(whole->AwaitEnd().mOutcome == CallOutcome::Complete);
   cr_assert(engine.Execution("whole")["tokens"] == 30);
   const auto left = engine.Send(ChatRequest("mid-call", 5000), "left");
   cr_assert(left->AwaitBytes(1000));
@@ -161,7 +161,7 @@
   cr_assert(Await([&] { return proxy.Counts()["swallowed"] > 10000; }));
   const size_t frozen = old->Body().size();
   const auto fresh = engine.Send(ChatRequest("mid-call", 30), "new", 0, url);
-  cr_assert(fresh->AwaitEnd().mOutcome == CallOutcome::Whole);
+  cr_assert(fresh->AwaitEnd().mOutcome == CallOutcome::Complete);
   cr_assert(old->Body().size() == frozen);
   cr_assert(!old->HasEnded());
   proxy.Order({ { "cut", true } });
@@ -180,6 +180,6 @@
   proxy.Order({ { "cut_after_bytes", 0 }, { "delay_ms", 150 } });
   const auto late = engine.Send(ChatRequest("mid-call", 5), "late", 0, url);
   const auto record = late->AwaitEnd();
-  cr_assert(record.mOutcome == CallOutcome::Whole);
+  cr_assert(record.mOutcome == CallOutcome::Complete);
   cr_assert(record.mFirst - record.mSent >= 290);
 }
--- a/tests/integration/verdict.cpp
+++ b/tests/integration/verdict.cpp
@@ -19,7 +19,7 @@
       return "a wrong answer";
     case CallOutcome::Unanswered:
       return aPromise.mEntryMayDie ? "" : "cut without a word";
-    case CallOutcome::Whole:
+    case CallOutcome::Complete:
       return aRuns == 0 ? "answered without a run" : "";
     case CallOutcome::Refused:
       return aRuns != 0 ? "told not run, but run" : "";
@@ -32,7 +32,7 @@
 } // namespace
 
 std::string
-BrokenPromise(const Fleet& aFleet, const OpenCall& aCall, Promise aPromise)
+FindViolation(const Fleet& aFleet, const OpenCall& aCall, Promise aPromise)
 {
   const CallRecord record = aCall.AwaitEnd();
   const size_t runs = aFleet.RunsOf(aCall.Mark());
--- a/tests/integration/verdict.h
+++ b/tests/integration/verdict.h
@@ -23,6 +23,6 @@
  * idempotent; no run at all where the caller was told so.
  */
 std::string
-BrokenPromise(const Fleet& aFleet, const OpenCall& aCall, Promise aPromise);
+FindViolation(const Fleet& aFleet, const OpenCall& aCall, Promise aPromise);
 
 } // namespace integration
--- a/tests/replay/sidecarrouter.cpp
+++ b/tests/replay/sidecarrouter.cpp
@@ -67,15 +67,15 @@
     EntryRequest request;
     request.mId = { .mHigh = aRequest.mRetry, .mLow = aRequest.mIndex };
     request.mClassified = *mClassifier->Classify(
-      CallerClaims{ .mWorkspace = traceRequest.mWorkspace,
-                    .mTokenHash = {},
-                    .mWantedClass = traceRequest.mClass,
-                    .mLabels = {},
-                    .mModel = kModel,
-                    .mService = {},
-                    .mDataCentre = {},
-                    .mDeadline = {},
-                    .mIdempotent = traceRequest.mIdempotent });
+      CallerAttributes{ .mWorkspace = traceRequest.mWorkspace,
+                        .mTokenHash = {},
+                        .mRequestedClass = traceRequest.mClass,
+                        .mLabels = {},
+                        .mModel = kModel,
+                        .mService = {},
+                        .mDataCentre = {},
+                        .mDeadline = {},
+                        .mIdempotent = traceRequest.mIdempotent });
     request.mCall.mTokenStream = true;
     request.mPromptTokens = traceRequest.mPromptTokens;
     request.mPrefixHash = traceRequest.mPrefix + 1;
--- a/tests/replay/virtualengine.cpp
+++ b/tests/replay/virtualengine.cpp
@@ -31,8 +31,8 @@
                                    const VirtualEngine& aHolder)
 {
   std::vector<uint64_t> blocks = BlocksOf(aCall);
-  const size_t cachedHere = mBatch.Held(blocks);
-  const size_t cachedAtHolder = aHolder.mBatch.Held(blocks);
+  const size_t cachedHere = mBatch.CachedBlocks(blocks);
+  const size_t cachedAtHolder = aHolder.mBatch.CachedBlocks(blocks);
   if (cachedAtHolder <= cachedHere) {
     return Start(aCall);
   }
@@ -44,7 +44,7 @@
     std::ceil(tokens * mOptions.mPrefillMillis * kFetchShare)));
   mTime.After(fetchTime, [this, aCall, blocks, incarnation = mIncarnation] {
     if (incarnation == mIncarnation) {
-      mBatch.Bring(blocks);
+      mBatch.AddToCache(blocks);
       Start(aCall);
     }
   });
--- a/tests/standins/engine/batchmodel.h
+++ b/tests/standins/engine/batchmodel.h
@@ -56,12 +56,15 @@
   BatchStep Step();
 
   /** Leading blocks of a prompt that need not be read. */
-  size_t Held(const std::vector<uint64_t>& aBlocks) const
+  size_t CachedBlocks(const std::vector<uint64_t>& aBlocks) const
   {
-    return mCache.Held(aBlocks);
+    return mCache.CachedBlocks(aBlocks);
   }
   /** Puts blocks that another engine has read into the cache. */
-  void Bring(const std::vector<uint64_t>& aBlocks) { mCache.Take(aBlocks); }
+  void AddToCache(const std::vector<uint64_t>& aBlocks)
+  {
+    mCache.Take(aBlocks);
+  }
 
   bool Idle() const { return mRunning.empty() && mWaiting.empty(); }
   size_t Running() const { return mRunning.size(); }
--- a/tests/standins/engine/prefixcache.cpp
+++ b/tests/standins/engine/prefixcache.cpp
@@ -12,7 +12,7 @@
 }
 
 size_t
-PrefixCache::Held(const std::vector<uint64_t>& aBlocks) const
+PrefixCache::CachedBlocks(const std::vector<uint64_t>& aBlocks) const
 {
   size_t hits = 0;
   while (hits < aBlocks.size() && mPlaces.contains(aBlocks[hits])) {
@@ -24,7 +24,7 @@
 size_t
 PrefixCache::Take(const std::vector<uint64_t>& aBlocks)
 {
-  const size_t hits = Held(aBlocks);
+  const size_t hits = CachedBlocks(aBlocks);
   for (const uint64_t block : aBlocks) {
     Touch(block);
   }
--- a/tests/standins/engine/prefixcache.h
+++ b/tests/standins/engine/prefixcache.h
@@ -22,7 +22,7 @@
   size_t Take(const std::vector<uint64_t>& aBlocks);
 
   /** How many of the leading blocks are cached, without using them. */
-  size_t Held(const std::vector<uint64_t>& aBlocks) const;
+  size_t CachedBlocks(const std::vector<uint64_t>& aBlocks) const;
 
 private:
   void Touch(uint64_t aBlock);
--- a/tests/unit/answercheckertest.cpp
+++ b/tests/unit/answercheckertest.cpp
@@ -47,14 +47,14 @@
 CheckAnswer(const TraceRequest& aRequest,
             const trefoilio::HttpRequest& aSent,
             const std::string& aBody,
-            CallEnd aEnd = CallEnd::Whole)
+            CallEnd aEnd = CallEnd::Complete)
 {
   AnswerChecker checker(aRequest, aSent);
-  checker.TakeHead(200, {});
+  checker.OnHead(200, {});
   const size_t half = aBody.size() / 2;
-  checker.TakeData(aBody.substr(0, half), 1);
-  checker.TakeData(aBody.substr(half), 2);
-  checker.TakeEnd(aEnd, 3);
+  checker.OnData(aBody.substr(0, half), 1);
+  checker.OnData(aBody.substr(half), 2);
+  checker.OnEnd(aEnd, 3);
   return checker.Record().mOutcome;
 }
 
@@ -67,14 +67,14 @@
       StreamedRequest(*rc::gen::inRange<size_t>(1, 30));
     const auto sent = BuildSentRequest(request, "a");
     const std::string body = StreamedBody(sent);
-    RC_ASSERT(CheckAnswer(request, sent, body) == CallOutcome::Whole);
+    RC_ASSERT(CheckAnswer(request, sent, body) == CallOutcome::Complete);
     const auto cut = *rc::gen::inRange<size_t>(0, body.size());
     RC_ASSERT(CheckAnswer(request, sent, body.substr(0, cut)) !=
-              CallOutcome::Whole);
+              CallOutcome::Complete);
     std::string changed = body;
     const auto position = *rc::gen::inRange<size_t>(0, body.size());
     changed[position] = static_cast<char>(changed[position] + 1);
-    RC_ASSERT(CheckAnswer(request, sent, changed) != CallOutcome::Whole);
+    RC_ASSERT(CheckAnswer(request, sent, changed) != CallOutcome::Complete);
   });
   cr_assert(holds);
 }
@@ -94,9 +94,9 @@
   const TraceRequest request = StreamedRequest(5);
   const auto sent = BuildSentRequest(request, "a");
   const std::string body = ": keep-alive\n\n" + StreamedBody(sent);
-  cr_assert(CheckAnswer(request, sent, body) == CallOutcome::Whole);
+  cr_assert(CheckAnswer(request, sent, body) == CallOutcome::Complete);
   cr_assert(CheckAnswer(request, sent, body, CallEnd::Broken) !=
-            CallOutcome::Whole);
+            CallOutcome::Complete);
 }
 
 Test(answerchecker, an_error_event_is_a_reported_failure)
--- a/tests/unit/callrunnertest.cpp
+++ b/tests/unit/callrunnertest.cpp
@@ -120,7 +120,7 @@
     cr_assert(request.find("X-Good: 1\r\n") != std::string::npos);
     cr_assert(request.find("Y: 2") == std::string::npos);
     Write(socket, "HTTP/1.1 204 None\r\n\r\n");
-    cr_assert(WaitForEnd(first) == CallEnd::Whole);
+    cr_assert(WaitForEnd(first) == CallEnd::Complete);
 
     auto second = StartCall(runner, method, upstream.Url());
     cr_assert(ReadRequest(socket, end) == request);
--- a/tests/unit/classifiertest.cpp
+++ b/tests/unit/classifiertest.cpp
@@ -79,7 +79,7 @@
 
 /** The classified request, or nullopt if it was rejected. */
 std::optional<ClassifiedRequest>
-Classify(const Classifier& aClassifier, const CallerClaims& aClaims)
+Classify(const Classifier& aClassifier, const CallerAttributes& aClaims)
 {
   return boost::leaf::try_handle_all(
     [&]() -> Result<std::optional<ClassifiedRequest>> {
@@ -90,7 +90,7 @@
 }
 
 ErrorKind
-RefusalKind(const Classifier& aClassifier, const CallerClaims& aClaims)
+RefusalKind(const Classifier& aClassifier, const CallerAttributes& aClaims)
 {
   return boost::leaf::try_handle_all(
     [&]() -> Result<ErrorKind> {
@@ -241,7 +241,7 @@
 {
   const auto policy = std::make_shared<Policy>(PolicyWithOneWorkspace());
   const Classifier classifier(policy);
-  CallerClaims claims;
+  CallerAttributes claims;
   claims.mWorkspace = "nobody";
   cr_assert(RefusalKind(classifier, claims) == ErrorKind::UnknownWorkspace);
   claims.mWorkspace = "north";
@@ -249,9 +249,9 @@
   claims.mTokenHash = std::string(64, 'b');
   cr_assert(RefusalKind(classifier, claims) == ErrorKind::BadToken);
   claims.mTokenHash = std::string(64, 'a');
-  claims.mWantedClass = "cal";
+  claims.mRequestedClass = "cal";
   cr_assert(RefusalKind(classifier, claims) == ErrorKind::UnknownClass);
-  claims.mWantedClass = "staff";
+  claims.mRequestedClass = "staff";
   claims.mLabels["role"] = "s"; // overridden by the workspace's label
   cr_assert(RefusalKind(classifier, claims) == ErrorKind::ClassNotAllowed);
 }
@@ -260,7 +260,7 @@
 {
   const auto policy = std::make_shared<Policy>(PolicyWithOneWorkspace());
   const Classifier classifier(policy);
-  CallerClaims claims;
+  CallerAttributes claims;
   claims.mWorkspace = "north";
   claims.mTokenHash = std::string(64, 'a');
   claims.mLabels = { { "class", "staff" }, { "service", "x" } };
--- a/tests/unit/embeddingtest.cpp
+++ b/tests/unit/embeddingtest.cpp
@@ -43,7 +43,7 @@
     const auto classified =
       MakeClassifier()->Classify({ .mWorkspace = "rail",
                                    .mTokenHash = "",
-                                   .mWantedClass = "",
+                                   .mRequestedClass = "",
                                    .mLabels = {},
                                    .mModel = "base",
                                    .mService = "",
--- a/tests/unit/httpservertest.cpp
+++ b/tests/unit/httpservertest.cpp
@@ -89,7 +89,7 @@
 
   Counter mChunks;
   Counter mEnds;
-  std::atomic<CallEnd> mEnd = CallEnd::Whole;
+  std::atomic<CallEnd> mEnd = CallEnd::Complete;
   std::atomic<int> mStatus = 0;
 
 private:
@@ -165,7 +165,7 @@
       return { .mStream = TenLines(StreamStep::End), .mOnClosed = closed };
     }
     if (target.starts_with("/cut")) {
-      return { .mStream = TenLines(StreamStep::Cut), .mOnClosed = closed };
+      return { .mStream = TenLines(StreamStep::Abort), .mOnClosed = closed };
     }
     if (target.starts_with("/endless")) {
       return { .mStream = Endless(), .mOnClosed = closed };
@@ -225,7 +225,7 @@
   runner.Start({ .mMethod = "GET", .mTarget = fixture.Url("/lines") },
                whole.Hooks());
   cr_assert(whole.mEnds.Reaches(1));
-  cr_assert(whole.mEnd == CallEnd::Whole);
+  cr_assert(whole.mEnd == CallEnd::Complete);
   cr_assert(whole.Body().ends_with("line 8\nline 9\n"));
   cr_assert(fixture.mClosedStreams.Reaches(1));
 
@@ -313,7 +313,7 @@
 
 Test(httpserver, limits_get_an_answer_and_are_counted)
 {
-  Fixture fixture({ .mMostBody = 1000, .mMaxHeaderBytes = 2000 });
+  Fixture fixture({ .mMaxBodyBytes = 1000, .mMaxHeaderBytes = 2000 });
   const auto body = SendHttp({ .mMethod = "POST",
                                .mTarget = fixture.Url("/"),
                                .mBody = std::string(1001, 'x') },
@@ -337,7 +337,7 @@
 
 Test(httpserver, endless_body_is_rejected_with_an_answer)
 {
-  Fixture fixture({ .mMostBody = 1000 });
+  Fixture fixture({ .mMaxBodyBytes = 1000 });
   const auto port = fixture.Url("").substr(17);
   RawSocket socket(static_cast<uint16_t>(std::stoi(port)));
   cr_assert(socket.Send("POST / HTTP/1.1\r\nHost: a\r\n"
--- a/tests/unit/policygen.h
+++ b/tests/unit/policygen.h
@@ -127,11 +127,11 @@
     return upstreams;
   }
 
-  trefoilarch::CallerClaims Claims()
+  trefoilarch::CallerAttributes Claims()
   {
-    trefoilarch::CallerClaims claims;
+    trefoilarch::CallerAttributes claims;
     claims.mWorkspace = WorkspaceName();
-    claims.mWantedClass = Chance(70) ? ClassName() : "";
+    claims.mRequestedClass = Chance(70) ? ClassName() : "";
     claims.mLabels = RandomLabels({ "role", "site", "workspace", "class" });
     claims.mModel = Chance(60) ? Value() : "";
     claims.mDataCentre = Value();
