--- a/src/libtrefoilarch/adaptivelimit.cpp
+++ b/src/libtrefoilarch/adaptivelimit.cpp
@@ -7,24 +7,29 @@
 namespace {
 
 constexpr Millis kWindow{ 200 };
-/** Measurements that make a window. */
+/** Minimum number of measurements in a window. */
 constexpr double kMinWeight = 4;
-/** The limit may rise below this multiple of the allowed time. */
+/**
+ * The limit rises only while times are below this multiple of the allowed time.
+ */
 constexpr double kIncreaseThreshold = 0.9;
-/** Below this it rises by a part of itself. */
+/** Below this multiple it rises by a fraction of its own value. */
 constexpr double kFastIncreaseThreshold = 0.6;
 constexpr uint64_t kFastStepDivisor = 8;
-/** Otherwise by this part, of its first value at the least. */
+/** Otherwise it rises by this fraction of its initial value. */
 constexpr uint64_t kStepDivisor = 24;
-/** The most that one window takes off. */
+/** Lower bound of the factor applied by one window. */
 constexpr double kMinDecreaseFactor = 0.8;
-/** Times up to this multiple of the best are borne where the best is more
- * than is allowed. */
-constexpr double kBestTolerance = 1.25;
-/** The best grows by this in each window: it doubles in two to three minutes.
+/**
+ * If the best time exceeds the allowed one, times up to this multiple of the
+ * best are tolerated.
  */
+constexpr double kBestTolerance = 1.25;
+/** Growth of the best ratio per window; it doubles in two to three minutes. */
 constexpr double kBestGrowth = 1.001;
-/** The use may exceed the limit by this when it decreases again. */
+/**
+ * A further decrease waits until the use is within this multiple of the limit.
+ */
 constexpr double kUseTolerance = 1.05;
 
 } // namespace
--- a/src/libtrefoilarch/adaptivelimit.h
+++ b/src/libtrefoilarch/adaptivelimit.h
@@ -17,14 +17,16 @@
 };
 
 /**
- * A limit that follows measured times. Increase in small steps, faster while
- * the times are far inside what is allowed, and multiplicative decrease in
- * proportion to the excess; a decrease waits until the use has come down to
- * the one before, or a few slow answers would close the limit altogether.
+ * A concurrency limit that follows measured times. It increases in small steps,
+ * faster while times are far below the allowed ones, and decreases
+ * multiplicatively in proportion to the excess. A decrease waits until the use
+ * has come down to the previous one; otherwise a few slow responses would
+ * shrink the limit to its minimum.
  *
- * An upstream that is slower than allowed even when little runs would close
- * the limit for nothing. So the times are judged by the best that was measured
- * as well, which is slowly forgotten: what is near it no limit can better.
+ * For an upstream that is slower than allowed even at low load, shrinking the
+ * limit would gain nothing. Times are therefore also compared with the best
+ * measured one, which slowly expires: times near it cannot be improved by a
+ * lower limit.
  */
 class AdaptiveLimit
 {
@@ -32,13 +34,13 @@
   explicit AdaptiveLimit(AdaptiveLimitOptions aOptions);
 
   /**
-   * A measured time of that cause, as a multiple of what it may be at the
-   * most. The cause whose mean is worse decides.
+   * Adds a measured time of that cause, as a multiple of the allowed time. The
+   * cause with the higher mean decides.
    */
   void OnMeasured(size_t aCause, double aRatio, double aWeight);
-  /** Somebody was kept out by the limit. */
+  /** A request was kept out by the limit. */
   void OnLimited() { mLimited = true; }
-  /** Moves the limit if a window of measurements is complete. */
+  /** Changes the limit if a window of measurements is complete. */
   void Adapt(uint64_t aUsed, Millis aNow);
 
   static constexpr size_t kCauses = 2;
@@ -48,7 +50,7 @@
 private:
   void Decrease(double aRatio, uint64_t aUsed);
   void Increase(double aRatio);
-  /** The window's ratio by what the upstream can do at best. */
+  /** Returns the window's ratio relative to the upstream's best. */
   double NormalizeRatio(double aRatio);
 
   AdaptiveLimitOptions mOptions;
--- a/src/libtrefoilarch/admission.cpp
+++ b/src/libtrefoilarch/admission.cpp
@@ -11,9 +11,9 @@
 
 constexpr double kMinRetryAfter = 100;
 constexpr double kMaxRetryAfter = 30000;
-/** Where no rate has been measured, so no honest figure can be had. */
+/** Used while no rate has been measured, as no estimate is possible then. */
 constexpr double kUnmeasuredRetryAfter = 1000;
-/** A time to come back is lengthened by up to this share. */
+/** Retry times are lengthened by up to this fraction. */
 constexpr double kJitter = 0.5;
 /** Longer than any deadline. */
 constexpr double kUnboundedWait = 1e12;
@@ -122,8 +122,8 @@
 Admission::Jittered(double aMillis)
 {
   std::uniform_real_distribution<double> jitter(1, 1 + kJitter);
-  const double span = std::clamp(aMillis, kMinRetryAfter, kMaxRetryAfter);
-  return Millis(static_cast<int64_t>(span * jitter(mRandom)));
+  const double delay = std::clamp(aMillis, kMinRetryAfter, kMaxRetryAfter);
+  return Millis(static_cast<int64_t>(delay * jitter(mRandom)));
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/admission.h
+++ b/src/libtrefoilarch/admission.h
@@ -13,25 +13,25 @@
 class Schedule;
 class ServiceRate;
 
-/** A request as Admission looks at it. */
+/** What Admission has to know about a request. */
 struct AdmissionRequest
 {
   ServiceLevel mLevel;
   uint64_t mTokens = 0;
-  /** From start to end, at the least. */
+  /** Minimum time from start to end. */
   Millis mMinDuration;
-  /** Until the start is too late for the first-token target. */
+  /** Time until a start is too late for the first-token target. */
   Millis mLatestStart;
   Millis mDeadline;
 };
 
 /**
- * Says which requests can't meet their deadline, from the measured drain rate
- * and the tokens that start before them, and when to come back.
+ * Decides which requests can't meet their deadline, and when their callers
+ * should retry, from the measured drain rate and the tokens queued ahead.
  *
- * Only requests of its own and higher tiers count against a request; a class
- * that lives on its floor is judged by the floor. An upstream with nothing
- * running is always tried, so a bad measurement can't shut it for good.
+ * Only requests of the same and higher tiers count against a request; a class
+ * that is served by its floor is judged by the floor. An upstream with nothing
+ * running is always tried, so a bad measurement can't block it for good.
  */
 class Admission
 {
@@ -41,11 +41,14 @@
             const ServiceRate& aRate,
             uint64_t aSeed);
 
-  /** When to come back, if a new request can't meet its deadline. */
+  /** Returns when to retry if a new request can't meet its deadline. */
   std::optional<Millis> Refuse(const AdmissionRequest& aRequest, Millis aNow);
-  /** The same for one that waits and can't be on time any more. */
+  /** The same for a waiting request that can't start on time any more. */
   std::optional<Millis> GiveUp(const AdmissionRequest& aRequest, Millis aNow);
-  /** When a place is likely, jittered so that callers don't return at once. */
+  /**
+   * When capacity is likely to be free, jittered so that callers don't return
+   * all at once.
+   */
   Millis RetryAfter(const ServiceLevel& aLevel, Millis aNow);
 
 private:
@@ -53,7 +56,7 @@
                       bool aLate,
                       Millis aNow) const;
   double EstimateFloorWait(const ServiceLevel& aLevel, Millis aNow) const;
-  /** Tokens in flight at the most, whichever bound is reached first. */
+  /** Maximum tokens in flight, by the tighter of the two limits. */
   uint64_t Limit() const;
   Millis Jittered(double aMillis);
 
--- a/src/libtrefoilarch/answerbuffer.h
+++ b/src/libtrefoilarch/answerbuffer.h
@@ -9,28 +9,28 @@
 namespace trefoilarch {
 
 /**
- * The chunks of one attempt's answer that its entry has not acknowledged,
- * numbered from 0 without a gap.
+ * The chunks of one attempt's response that its entry has not acknowledged,
+ * numbered from 0 without gaps.
  */
 class AnswerBuffer
 {
 public:
-  /** Numbers the chunk and keeps it; gives back the copy to send. */
+  /** Numbers and stores the chunk; returns the copy to send. */
   const Chunk& Append(Chunk aChunk);
 
-  /** Forgets all chunks below aNextChunk. */
+  /** Drops all chunks below aNextChunk. */
   void Acknowledge(uint64_t aNextChunk);
 
-  /** Whether every chunk from aNextChunk on is still here. */
+  /** Whether every chunk from aNextChunk on is still stored. */
   bool Has(uint64_t aNextChunk) const;
 
-  /** The kept chunk of that number; Has() must hold for it. */
+  /** The stored chunk of that number; requires Has(aNumber). */
   const Chunk& At(uint64_t aNumber) const;
 
-  /** Chunks appended so far, kept or not: the next chunk's number. */
+  /** Number of chunks appended so far, which is the next chunk's number. */
   uint64_t Count() const { return mFirst + mChunks.size(); }
   bool Empty() const { return mChunks.empty(); }
-  /** Bytes of data kept. */
+  /** Bytes of data stored. */
   size_t Bytes() const { return mBytes; }
 
 private:
--- a/src/libtrefoilarch/callwatch.cpp
+++ b/src/libtrefoilarch/callwatch.cpp
@@ -6,7 +6,9 @@
 
 namespace {
 
-/** A shorter wait takes this part off the longest one. */
+/**
+ * A shorter wait reduces the longest one by this fraction of the difference.
+ */
 constexpr int64_t kDecayDivisor = 8;
 
 } // namespace
--- a/src/libtrefoilarch/callwatch.h
+++ b/src/libtrefoilarch/callwatch.h
@@ -8,26 +8,28 @@
 
 namespace trefoilarch {
 
-/** When a call to an upstream counts as silent for good; milliseconds. */
+/**
+ * Controls when a call to an upstream counts as stalled; times in milliseconds.
+ */
 struct CallWatchOptions
 {
-  /** No call is given up sooner. */
+  /** No call is given up sooner than this. */
   Millis mMinTimeout{ 2000 };
-  /** Nor this soon where the upstream says nothing to any call. */
+  /** Nor sooner than this while no call to the upstream receives anything. */
   Millis mStalledTimeout{ 3000 };
-  /** Until a first token has been seen, calls may take this long for it. */
+  /** Time allowed for the first token until one has been seen. */
   Millis mInitialFirstTokenTimeout{ 10000 };
-  /** Silence is this many times the longest wait of late. */
+  /** A call is stalled after this many times the longest recent wait. */
   int64_t mFactor = 6;
 };
 
 /**
- * Finds calls whose connection has gone silent while others go on: the
- * upstream's own recent waits, apart for the first token and between tokens,
- * say how long a silence is still like it. The longest wait of late is kept
- * and fades by an eighth with each shorter one, so that a slow upstream is
- * given time and a recovered one is not. Where no call hears anything, the
- * upstream may be at a long prefill, and is borne with for longer.
+ * Detects calls whose connection has gone silent while others make progress.
+ * The timeouts follow the upstream's own recent waits, kept separately for the
+ * first token and between tokens. The longest recent wait decays by an eighth
+ * of the difference with each shorter one, so a slow upstream gets enough time
+ * and a recovered one is not given too much. If no call receives anything, the
+ * upstream may be busy with a long prefill and gets more time.
  */
 class CallWatch
 {
@@ -35,16 +37,16 @@
   explicit CallWatch(CallWatchOptions aOptions);
 
   void Started(const AttemptKey& aKey, Millis aNow);
-  /** A part of the answer has come. */
+  /** Part of the response has arrived. */
   void Received(const AttemptKey& aKey, Millis aNow);
   void Ended(const AttemptKey& aKey);
 
-  /** Calls that are silent for good; each is told of once. */
+  /** Removes and returns the stalled calls; each is returned once. */
   std::vector<AttemptKey> TakeSilent(Millis aNow);
 
-  /** Silence before the first token that is still borne. */
+  /** Timeout for the first token. */
   Millis FirstTokenTimeout() const;
-  /** Silence between tokens that is still borne. */
+  /** Timeout between tokens. */
   Millis NextTokenTimeout() const;
 
 private:
@@ -62,7 +64,7 @@
   std::unordered_map<AttemptKey, Call> mCalls;
   Millis mLongestFirstWait;
   Millis mLongestNextWait;
-  Millis mAnyReceivedAt; /**< from any call */
+  Millis mAnyReceivedAt; /**< by any call */
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/channelhealth.h
+++ b/src/libtrefoilarch/channelhealth.h
@@ -7,31 +7,31 @@
 
 namespace trefoilarch {
 
-/** The spans by which a channel is judged. */
+/** Timeouts and intervals of a channel. */
 struct ChannelTimeouts
 {
-  /** Silence after which a channel with something at stake is replaced. */
+  /** Silence after which a channel that awaits a reply is replaced. */
   Millis mSilence{ 1500 };
   Millis mHeartbeat{ 500 };
-  /** Heartbeats while nothing is at stake. */
+  /** Heartbeat interval while no reply is awaited. */
   Millis mIdleHeartbeat{ 5000 };
 };
 
-/** How far a channel has come. */
+/** Connection state of a channel. */
 enum class ChannelState : uint8_t
 {
   Down,
-  Greeting, /**< open, and no Welcome yet */
+  Greeting, /**< open, but no Welcome received yet */
   Ready,
 };
 
 /**
- * Judges one channel by what the peer is known to have received, since a
- * connection that something between its ends has forgotten stays open for
- * TCP, and may be silent in one direction alone. An answer proves the
- * message that it answers; where nothing else did so for a heartbeat, a
- * probe is due. Silence counts from when something came to be at stake, as
- * an idle channel is probed more rarely.
+ * Judges a channel by what the peer is known to have received. TCP keeps a
+ * connection open that a device on the path has dropped, and a connection may
+ * fail in one direction only. A reply proves that the message it answers was
+ * delivered. If nothing was proven for a heartbeat interval, a probe is due.
+ * Silence is counted from the moment when a reply was first awaited, because
+ * idle channels are probed less often.
  */
 class ChannelHealth
 {
@@ -43,17 +43,17 @@
   void OnWelcome(Millis aNow);
   void OnSent(Millis aNow);
   void OnProbeSent(Millis aNow);
-  /** The peer answered a probe; gives the round trip. */
+  /** The peer answered a probe. Returns the round-trip time. */
   std::optional<Millis> OnProbeAnswered(Millis aNow);
-  /** The peer answered a message that was sent then. */
+  /** The peer answered a message that was sent at aSentAt. */
   void OnDelivered(Millis aSentAt);
-  /** Whether anything waits for this channel's peer. */
+  /** Sets whether a reply from the peer is awaited. */
   void SetAwaitingReply(bool aAwaiting, Millis aNow);
 
   ChannelState State() const { return mState; }
   /** When the state last became Down. */
   Millis DownSince() const { return mDownSince; }
-  /** The channel is open, yet answers that should have come did not. */
+  /** Whether the channel is open but expected replies are missing. */
   bool IsSilent(Millis aNow) const { return aNow >= SilentAt(); }
   bool IsHeartbeatDue(Millis aNow) const { return aNow >= HeartbeatAt(); }
   bool IsProbeDue(Millis aNow) const { return aNow >= ProbeAt(); }
@@ -69,9 +69,11 @@
   ChannelState mState = ChannelState::Down;
   Millis mDownSince;
   Millis mLastSentAt;
-  /** The newest message that the peer is known to have received. */
+  /**
+   * When the newest message was sent that the peer is known to have received.
+   */
   Millis mLastDeliveredAt;
-  /** The probe under way, if one is. */
+  /** When the outstanding probe was sent, if there is one. */
   std::optional<Millis> mProbeSentAt;
   bool mAwaitingReply = false;
   Millis mAwaitingSince;
--- a/src/libtrefoilarch/claimmessages.h
+++ b/src/libtrefoilarch/claimmessages.h
@@ -10,20 +10,20 @@
 #include <variant>
 #include <vector>
 
-/** What goes in and out of Claims. */
+/** Input and output of Claims. */
 namespace trefoilarch {
 
-/** A request that may run only once for its idempotency key. */
+/** A request that may run only once per idempotency key. */
 struct ClaimRequest
 {
   RequestId mId;
   /** Hash of the workspace and the key, in hexadecimal. */
   std::string mKey;
-  /** Hash of what is asked; the same key with another one is a mistake. */
+  /** Hash of the request; reusing the key with another hash is an error. */
   std::string mFingerprint;
 };
 
-/** An answer that is kept for repeats of its request. */
+/** A response that is cached for repeats of its request. */
 struct CachedAnswer
 {
   int32_t mStatus = 0;
@@ -33,23 +33,23 @@
   bool operator==(const CachedAnswer&) const = default;
 };
 
-/** What becomes of a request that wanted a claim. */
+/** Result of a request for a claim. */
 enum class ClaimOutcome
 {
-  Run,         /**< it has the claim and may run */
-  InProgress,  /**< an earlier one of the key is at work */
-  Finished,    /**< an earlier one has been answered */
-  MaybeRan,    /**< an earlier one may have run; nobody knows */
-  OtherIntent, /**< the key belongs to a request that asked something else */
-  Unsettled,   /**< the table did not decide in time; this one will not run */
+  Run,         /**< it holds the claim and may run */
+  InProgress,  /**< an earlier request with the key is in progress */
+  Finished,    /**< an earlier request has been answered */
+  MaybeRan,    /**< an earlier request may have run; its outcome is unknown */
+  OtherIntent, /**< the key belongs to a different request */
+  Unsettled, /**< the table did not decide in time; this request will not run */
 };
 
-/** Answers a claim, once. Only Run lets the request run. */
+/** The decision on a claim, made once. Only Run lets the request run. */
 struct ClaimDecided
 {
   RequestId mId;
   ClaimOutcome mOutcome = ClaimOutcome::Unsettled;
-  /** The first answer, where Finished and where it is kept. */
+  /** The first response, if Finished and still cached. */
   std::shared_ptr<const CachedAnswer> mAnswer;
 };
 
@@ -57,7 +57,7 @@
 struct ClaimRow
 {
   RequestId mRequest;
-  std::string mAddress; /**< of the entry, for other entries' questions */
+  std::string mAddress; /**< of the entry, for queries from other entries */
   std::string mFingerprint;
 
   bool operator==(const ClaimRow&) const = default;
@@ -66,11 +66,11 @@
 std::string
 ClaimRowToText(const ClaimRow& aRow);
 
-/** Empty where the text is no claim. */
+/** Empty if the text is not a claim row. */
 std::optional<ClaimRow>
 ClaimRowFromText(const std::string& aText);
 
-/** A claim's row as it was found. */
+/** A claim's row as found in the table. */
 struct FoundClaim
 {
   uint64_t mEpoch = 0;
@@ -81,9 +81,9 @@
 };
 
 /**
- * One row to write, for mEpoch. It may be written only if no row of the key
- * is there for the epochs mEpoch-1 to mEpoch+1, or only the one found, still
- * at its revision; that one then goes away.
+ * A row to write for mEpoch. It may be written only if the key has no row in
+ * the epochs mEpoch-1 to mEpoch+1, or only the row mReplaces, still at its
+ * revision; that row is then deleted.
  */
 struct ClaimWrite
 {
@@ -93,13 +93,16 @@
   std::optional<FoundClaim> mReplaces;
 };
 
-/** Write all rows in one transaction or none; OnCommitted. */
+/** Write all rows in one transaction, or none; ends with OnCommitted. */
 struct CommitClaims
 {
   std::vector<ClaimWrite> mWrites;
 };
 
-/** Ask the entry at an address what became of a request; OnClaimantReport. */
+/**
+ * Query the entry at an address for a request's status; ends with
+ * OnClaimantReport.
+ */
 struct QueryClaimant
 {
   uint64_t mTicket = 0;
@@ -117,25 +120,25 @@
   std::variant<CommitClaims, QueryClaimant, ExpireClaims, ClaimDecided>;
 using ClaimActions = std::vector<ClaimAction>;
 
-/** How a CommitClaims ended. */
+/** Result of a CommitClaims. */
 enum class ClaimCommitOutcome
 {
   Done,
   Refused, /**< a condition did not hold; nothing was written */
-  Unknown, /**< it may have been written, now or later; or it was not */
+  Unknown, /**< it may have been written, may be written later, or neither */
 };
 
-/** With Refused, what the table has for each of the writes, in order. */
+/** If Refused, what the table has for each of the writes, in order. */
 struct ClaimCommit
 {
   ClaimCommitOutcome mOutcome = ClaimCommitOutcome::Unknown;
   std::vector<std::optional<FoundClaim>> mFound;
 };
 
-/** What an entry says of a request of its own. */
+/** Status of a request, as reported by its own entry. */
 enum class ClaimStatus
 {
-  NotKnown, /**< it has no memory of it, or could not be reached */
+  NotKnown, /**< the entry has no record of it or could not be reached */
   InProgress,
   Finished,
   MaybeRan,
--- a/src/libtrefoilarch/claims.cpp
+++ b/src/libtrefoilarch/claims.cpp
@@ -8,7 +8,10 @@
 namespace {
 
 constexpr unsigned kMaxDoublings = 8;
-/** Entries' clocks may differ by one epoch, and each looks one further. */
+/**
+ * The entries' clocks may differ by one epoch, and each also reads the next
+ * epoch.
+ */
 constexpr uint64_t kRetainedEpochs = 2;
 
 ClaimOutcome
@@ -57,7 +60,7 @@
   return out;
 }
 
-/** Settles a repeat whose first request is known in this process. */
+/** Decides a repeat whose first request is known in this process. */
 std::optional<ClaimDecided>
 Claims::DecideLocally(const ClaimRequest& aRequest) const
 {
@@ -131,7 +134,7 @@
   Remember(aId);
 }
 
-/** Beyond the limit the request that ended first is forgotten. */
+/** Beyond the limit, the request that ended first is dropped. */
 void
 Claims::Remember(RequestId aId)
 {
@@ -178,7 +181,7 @@
                        index < aCommit.mFound.size() &&
                        aCommit.mFound[index].has_value();
     if (!mUndecided.contains(id)) {
-      continue; // it was too late, and will not run
+      continue; // it timed out and will not run
     }
     if (aCommit.mOutcome == ClaimCommitOutcome::Done) {
       Decide(out, id, ClaimOutcome::Run);
@@ -195,7 +198,10 @@
   return out;
 }
 
-/** The key has a row: our own, one of this entry's, or another entry's. */
+/**
+ * The key has a row: of this request, of another request of this entry, or of
+ * another entry.
+ */
 void
 Claims::ResolveFoundRow(ClaimActions& aOut,
                         RequestId aId,
@@ -203,7 +209,7 @@
 {
   Pending& undecided = mUndecided.at(aId);
   if (undecided.mReplaces && *undecided.mReplaces == aFound) {
-    mWaiting.push_back(aId); // refused because of another of the batch
+    mWaiting.push_back(aId); // refused because of another write in the batch
     return;
   }
   const std::optional<ClaimRow> row = ClaimRowFromText(aFound.mText);
@@ -296,17 +302,17 @@
   Expire(aOut, aUnixSeconds);
 }
 
-/** A request that gets no claim in time will never run. */
+/** A request whose claim is not decided in time never runs. */
 void
 Claims::ExpireUndecided(ClaimActions& aOut, Millis aNow)
 {
-  std::vector<RequestId> late;
+  std::vector<RequestId> lateIds;
   for (const auto& [id, undecided] : mUndecided) {
     if (undecided.mDeadline <= aNow) {
-      late.push_back(id);
+      lateIds.push_back(id);
     }
   }
-  for (const RequestId id : late) {
+  for (const RequestId id : lateIds) {
     const bool queryOpen = mUndecided.at(id).mQueryOpen;
     Decide(
       aOut, id, queryOpen ? ClaimOutcome::MaybeRan : ClaimOutcome::Unsettled);
@@ -326,7 +332,7 @@
   aOut.push_back(ClaimDecided{ aId, aOutcome, std::move(aAnswer) });
 }
 
-/** All that waits goes into one transaction: a group commit. */
+/** Writes all waiting claims in one transaction (group commit). */
 void
 Claims::Commit(ClaimActions& aOut, int64_t aUnixSeconds, Millis aNow)
 {
--- a/src/libtrefoilarch/claims.h
+++ b/src/libtrefoilarch/claims.h
@@ -12,54 +12,53 @@
 
 namespace trefoilarch {
 
-/** How an entry claims idempotency keys; times in milliseconds. */
+/** Settings of Claims; times in milliseconds. */
 struct ClaimOptions
 {
-  /** This entry's address for other entries' questions. */
+  /** This entry's address for queries from other entries. */
   std::string mAddress;
   /** How long a claim may stay undecided before the request is refused. */
   Millis mDecisionTimeout{ 3000 };
   Millis mInitialRetryDelay{ 50 };
   Millis mMaxRetryDelay{ 1000 };
-  /** Claims in one transaction; etcd takes 128 operations, a claim needs 3. */
+  /** Claims per transaction; etcd takes 128 operations, a claim needs 3. */
   size_t mMaxBatchSize = 32;
-  /** Requests that are remembered after their end. */
+  /** Number of ended requests that are remembered. */
   size_t mMaxRemembered = 50000;
-  /** Bytes of answers kept for repeats, and of one of them. */
+  /** Bytes of all cached responses, and of a single one. */
   size_t mMaxCachedBytes = 8 * 1024 * 1024;
   size_t mMaxCachedAnswerSize = 64 * 1024;
-  /** Length of an epoch: a key is remembered for one epoch at the least. */
+  /** Length of an epoch; a key is remembered for at least one epoch. */
   int64_t mEpochSeconds = 7200;
   uint64_t mSeed = 1;
 };
 
 /**
- * Decides which request of an idempotency key may run. The table's
- * conditional write is the arbiter: a request runs only after its own row was
- * written, or found to have been written, under its key. A row names the
- * request and its entry; whoever finds another one's row asks that entry. A
- * row whose request will never run by its entry's own word is replaced, on
- * condition that it has not changed; where the entry cannot be asked, the key
- * stays taken. Single-threaded.
+ * Decides which request of an idempotency key may run. The table's conditional
+ * write arbitrates: a request runs only after its own row was written under its
+ * key, or was found there. A row names the request and its entry; an entry that
+ * finds another's row queries that entry. A row is replaced if its entry
+ * reports that its request will never run, and only if the row has not changed
+ * since. If the entry can't be reached, the key stays taken. Single-threaded.
  */
 class Claims
 {
 public:
   explicit Claims(ClaimOptions aOptions);
 
-  /** Answered by ClaimDecided within the decision span. */
+  /** Decided by a ClaimDecided within mDecisionTimeout. */
   ClaimActions Claim(ClaimRequest aRequest, int64_t aUnixSeconds, Millis aNow);
 
-  /** A request that was let run has ended with its whole answer. */
+  /** A request that was allowed to run has received its complete response. */
   void Answered(RequestId aId, CachedAnswer aAnswer);
-  /** As above, with an answer that is not kept. */
+  /** As above, for a response that is not cached. */
   void AnsweredUncached(RequestId aId);
-  /** It was let run, and surely did not. */
+  /** The request was allowed to run, but certainly did not. */
   void NotRun(RequestId aId);
-  /** It was let run, and nobody knows whether it did. */
+  /** The request was allowed to run, and it is unknown whether it did. */
   void MaybeRan(RequestId aId);
 
-  /** One commit is under way at a time. */
+  /** Ends the commit in progress; there is one at a time. */
   ClaimActions OnCommitted(ClaimCommit aCommit,
                            int64_t aUnixSeconds,
                            Millis aNow);
@@ -69,7 +68,7 @@
                                 Millis aNow);
   ClaimActions OnTick(int64_t aUnixSeconds, Millis aNow);
 
-  /** For another entry that found the request's row. */
+  /** Status of a request, for another entry that found its row. */
   ClaimReport Report(RequestId aId) const;
 
   size_t Undecided() const { return mUndecided.size(); }
@@ -87,7 +86,7 @@
     std::shared_ptr<const CachedAnswer> mAnswer;
   };
 
-  /** A request that waits for its claim to be decided. */
+  /** A request whose claim is not decided yet. */
   struct Pending
   {
     Millis mDeadline;
@@ -120,10 +119,10 @@
   ClaimOptions mOptions;
   std::minstd_rand mRandom;
   std::unordered_map<RequestId, Record> mRecords;
-  /** The newest request of a key here. */
+  /** The newest request of each key at this entry. */
   std::unordered_map<std::string, RequestId> mByKey;
-  std::deque<RequestId> mEnded;  /**< in order of their end */
-  std::deque<RequestId> mCached; /**< those with an answer, in order */
+  std::deque<RequestId> mEnded;  /**< in the order in which they ended */
+  std::deque<RequestId> mCached; /**< those with a cached response, in order */
   size_t mCachedBytes = 0;
   std::map<RequestId, Pending> mUndecided;
   std::deque<RequestId> mWaiting; /**< for the next commit */
--- a/src/libtrefoilarch/eligiblelinks.cpp
+++ b/src/libtrefoilarch/eligiblelinks.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Rankings that are kept; beyond it, all are made anew. */
+/** Maximum number of cached rankings; beyond it the cache is cleared. */
 constexpr size_t kMaxRankedSets = 1024;
 
 } // namespace
--- a/src/libtrefoilarch/eligiblelinks.h
+++ b/src/libtrefoilarch/eligiblelinks.h
@@ -12,18 +12,18 @@
 namespace trefoilarch {
 
 /**
- * Finds the links of the upstreams that a request may go to, by EligibleSets.
- * Upstreams that have not been welcomed are left out, as their labels are not
- * known.
+ * Finds the links to the upstreams that are eligible for a request, using
+ * EligibleSets. Upstreams that have not sent a Welcome are left out, because
+ * their labels are not known yet.
  */
 class EligibleLinks
 {
 public:
   void SetClassifier(std::shared_ptr<const Classifier> aClassifier);
-  /** Links have come or gone, or an upstream's labels have changed. */
+  /** Must be called when links are added or removed or labels change. */
   void Invalidate() { mStale = true; }
 
-  /** Valid until Forget(), SetClassifier() or the next call. */
+  /** Valid until Invalidate(), SetClassifier() or the next call. */
   RankedSet& For(const Labels& aTraffic,
                  std::map<UpstreamId, UpstreamLink>& aLinks);
 
--- a/src/libtrefoilarch/eligiblesets.cpp
+++ b/src/libtrefoilarch/eligiblesets.cpp
@@ -8,7 +8,10 @@
 
 namespace {
 
-/** Cannot be in a label's value, and tells an absent label from an empty. */
+/**
+ * Neither can occur in a label's value. kAbsent distinguishes a missing label
+ * from an empty one.
+ */
 constexpr char kSeparator = '\x1f';
 constexpr char kAbsent = '\x1e';
 
@@ -101,8 +104,8 @@
 void
 EligibleSets::AddKeys(const std::vector<Requirement>& aAll)
 {
-  for (const Requirement& one : aAll) {
-    mKeys.push_back(one.mKey);
+  for (const Requirement& requirement : aAll) {
+    mKeys.push_back(requirement.mKey);
   }
 }
 
@@ -123,10 +126,10 @@
   std::string key;
   AppendLabel(key, aTraffic, "model");
   AppendLabel(key, aTraffic, "service");
-  for (const SelectorUpstreams& one : mSelectors) {
-    if (MeetsRequirements(aTraffic, one.mSelector->mTraffic)) {
-      aMatching.push_back(&one);
-      key += one.mSelector->mName;
+  for (const SelectorUpstreams& candidate : mSelectors) {
+    if (MeetsRequirements(aTraffic, candidate.mSelector->mTraffic)) {
+      aMatching.push_back(&candidate);
+      key += candidate.mSelector->mName;
       key += kSeparator;
     }
   }
@@ -138,8 +141,9 @@
                       const std::vector<const SelectorUpstreams*>& aFrom) const
 {
   EligibleSet all;
-  for (const SelectorUpstreams* one : aFrom) {
-    all.insert(all.end(), one->mUpstreams.begin(), one->mUpstreams.end());
+  for (const SelectorUpstreams* candidate : aFrom) {
+    all.insert(
+      all.end(), candidate->mUpstreams.begin(), candidate->mUpstreams.end());
   }
   std::sort(all.begin(), all.end());
   all.erase(std::unique(all.begin(), all.end()), all.end());
--- a/src/libtrefoilarch/eligiblesets.h
+++ b/src/libtrefoilarch/eligiblesets.h
@@ -11,26 +11,33 @@
 
 namespace trefoilarch {
 
-/** Places of upstreams in the list that EligibleSets was given, rising. */
+/**
+ * Indices into the list of upstreams given to EligibleSets, in ascending order.
+ */
 using EligibleSet = std::vector<uint32_t>;
 
 /**
- * Finds all upstreams that a request may go to, as Classifier::IsEligible()
- * says, at a cost that hardly depends on their number: which upstreams a
- * selector names is worked out once for each policy, and the set is kept for
- * each combination of the labels that selectors ask of traffic.
+ * Finds all upstreams that are eligible for a request, as
+ * Classifier::IsEligible() defines it, at a cost that hardly depends on their
+ * number. The upstreams of each selector are computed once per policy, and the
+ * set is cached for each combination of the labels that selectors test.
  * Single-threaded.
  */
 class EligibleSets
 {
 public:
-  /** Sets kept at the most, by traffic; beyond it all are dropped. */
+  /**
+   * Maximum number of cached sets, by traffic; beyond it the cache is cleared.
+   */
   explicit EligibleSets(size_t aMaxCached = 8192);
 
   void SetClassifier(std::shared_ptr<const Classifier> aClassifier);
   void SetUpstreams(std::vector<UpstreamView> aUpstreams);
 
-  /** Valid until either of them is set again; empty without a classifier. */
+  /**
+   * Valid until the classifier or the upstreams are set again; empty without a
+   * classifier.
+   */
   std::shared_ptr<const EligibleSet> For(const Labels& aTraffic);
 
   const std::vector<UpstreamView>& Upstreams() const { return mUpstreams; }
@@ -57,11 +64,13 @@
   std::shared_ptr<const Classifier> mClassifier;
   std::vector<UpstreamView> mUpstreams;
   bool mPrepared = false;
-  std::vector<std::string> mKeys; /**< labels that decide, sorted */
+  std::vector<std::string> mKeys; /**< labels that selectors test, sorted */
   std::vector<SelectorUpstreams> mSelectors;
   Sets mByTraffic;
-  /** The same sets by the selectors that match, so that traffic of many
-   * workspaces shares one. */
+  /**
+   * The same sets keyed by the matching selectors, so that traffic of many
+   * workspaces shares one.
+   */
   Sets mByMatch;
   std::shared_ptr<const EligibleSet> mEmptySet =
     std::make_shared<EligibleSet>();
--- a/src/libtrefoilarch/entryanswers.cpp
+++ b/src/libtrefoilarch/entryanswers.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/** Chunks, and bytes, that arrive before they are acknowledged. */
+/** An Ack is sent after this many chunks or bytes. */
 constexpr uint64_t kAckChunks = 16;
 constexpr size_t kAckBytes = 64 * 1024;
 
-/** The newest round trip counts for one in this many. */
+/** Weight of the newest round trip: one in this many. */
 constexpr int64_t kRoundTripSmoothing = 4;
 
-/** First tokens are compared as if each prompt had this many tokens more. */
+/** Added to each prompt's length when first-token times are compared. */
 constexpr int64_t kTypicalPromptTokens = 2000;
 
-/** Sets of offers made for one request before its declines are final. */
+/** Rounds of offers for one request before its declines are final. */
 constexpr uint32_t kMaxOfferRounds = 3;
 
 bool
@@ -53,7 +53,7 @@
   const auto offer =
     request ? TakeOffer(aLink, *request, aMessage.mKey) : std::nullopt;
   if (!offer) {
-    OnStray(aLink, aMessage.mKey, aNow);
+    OnStrayMessage(aLink, aMessage.mKey, aNow);
     return;
   }
   aLink.mHealth.OnDelivered(offer->mOfferedAt);
@@ -77,7 +77,7 @@
   aRequest.mStarted = aOffer;
   aRequest.mRetryAt = Millis::Never();
   aRequest.mHoldUntil.reset();
-  mParked.erase(aRequest.mRequest.mId);
+  mAwaitingChannel.erase(aRequest.mRequest.mId);
   mCounters.mStarts++;
   Send(aLink, Start{ aOffer.mKey, aRequest.mRequest.mCall }, aNow);
   DropOffers(aRequest, aNow);
@@ -171,7 +171,7 @@
 {
   OpenRequest* request = StartedAt(aLink, aMessage.mKey);
   if (!request) {
-    OnStray(aLink, aMessage.mKey, aNow);
+    OnStrayMessage(aLink, aMessage.mKey, aNow);
     return;
   }
   if (aMessage.mNumber != request->mNextChunk) {
@@ -287,7 +287,7 @@
   if (IsUpstreamFailure(aMessage.mKind)) {
     mOutlierDetector.OnFailure(aLink.mView.mName, aNow);
   }
-  // A sidecar that lost sight of this entry ends what it ran for it.
+  // A sidecar that lost contact with this entry cancels its running calls.
   if (aMessage.mKind == ErrorKind::CallerLeft) {
     RetryOrConclude(*request, LostStartRefusal(*request), aNow);
     return;
@@ -381,9 +381,9 @@
 }
 
 void
-EntryCore::Impl::OnStray(UpstreamLink& aLink,
-                         const AttemptKey& aKey,
-                         Millis aNow)
+EntryCore::Impl::OnStrayMessage(UpstreamLink& aLink,
+                                const AttemptKey& aKey,
+                                Millis aNow)
 {
   mCounters.mMessagesDropped++;
   const auto completed = aLink.mCompleted.find(aKey);
--- a/src/libtrefoilarch/entrychannels.cpp
+++ b/src/libtrefoilarch/entrychannels.cpp
@@ -7,16 +7,22 @@
 
 namespace {
 
-/** How long a withdrawn or whole attempt is kept for a lost channel. */
-constexpr Millis kForgetDelay{ 10000 };
+/**
+ * How long a withdrawn or completed attempt is kept in case the channel is
+ * lost.
+ */
+constexpr Millis kEraseDelay{ 10000 };
 
 /**
- * How long a started attempt waits for a lost channel before it is run
- * elsewhere, where that is safe.
+ * How long a started attempt waits for a lost channel before it is run on
+ * another upstream, if rerunning it is safe.
  */
 constexpr Millis kRerunDelay{ 1000 };
 
-/** The same where it is not; sidecars cancel orphans after as long. */
+/**
+ * The same if it is not safe. Sidecars cancel orphaned calls after the same
+ * time.
+ */
 constexpr Millis kResumeTimeout{ 5000 };
 
 } // namespace
@@ -76,22 +82,22 @@
     }
   }
   EraseUnlisted();
-  PlaceParked(aNow);
+  PlaceWaiting(aNow);
 }
 
 void
 EntryCore::Impl::EraseUnlisted()
 {
-  for (auto found = mLinks.begin(); found != mLinks.end();) {
-    const auto& [name, link] = *found;
+  for (auto current = mLinks.begin(); current != mLinks.end();) {
+    const auto& [name, link] = *current;
     if (link.mListed || !link.mOpen.empty()) {
-      ++found;
+      ++current;
       continue;
     }
     mEligibleLinks.Invalidate();
     mOutlierDetector.Remove(name);
     mLinkTimers.Disarm(name);
-    found = mLinks.erase(found);
+    current = mLinks.erase(current);
   }
 }
 
@@ -110,7 +116,7 @@
     aLink.mCompleted.clear();
   }
   Recover(aLink, aNow);
-  PlaceParked(aNow);
+  PlaceWaiting(aNow);
 }
 
 void
@@ -235,10 +241,11 @@
 }
 
 void
-EntryCore::Impl::PlaceParked(Millis aNow)
+EntryCore::Impl::PlaceWaiting(Millis aNow)
 {
-  const std::vector<RequestId> parked(mParked.begin(), mParked.end());
-  for (const RequestId& id : parked) {
+  const std::vector<RequestId> waiting(mAwaitingChannel.begin(),
+                                       mAwaitingChannel.end());
+  for (const RequestId& id : waiting) {
     const auto found = mRequests.find(id);
     if (found != mRequests.end()) {
       PlaceOrConclude(found->second, aNow);
@@ -250,10 +257,10 @@
 EntryCore::Impl::OnLinkTimer(UpstreamLink& aLink, Millis aNow)
 {
   aLink.mWakeAt = Millis::Never();
-  while (!aLink.mForgetQueue.empty() &&
-         aLink.mForgetQueue.front().first <= aNow) {
-    const AttemptKey key = aLink.mForgetQueue.front().second;
-    aLink.mForgetQueue.pop_front();
+  while (!aLink.mEraseQueue.empty() &&
+         aLink.mEraseQueue.front().first <= aNow) {
+    const AttemptKey key = aLink.mEraseQueue.front().second;
+    aLink.mEraseQueue.pop_front();
     aLink.mWithdrawn.erase(key);
     aLink.mCompleted.erase(key);
   }
@@ -290,7 +297,7 @@
                           Millis aNow)
 {
   aLink.mWithdrawn.insert(aKey);
-  ScheduleForget(aLink, aKey, aNow);
+  ScheduleErase(aLink, aKey, aNow);
   if (aLink.Ready()) {
     Send(aLink, trefoilarch::Withdraw{ aKey }, aNow);
   }
@@ -319,11 +326,11 @@
 }
 
 void
-EntryCore::Impl::ScheduleForget(UpstreamLink& aLink,
-                                const AttemptKey& aKey,
-                                Millis aNow)
+EntryCore::Impl::ScheduleErase(UpstreamLink& aLink,
+                               const AttemptKey& aKey,
+                               Millis aNow)
 {
-  aLink.mForgetQueue.emplace_back(aNow + kForgetDelay, aKey);
+  aLink.mEraseQueue.emplace_back(aNow + kEraseDelay, aKey);
 }
 
 void
@@ -331,8 +338,8 @@
 {
   aLink.mHealth.SetAwaitingReply(aLink.AwaitsReply(), aNow);
   Millis wake = aLink.mHealth.NextWake();
-  if (!aLink.mForgetQueue.empty()) {
-    wake = std::min(wake, aLink.mForgetQueue.front().first);
+  if (!aLink.mEraseQueue.empty()) {
+    wake = std::min(wake, aLink.mEraseQueue.front().first);
   }
   if (wake < aLink.mWakeAt) {
     aLink.mWakeAt = wake;
--- a/src/libtrefoilarch/entrycore.h
+++ b/src/libtrefoilarch/entrycore.h
@@ -13,36 +13,39 @@
 
 namespace trefoilarch {
 
-/** How an entry decides; times in milliseconds. */
+/** Settings of an entry; times in milliseconds. */
 struct EntryOptions
 {
   EntryId mEntry;
   std::string mDataCentre;
-  /** Offers made at a time for one request; one more in the upper tiers. */
+  /**
+   * Number of concurrent offers for one request; one more in the upper half of
+   * the tiers.
+   */
   size_t mOfferWidth = 3;
-  /** Silence on a channel with open requests after which it is replaced. */
+  /** Silence after which a channel with open requests is replaced. */
   Millis mSilenceTimeout{ 1500 };
   Millis mHeartbeat{ 500 };
-  /** Heartbeats on a channel with nothing open. */
+  /** Heartbeat interval of a channel with nothing open. */
   Millis mIdleHeartbeat{ 5000 };
   size_t mMaxOpen = 10000;
-  /** Retries allowed for each hundred first attempts of a class. */
+  /** Retries allowed per hundred first attempts of a class. */
   double mRetryPercent = 10;
   Millis mInitialBackoff{ 20 };
   Millis mMaxBackoff{ 2000 };
   uint64_t mSeed = 1;
 };
 
-/** A caller's request, classified. */
+/** A caller's request after classification. */
 struct EntryRequest
 {
   RequestId mId;
   ClassifiedRequest mClassified;
   Call mCall;
   uint32_t mPromptTokens = 0;
-  /** Of what the caller and the model know in common; 0: nothing. */
+  /** Hash of the prompt prefix that requests to the model share; 0: none. */
   uint64_t mPrefixHash = 0;
-  /** The most the caller allows (max_tokens); 0: no limit known. */
+  /** The caller's limit (max_tokens); 0: no limit known. */
   uint32_t mMaxOutputTokens = 0;
 };
 
@@ -53,13 +56,13 @@
   EntryMessage mMessage;
 };
 
-/** Drops the upstream's channel and opens a fresh one. */
+/** Closes the upstream's channel and opens a new one. */
 struct ReopenChannel
 {
   UpstreamId mUpstream;
 };
 
-/** Begins the caller's answer. */
+/** Begins the response to the caller. */
 struct AnswerHead
 {
   RequestId mId;
@@ -67,20 +70,20 @@
   Headers mHeaders;
 };
 
-/** A part of the caller's answer. */
+/** A part of the response body. */
 struct AnswerData
 {
   RequestId mId;
   std::string mData;
 };
 
-/** The caller's answer is whole. */
+/** The response is complete. */
 struct AnswerEnd
 {
   RequestId mId;
 };
 
-/** The caller's answer is an error; after AnswerHead, a terminal event. */
+/** Responds with an error; after AnswerHead, with a terminal event. */
 struct AnswerError
 {
   RequestId mId;
@@ -96,9 +99,9 @@
 using EntryActions = std::vector<EntryAction>;
 
 /**
- * All of an entry's decisions: where a request goes, what is retried, and
- * that each caller gets its whole answer once. Single-threaded; each call
- * returns the actions that the caller carries out in order.
+ * Makes all decisions of an entry: where a request goes, what is retried, and
+ * that each caller gets one complete response. Single-threaded. Each call
+ * returns the actions that the caller has to carry out in order.
  */
 class EntryCore
 {
@@ -116,24 +119,27 @@
   /** A channel is open and carries messages; Welcome follows. */
   EntryActions OnChannelUp(const UpstreamId& aUpstream, Millis aNow);
   EntryActions OnChannelDown(const UpstreamId& aUpstream, Millis aNow);
-  /** Due at NextWake(), and harmless at any other time. */
+  /** Due at NextWake(); has no effect at any other time. */
   EntryActions OnTick(Millis aNow);
 
-  /** The upstreams this entry has channels to, and which are leaving. */
+  /**
+   * Sets the upstreams this entry has channels to, and which of them are
+   * leaving.
+   */
   EntryActions SetUpstreams(std::vector<UpstreamView> aUpstreams,
                             const std::vector<UpstreamId>& aLeaving,
                             Millis aNow);
   void SetClassifier(std::shared_ptr<const Classifier> aClassifier);
 
   /**
-   * Whether requests still run at the upstream. The caller keeps the channel
-   * of an upstream that is off the list for as long.
+   * Whether requests still run at the upstream. As long as they do, the caller
+   * must keep the channel of an upstream that is no longer listed.
    */
   bool NeedsChannel(const UpstreamId& aUpstream) const;
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final response. */
   size_t OpenRequests() const;
   Millis NextWake() const;
-  /** For the state dump, as JSON text; no request text in it. */
+  /** State dump as JSON text, without any request content. */
   std::string DumpState(Millis aNow) const;
 
 private:
--- a/src/libtrefoilarch/entrydump.cpp
+++ b/src/libtrefoilarch/entrydump.cpp
@@ -85,7 +85,7 @@
            { "refusals", std::move(refusals) } };
 }
 
-/** A dump lists this many requests at the most. */
+/** Maximum number of requests listed in a dump. */
 constexpr size_t kMaxDumpedRequests = 100;
 
 } // namespace
--- a/src/libtrefoilarch/entryimpl.h
+++ b/src/libtrefoilarch/entryimpl.h
@@ -18,7 +18,7 @@
 
 namespace trefoilarch {
 
-/** What an entry has counted since it started. */
+/** Counters since the entry started. */
 struct EntryCounters
 {
   uint64_t mRequests = 0;
@@ -28,15 +28,15 @@
   uint64_t mStarts = 0;
   uint64_t mRetries = 0;
   uint64_t mChannelsReopened = 0;
-  /** Late, crossed or duplicate messages that were dropped. */
+  /** Late, crossed or duplicate messages. */
   uint64_t mMessagesDropped = 0;
   std::map<ErrorKind, uint64_t> mRefusals;
 };
 
 /**
- * The state behind EntryCore. Each event appends to the actions, which the
- * caller takes at the end of it. A method whose name begins with Conclude
- * destroys the request that it is given.
+ * Implementation of EntryCore. Each event appends to mActions, which the caller
+ * takes at its end. Methods whose names begin with Conclude destroy the request
+ * passed to them.
  */
 class EntryCore::Impl
 {
@@ -63,17 +63,20 @@
   std::string DumpState(Millis aNow) const;
 
 private:
-  /** Why a request cannot be offered to anybody just now. */
+  /** Why a request cannot be offered to any upstream at present. */
   struct Availability
   {
-    /** Some that it may go to are being reconnected, or are not known yet. */
+    /**
+     * Some eligible upstreams are reconnecting, or their labels are not known
+     * yet.
+     */
     bool mMayComeLater = false;
     bool mAnyEligible = false;
   };
 
   bool EvictLowerTier(Tier aTier, Millis aNow);
 
-  // Placing and concluding requests.
+  // Offering and concluding requests.
   void Place(OpenRequest& aRequest, Millis aNow);
   void PlaceOrConclude(OpenRequest& aRequest, Millis aNow);
   size_t ReadyOffers(const OpenRequest& aRequest) const;
@@ -99,7 +102,10 @@
                  Millis aNow) const;
   void DropOffers(OpenRequest& aRequest, Millis aNow);
   void RetryOrConclude(OpenRequest& aRequest, Refusal aRefusal, Millis aNow);
-  /** Whoever may repeat the request is told to come back. */
+  /**
+   * The error for a started attempt whose sidecar was lost; idempotent requests
+   * may be repeated by the caller.
+   */
   static Refusal LostStartRefusal(const OpenRequest& aRequest);
   void HandleLostStart(OpenRequest& aRequest, Millis aNow);
   void OnRequestTimer(OpenRequest& aRequest, Millis aNow);
@@ -114,7 +120,7 @@
   Millis JitteredRetryAfter();
   void ArmTimer(const OpenRequest& aRequest);
 
-  // What a sidecar says of an attempt.
+  // Messages from sidecars.
   void Handle(UpstreamLink& aLink, Welcome aMessage, Millis aNow);
   void Handle(UpstreamLink& aLink, const Grant& aMessage, Millis aNow);
   void Handle(UpstreamLink& aLink, const Decline& aMessage, Millis aNow);
@@ -141,11 +147,13 @@
   void ReportFirstToken(const OpenRequest& aRequest, Millis aNow);
   void Deliver(OpenRequest& aRequest, Chunk aChunk, Millis aNow);
   void AckIfDue(UpstreamLink& aLink, OpenRequest& aRequest, Millis aNow);
-  /** A message for an attempt that is not open any more. */
+  /**
+   * A ledger entry for an attempt that has not started or is not open any more.
+   */
   void OnStrayLedgerEntry(UpstreamLink& aLink,
                           const LedgerEntry& aMessage,
                           Millis aNow);
-  void OnStray(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
+  void OnStrayMessage(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
   void RequestMissingChunks(UpstreamLink& aLink,
                             OpenRequest& aRequest,
                             Millis aNow);
@@ -153,10 +161,10 @@
   // Channels.
   void Send(UpstreamLink& aLink, EntryMessage aMessage, Millis aNow);
   void Withdraw(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
-  /** Takes the attempt off the upstream's open ones. */
+  /** Removes the attempt from the upstream's open attempts. */
   static void Release(UpstreamLink& aLink, const EntryAttempt& aAttempt);
   void CloseAttempt(const EntryAttempt& aAttempt, Millis aNow);
-  void ScheduleForget(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
+  void ScheduleErase(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
   void ConfirmWithdrawal(UpstreamLink& aLink, const AttemptKey& aKey);
   void Recover(UpstreamLink& aLink, Millis aNow);
   void RecoverAttempt(UpstreamLink& aLink, const AttemptKey& aKey, Millis aNow);
@@ -164,7 +172,7 @@
   void UpdateLabels(UpstreamLink& aLink, Welcome aMessage);
   void EraseUnlisted();
   void WithdrawOffers(UpstreamLink& aLink, Millis aNow);
-  void PlaceParked(Millis aNow);
+  void PlaceWaiting(Millis aNow);
   void OnLinkTimer(UpstreamLink& aLink, Millis aNow);
   void ArmTimer(UpstreamLink& aLink, Millis aNow);
   UpstreamLink* LinkOf(const UpstreamId& aUpstream);
@@ -175,8 +183,8 @@
   std::shared_ptr<const Classifier> mClassifier;
   std::unordered_map<RequestId, OpenRequest> mRequests;
   std::map<UpstreamId, UpstreamLink> mLinks;
-  /** Requests that wait for a channel to come up. */
-  std::set<RequestId> mParked;
+  /** Requests waiting for a channel to open. */
+  std::set<RequestId> mAwaitingChannel;
   Timers<RequestId> mRequestTimers;
   Timers<UpstreamId> mLinkTimers;
   EligibleLinks mEligibleLinks;
--- a/src/libtrefoilarch/entryplacing.cpp
+++ b/src/libtrefoilarch/entryplacing.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-/** How long a request waits for a channel that is being opened again. */
+/** How long a request waits for a channel to be reopened. */
 constexpr Millis kReconnectWait{ 2000 };
 
-/** An upstream that was not reached for this long is not waited for. */
+/**
+ * Requests do not wait for an upstream that has been unreachable for this long.
+ */
 constexpr Millis kReconnectTimeout{ 3000 };
 
-/** Reruns of one request. */
+/** Maximum number of retries of one request. */
 constexpr uint32_t kMaxRetries = 3;
 
-/** The least time to come back where no sidecar gave one. */
+/** Minimum time to retry after if no sidecar gave one. */
 constexpr Millis kMinRetryAfter{ 1000 };
 
 constexpr std::array kRetryableKinds = { ErrorKind::UpstreamUnreachable,
@@ -34,7 +36,7 @@
   return std::find(aAll.begin(), aAll.end(), aOne) != aAll.end();
 }
 
-/** What a caller is told once a part of the answer is out. */
+/** Error kind reported to a caller that has received part of the response. */
 ErrorKind
 KindAfterHead(ErrorKind aKind)
 {
@@ -57,7 +59,7 @@
   if (HasReadyOffer(aRequest)) {
     aRequest.mHoldUntil.reset();
     aRequest.mRetryAt = Millis::Never();
-    mParked.erase(aRequest.mRequest.mId);
+    mAwaitingChannel.erase(aRequest.mRequest.mId);
     ArmTimer(aRequest);
     return;
   }
@@ -70,7 +72,7 @@
   }
   aRequest.mHoldUntil = holdUntil;
   aRequest.mRetryAt = holdUntil;
-  mParked.insert(aRequest.mRequest.mId);
+  mAwaitingChannel.insert(aRequest.mRequest.mId);
   ArmTimer(aRequest);
 }
 
@@ -214,7 +216,7 @@
 {
   const ClassifiedRequest& classified = aRequest.mRequest.mClassified;
   const ServiceLevel& level = classified.mLevel;
-  const Millis due = aRequest.mArrivedAt + level.mFirstTokenTarget;
+  const Millis firstTokenDueAt = aRequest.mArrivedAt + level.mFirstTokenTarget;
   const bool hasTokens = classified.mTraffic.contains("model");
   const uint32_t output =
     hasTokens ? mOutputEstimator.Estimate(level.mClass,
@@ -224,7 +226,7 @@
   return { .mKey = aKey,
            .mLevel = level,
            .mDeadline = std::max(aRequest.mDeadline - aNow, Millis()),
-           .mFirstTokenDue = std::max(due - aNow, Millis()),
+           .mFirstTokenDue = std::max(firstTokenDueAt - aNow, Millis()),
            .mPromptTokens = aRequest.mRequest.mPromptTokens,
            .mOutputTokens = output,
            .mPrefixHash = aRequest.mRequest.mPrefixHash,
@@ -247,7 +249,8 @@
   const ClassifiedRequest& classified = aRequest.mRequest.mClassified;
   const bool mayRerun =
     !aRequest.mHeadSent && (classified.mIdempotent || !aRequest.mMayHaveRun);
-  // Only a preemption ends a started attempt so; no upstream has failed.
+  // A started attempt ends as shed only by preemption, which is no upstream
+  // failure.
   const bool preempted = aRefusal.mKind == ErrorKind::Shed;
   const Millis retryAt = aNow + Backoff(aRequest.mRetries);
   if (!mayRerun || !Contains(kRetryableKinds, aRefusal.mKind) ||
@@ -339,7 +342,7 @@
   mActions.emplace_back(AnswerEnd{ aRequest.mRequest.mId });
   if (UpstreamLink* link = LinkOf(attempt.mUpstream)) {
     Release(*link, attempt);
-    ScheduleForget(*link, attempt.mKey, aNow);
+    ScheduleErase(*link, attempt.mKey, aNow);
     link->mCompleted[attempt.mKey] = chunks;
     Send(*link, Ack{ attempt.mKey, chunks }, aNow);
   }
@@ -355,7 +358,7 @@
   }
   const RequestId id = aRequest.mRequest.mId;
   mRequestTimers.Disarm(id);
-  mParked.erase(id);
+  mAwaitingChannel.erase(id);
   mShedOrder.Remove(id);
   mRequests.erase(id);
 }
@@ -396,12 +399,12 @@
                                      const char* aKey) const
 {
   const Labels& traffic = aRequest.mRequest.mClassified.mTraffic;
-  const auto wanted = traffic.find(aKey);
-  return wanted == traffic.end() ||
+  const auto requested = traffic.find(aKey);
+  return requested == traffic.end() ||
          std::any_of(mLinks.begin(), mLinks.end(), [&](const auto& aLink) {
            const Labels& labels = aLink.second.mView.mLabels;
            const auto has = labels.find(aKey);
-           return has != labels.end() && has->second == wanted->second;
+           return has != labels.end() && has->second == requested->second;
          });
 }
 
--- a/src/libtrefoilarch/lease.cpp
+++ b/src/libtrefoilarch/lease.cpp
@@ -146,7 +146,7 @@
   Write(aOut, mLastWritten, mRevision, aNow);
 }
 
-/** From here on the lease is not held, whatever becomes of the write. */
+/** From here on the lease is not held, whatever the outcome of the write. */
 void
 Lease::Release(LeaseActions& aOut, Millis aNow)
 {
@@ -160,13 +160,14 @@
 Lease::HandleRow(LeaseActions& aOut, const LeaseFound& aFound, Millis aNow)
 {
   const LeaseRow row = LeaseRowFromText(aFound.mText).value_or(LeaseRow());
-  const bool ours = aFound.mRevision != 0 && row.mHolder == mOptions.mHolder &&
-                    row.mFencingNumber == mLastWritten.mFencingNumber;
-  if (ours) {
+  const bool isOurs = aFound.mRevision != 0 &&
+                      row.mHolder == mOptions.mHolder &&
+                      row.mFencingNumber == mLastWritten.mFencingNumber;
+  if (isOurs) {
     mRevision = aFound.mRevision;
     mNextActionAt = aNow;
     if (row == mLastWritten) {
-      ConfirmWrite(aOut, aNow); // a lost answer, settled
+      ConfirmWrite(aOut, aNow); // the write took effect, but its reply was lost
     }
     return;
   }
@@ -176,29 +177,29 @@
   if (!mWanted) {
     return;
   }
-  const bool free = aFound.mRevision == 0 || row.mHolder.empty();
-  if (!free && aFound.mRevision != mWatchedRevision) {
+  const bool isFree = aFound.mRevision == 0 || row.mHolder.empty();
+  if (!isFree && aFound.mRevision != mWatchedRevision) {
     mWatchedRevision = aFound.mRevision;
     mWatchedSince = aNow;
   }
   const Millis wait = row.mDuration + mOptions.mMargin;
-  if (!free && aNow - mWatchedSince < wait) {
+  if (!isFree && aNow - mWatchedSince < wait) {
     mNextActionAt = aNow + Jittered(wait / kReadsPerWait);
     return;
   }
   const LeaseRow next{
     mOptions.mHolder, row.mFencingNumber + 1, 0, mOptions.mDuration
   };
-  mTakingOver = !free;
+  mTakingOver = !isFree;
   Write(aOut, next, aFound.mRevision, aNow);
 }
 
-/** The row is as this process has sent it. */
+/** The row in the table is as last written by this process. */
 void
 Lease::ConfirmWrite(LeaseActions& aOut, Millis aNow)
 {
   if (mLastWritten.mHolder.empty()) {
-    mRevision = 0; // it was given back
+    mRevision = 0; // it was released
     return;
   }
   mValidUntil = mLastWrittenAt + mOptions.mDuration - mOptions.mMargin;
--- a/src/libtrefoilarch/lease.h
+++ b/src/libtrefoilarch/lease.h
@@ -11,15 +11,17 @@
 
 namespace trefoilarch {
 
-/** What a process needs to hold a lease; times in milliseconds. */
+/** Settings of a Lease; times in milliseconds. */
 struct LeaseOptions
 {
-  /** Unique to this process and this start of it. */
+  /** Unique to this incarnation of the process. */
   std::string mHolder;
-  /** How long a lease is good after the write that renewed it was sent. */
+  /** How long a lease is valid after the write that renewed it was sent. */
   Millis mDuration{ 10000 };
-  /** What the holder gives up early and a successor waits longer, so that
-   * clocks may run at rates that differ by this share of the span. */
+  /**
+   * The holder stops earlier and a successor waits longer by this time, so that
+   * clock rates may differ by this fraction of mDuration.
+   */
   Millis mMargin{ 500 };
   Millis mRenewAfter{ 3000 };
   Millis mRetryInterval{ 300 };
@@ -29,11 +31,13 @@
 /** The lease's row in the table. */
 struct LeaseRow
 {
-  std::string mHolder; /**< empty where it was given back */
-  /** Rises with each new holder; goes with each of its orders. */
+  std::string mHolder; /**< empty if the lease was released */
+  /** Incremented for each new holder; attached to each of its orders. */
   uint64_t mFencingNumber = 0;
-  /** Rises with each write of one holder, sent again or not: the holder
-   * counts from the one that took effect. */
+  /**
+   * Incremented with each write of a holder, including repeats, so that the
+   * holder knows which of its writes took effect.
+   */
   uint64_t mRenewal = 0;
   Millis mDuration;
 
@@ -42,30 +46,33 @@
 
 std::string
 LeaseRowToText(const LeaseRow& aRow);
-/** Empty where the text is no lease. */
+/** Empty if the text is not a lease row. */
 std::optional<LeaseRow>
 LeaseRowFromText(const std::string& aText);
 
-/** Read the row; OnRead. */
+/** Read the row; ends with OnRead. */
 struct ReadLease
 {};
 
-/** Write the row if it is still at this revision (0: absent); OnWritten. */
+/**
+ * Write the row if it is still at this revision (0: absent); ends with
+ * OnWritten.
+ */
 struct WriteLease
 {
   int64_t mRevision = 0;
   std::string mText;
 };
 
-/** The lease is this process's, under this fencing number. */
+/** This process now holds the lease, with this fencing number. */
 struct LeaseGained
 {
   uint64_t mFencingNumber = 0;
-  /** The holder before did not give it back: it may be at work still. */
+  /** The previous holder did not release it and may still be active. */
   bool mTakenOver = false;
 };
 
-/** It is not, or not for sure, any more. */
+/** The lease is not held any more, or not with certainty. */
 struct LeaseEnded
 {};
 
@@ -73,11 +80,11 @@
   std::variant<ReadLease, WriteLease, LeaseGained, LeaseEnded>;
 using LeaseActions = std::vector<LeaseAction>;
 
-/** What a ReadLease found. */
+/** Result of a ReadLease. */
 struct LeaseFound
 {
   bool mReached = false;
-  int64_t mRevision = 0; /**< 0 where there is no row */
+  int64_t mRevision = 0; /**< 0 if there is no row */
   std::string mText;
 };
 
@@ -89,35 +96,36 @@
 };
 
 /**
- * One process's part in a lease that the table arbitrates. No clock is ever
- * compared with another process's: the holder counts from before its write
- * was sent, and a successor takes over only after it has watched the row
- * unchanged for the whole span and the margin. So the table may be slow or
- * down, writes may come late, and processes may sleep: there are never two
- * for whom IsHeld() is true at one time. Single-threaded.
+ * One process's side of a lease that the table arbitrates. Clocks of different
+ * processes are never compared: the holder counts from before its write was
+ * sent, and a successor takes over only after it has seen the row unchanged for
+ * the whole duration and the margin. The table may therefore be slow or down,
+ * writes may be late and processes may sleep: IsHeld() is never true for two
+ * processes at a time. Single-threaded.
  */
 class Lease
 {
 public:
   explicit Lease(LeaseOptions aOptions);
 
-  /** Whether this process should try to hold the lease. */
+  /** Sets whether this process should try to hold the lease. */
   LeaseActions SetWanted(bool aWanted, Millis aNow);
   LeaseActions OnTick(Millis aNow);
   LeaseActions OnRead(const LeaseFound& aFound, Millis aNow);
-  /** aRevision: the row's, where Done. */
+  /** aRevision is the row's, if Done. */
   LeaseActions OnWritten(LeaseWriteOutcome aResult,
                          int64_t aRevision,
                          Millis aNow);
 
   /**
-   * Whether the lease is held and will be for aSpan. Ask right before acting,
-   * with the time read right then: a process that slept finds out here.
+   * Whether the lease is held and stays valid for aDuration. Must be called
+   * with the current time right before acting, so that a process that has slept
+   * notices.
    */
   bool IsHeld(Millis aNow, Millis aDuration = Millis()) const;
   uint64_t FencingNumber() const { return mFencingNumber; }
   bool Wanted() const { return mWanted; }
-  /** A read or write is under way. */
+  /** Whether a read or write is in progress. */
   bool Busy() const { return mBusy; }
   Millis NextWake() const;
 
@@ -134,7 +142,7 @@
   LeaseOptions mOptions;
   std::minstd_rand mRandom;
   bool mWanted = false;
-  bool mBusy = false; /**< a read or write is under way */
+  bool mBusy = false; /**< a read or write is in progress */
   Millis mNextActionAt;
   bool mHolding = false;
   Millis mValidUntil;
@@ -145,7 +153,7 @@
   LeaseRow mLastWritten; /**< the last write, and when it was sent */
   Millis mLastWrittenAt;
   int64_t mWatchedRevision =
-    -1; /**< revision of another's row, and since when */
+    -1; /**< another holder's row, since mWatchedSince */
   Millis mWatchedSince;
 };
 
--- a/src/libtrefoilarch/ledger.h
+++ b/src/libtrefoilarch/ledger.h
@@ -24,29 +24,29 @@
 };
 
 /**
- * Remembers how attempts ended, for a span of time and up to a number.
+ * Remembers how attempts ended, for mRetention and up to mLimit of them.
  *
- * Beyond the number the oldest voided attempts are forgotten first: losing
- * one is harmless, since only a live grant lets an attempt start. Once an
- * attempt that had started is forgotten, an unknown key may be that one, and
- * the ledger says so for the rest of the incarnation: nobody may then report
- * an unknown key as not run.
+ * Beyond the limit the oldest voided attempts are dropped first. Losing them is
+ * harmless, as only a granted attempt can start. Once a started attempt has
+ * been dropped, an unknown key may belong to it. The ledger reports this for
+ * the rest of the incarnation, during which no unknown key may be reported as
+ * not run.
  */
 class Ledger
 {
 public:
   explicit Ledger(LedgerOptions aOptions);
 
-  /** Keeps the end of an attempt; the first word on a key stands. */
+  /** Records the end of an attempt; the first record of a key stays. */
   void Close(const AttemptKey& aKey, const FinalMessage& aMessage, Millis aNow);
 
-  /** How the attempt ended, or nothing if that is not known. */
+  /** How the attempt ended, or null if that is not known. */
   const FinalMessage* Find(const AttemptKey& aKey) const;
 
-  /** Whether an attempt that had started may have been forgotten. */
+  /** Whether a started attempt may have been dropped. */
   bool HasForgottenStarts() const { return mForgottenStarts > 0; }
 
-  /** Forgets what is older than the span. */
+  /** Drops attempts older than the retention. */
   void Expire(Millis aNow);
 
   size_t Size() const { return mFinalMessages.size(); }
--- a/src/libtrefoilarch/membership.h
+++ b/src/libtrefoilarch/membership.h
@@ -8,20 +8,20 @@
 
 namespace trefoilarch {
 
-/** A sidecar as the platform's host list, or a fixed list, gives it. */
+/** A sidecar as listed by the platform or by a fixed list. */
 struct SidecarMember
 {
   UpstreamId mUpstream;
   std::string mAddress; /**< IP and port of its gRPC server */
   std::string mDataCentre;
   bool mLeaving = false;
-  /** The model or service, where the list tells it; else empty. */
+  /** The model or service if the list names it, else empty. */
   std::string mGroup;
 
   auto operator<=>(const SidecarMember&) const = default;
 };
 
-/** An entry as the platform's host list gives it; a peer for the policy. */
+/** An entry as listed by the platform; a peer for the policy exchange. */
 struct EntryMember
 {
   std::string mHost;
@@ -32,7 +32,10 @@
   auto operator<=>(const EntryMember&) const = default;
 };
 
-/** Who exists, sorted; the word of the platform, which lags. */
+/**
+ * All listed processes, sorted. The platform's list lags behind their real
+ * state.
+ */
 struct Membership
 {
   std::vector<SidecarMember> mSidecars;
--- a/src/libtrefoilarch/membershipview.h
+++ b/src/libtrefoilarch/membershipview.h
@@ -9,34 +9,37 @@
 
 namespace trefoilarch {
 
-/** How far the host list is believed; times in milliseconds. */
+/** When changes of the host list are accepted; times in milliseconds. */
 struct MembershipViewOptions
 {
-  /** A host must be missing for this long, in two reads at the least. */
+  /**
+   * A host is removed after it has been missing for this long, in at least two
+   * reads.
+   */
   Millis mMissingTimeout{ 500 };
-  /** The same where more than half of the hosts vanish at once. */
+  /** The same if more than half of the hosts vanish at once. */
   Millis mSuspicionTimeout{ 30000 };
-  /** Fewer hosts than this may vanish together without doubt. */
+  /** Fewer hosts than this may vanish together without suspicion. */
   size_t mSuspicionMinHosts = 4;
 };
 
 /**
- * Turns reads of the platform's host list, which lags and may fail in odd
- * ways, into the membership that is acted on. "Leaving" holds at once. A host
- * that is missing from one read alone stays, and so does a large part of the
- * fleet that vanishes at once, for a while: whether those are alive, their
- * channels tell better than a list that may be broken.
+ * Turns reads of the platform's host list, which lags and may be wrong, into
+ * the membership in use. "Leaving" takes effect at once. A host that is missing
+ * from a single read is kept, and a large part of the fleet that vanishes at
+ * once is kept for a while: the channels show more reliably whether those hosts
+ * are alive than a list that may be broken.
  */
 class MembershipView
 {
 public:
   explicit MembershipView(MembershipViewOptions aOptions);
 
-  /** Takes a read and gives what holds from now on. */
+  /** Takes a read of the list and returns the membership now in use. */
   const Membership& OnList(const Membership& aList, Millis aNow);
 
   const Membership& Current() const { return mCurrent; }
-  /** Hosts that are kept although the last read lacked them. */
+  /** Number of hosts kept although the last read lacked them. */
   size_t Missing() const { return mMissingSince.size(); }
 
 private:
@@ -47,7 +50,7 @@
 
   MembershipViewOptions mOptions;
   Membership mCurrent;
-  /** By address. */
+  /** Keyed by address. */
   std::map<std::string, Millis> mMissingSince;
 };
 
--- a/src/libtrefoilarch/messages.h
+++ b/src/libtrefoilarch/messages.h
@@ -14,17 +14,20 @@
 /**
  * The typed messages between an entry and a sidecar.
  *
- * Times travel as remaining spans, never as instants: the two processes'
- * monotonic clocks have nothing in common.
+ * Times are sent as remaining durations, never as instants, because the
+ * monotonic clocks of two processes are unrelated.
  */
 namespace trefoilarch {
 
-/** What an entry asks for before anything is sent to an upstream. */
+/**
+ * An entry's request for a place in a sidecar's queue, before anything is sent
+ * to the upstream.
+ */
 struct Offer
 {
   AttemptKey mKey;
   ServiceLevel mLevel;
-  /** Remaining time until the answer is of no use any more. */
+  /** Remaining time until the response is of no use any more. */
   Millis mDeadline;
   /** Remaining time until the first token is late. */
   Millis mFirstTokenDue;
@@ -36,7 +39,7 @@
   bool operator==(const Offer&) const = default;
 };
 
-/** Takes an offer back. Before the start it voids; after it cancels. */
+/** Takes an offer back: voids it before the start, cancels it after. */
 struct Withdraw
 {
   AttemptKey mKey;
@@ -66,7 +69,7 @@
   bool operator==(const Start&) const = default;
 };
 
-/** All chunks below mNextChunk have arrived and may be forgotten. */
+/** All chunks below mNextChunk have arrived and may be dropped. */
 struct Ack
 {
   AttemptKey mKey;
@@ -74,7 +77,7 @@
   bool operator==(const Ack&) const = default;
 };
 
-/** Over a fresh channel: send again from mNextChunk on. */
+/** On a new channel: send again from mNextChunk on. */
 struct Resume
 {
   AttemptKey mKey;
@@ -83,8 +86,8 @@
 };
 
 /**
- * Asks what became of an attempt, and voids it if it has not started. The
- * sidecar answers with Voided or with a LedgerEntry.
+ * Queries the state of an attempt, and voids it if it has not started. The
+ * sidecar replies with Voided or with a LedgerEntry.
  */
 struct VoidOrReport
 {
@@ -101,7 +104,7 @@
   bool operator==(const Hello&) const = default;
 };
 
-/** Sent when nothing else has been for a heartbeat interval. */
+/** Sent if nothing else was sent for a heartbeat interval. */
 struct EntryHeartbeat
 {
   uint64_t mPolicyVersion = 0;
@@ -117,20 +120,20 @@
                                   VoidOrReport,
                                   EntryHeartbeat>;
 
-/** A sidecar's word on how busy its upstream is. */
+/** The upstream's load, as reported by its sidecar. */
 struct Load
 {
   uint32_t mRunning = 0;
   uint32_t mWaiting = 0;
   uint64_t mTokensInFlight = 0;
-  uint64_t mTokenCapacity = 0; /**< limit on tokens in flight at present */
+  uint64_t mTokenCapacity = 0; /**< current limit on tokens in flight */
   uint64_t mTokensWaiting = 0;
   bool mDraining = false;
 
   bool operator==(const Load&) const = default;
 };
 
-/** Answers Hello. Another incarnation has forgotten all that came before. */
+/** Answers Hello. A new incarnation has lost all earlier state. */
 struct Welcome
 {
   UpstreamId mUpstream;
@@ -143,7 +146,7 @@
   bool operator==(const Welcome&) const = default;
 };
 
-/** The offer may start, if Start arrives within mValidFor. */
+/** The offered request may start if Start arrives within mValidFor. */
 struct Grant
 {
   AttemptKey mKey;
@@ -151,7 +154,7 @@
   bool operator==(const Grant&) const = default;
 };
 
-/** The offer has left the queue for good, and did not run. */
+/** The offer has been removed from the queue and did not run. */
 struct Decline
 {
   AttemptKey mKey;
@@ -160,7 +163,7 @@
   bool operator==(const Decline&) const = default;
 };
 
-/** The attempt did not start at this incarnation and never will. */
+/** The attempt did not start in this incarnation and never will. */
 struct Voided
 {
   AttemptKey mKey;
@@ -168,20 +171,20 @@
   bool operator==(const Voided&) const = default;
 };
 
-/** A part of the answer; chunks count from 0 without a gap. */
+/** A part of the response; chunks are numbered from 0 without gaps. */
 struct Chunk
 {
   AttemptKey mKey;
   uint64_t mNumber = 0;
   std::string mData;
   uint32_t mTokens = 0;
-  /** In chunk 0 alone: the upstream's status and headers. */
+  /** Only in chunk 0: the upstream's status and headers. */
   int32_t mStatus = 0;
   Headers mHeaders;
   bool operator==(const Chunk&) const = default;
 };
 
-/** The answer is whole: it has mChunks chunks. */
+/** The response is complete with mChunks chunks. */
 struct Finished
 {
   AttemptKey mKey;
@@ -191,17 +194,17 @@
   bool operator==(const Finished&) const = default;
 };
 
-/** The attempt ended without a whole answer. */
+/** The attempt ended without a complete response. */
 struct Failed
 {
   AttemptKey mKey;
   ErrorKind mKind = ErrorKind::UpstreamFailed;
   Ran mRan = Ran::Maybe;
-  uint64_t mChunks = 0; /**< how many were produced before */
+  uint64_t mChunks = 0; /**< number of chunks produced before */
   bool operator==(const Failed&) const = default;
 };
 
-/** What a sidecar knows of an attempt. */
+/** State of an attempt at a sidecar. */
 enum class AttemptState : uint8_t
 {
   Unknown,
@@ -222,7 +225,7 @@
   bool operator==(const LedgerEntry&) const = default;
 };
 
-/** Sent when nothing else has been for a heartbeat interval. */
+/** Sent if nothing else was sent for a heartbeat interval. */
 struct SidecarHeartbeat
 {
   Load mLoad;
--- a/src/libtrefoilarch/orders.cpp
+++ b/src/libtrefoilarch/orders.cpp
@@ -170,7 +170,7 @@
   }
 }
 
-/** An order under way is waited for, however late it is. */
+/** An order that has been sent is waited for, however late it is. */
 void
 Orders::ExpireOrders(OrderActions& aOut, Millis aNow)
 {
@@ -180,7 +180,9 @@
   }
 }
 
-/** A slot is wanted once the engine's lease is held, and kept while used. */
+/**
+ * A slot is acquired once the engine's lease is held, and kept while in use.
+ */
 void
 Orders::AdvanceSlot(OrderActions& aOut, Millis aNow)
 {
@@ -244,7 +246,7 @@
   return kind == OrderKind::LoadModel || kind == OrderKind::LoadAdapter;
 }
 
-/** How long the lease must still be good when an order is sent. */
+/** How long the lease must remain valid when an order is sent. */
 Millis
 Orders::RequiredLeaseTime() const
 {
--- a/src/libtrefoilarch/orders.h
+++ b/src/libtrefoilarch/orders.h
@@ -11,7 +11,7 @@
 
 namespace trefoilarch {
 
-/** What a model engine can be told to do. Each may be repeated safely. */
+/** Orders that a model engine accepts; each may be repeated safely. */
 enum class OrderKind
 {
   LoadModel,
@@ -20,51 +20,54 @@
   SetRole,
 };
 
-/** An operator's order to the engine beside this process. */
+/** An operator's order to the engine of this process. */
 struct EngineOrder
 {
   std::string mId;
   OrderKind mKind = OrderKind::LoadModel;
   std::string mName;   /**< model, adapter or role */
-  std::string mSource; /**< where its weights are, for loads */
+  std::string mSource; /**< location of the weights, for loads */
 
   bool operator==(const EngineOrder&) const = default;
 };
 
-/** How an order ended. */
+/** Result of an order. */
 enum class OrderOutcome
 {
   Done,
-  Failed,  /**< the engine said no */
-  NotSent, /**< it had no lease or no slot in time */
-  Unknown, /**< it was sent, and nobody knows what became of it */
+  Failed,  /**< the engine refused it */
+  NotSent, /**< no lease or no slot could be acquired in time */
+  Unknown, /**< it was sent, but its outcome is unknown */
 };
 
-/** How a process gives orders; times in milliseconds. */
+/** Settings of Orders; times in milliseconds. */
 struct OrderOptions
 {
-  /** The upstream's name: its lease is of all who give it orders. */
+  /** The upstream's name; all processes that give it orders share its lease. */
   std::string mUpstream;
-  /** Unique to this process and this start of it. */
+  /** Unique to this incarnation of the process. */
   std::string mHolder;
   /** The engine refuses an order that carries an old fencing number. */
   bool mEngineChecksFencing = true;
-  /** No order takes longer, from its sending to its effect. */
+  /** Maximum time of any order, from sending to its effect. */
   Millis mMaxOrderDuration{ 60000 };
-  /** What a lease lasts beyond what it has to cover. */
+  /** How much longer a lease lasts than what it has to cover. */
   Millis mLeaseMargin{ 10000 };
   /** An order that is not done by then is given up. */
   Millis mOrderTimeout{ 600000 };
-  /** Loads that the weight store bears at a time, over the whole fleet. */
+  /** Concurrent loads that the weight store can serve, over the whole fleet. */
   size_t mLoadSlots = 4;
-  /** After this long at a slot that is taken, the next one is tried. */
+  /** How long to wait for a taken slot before the next one is tried. */
   Millis mSlotTimeout{ 3000 };
   Millis mRetryInterval{ 1000 };
   size_t mMaxWaiting = 32;
   uint64_t mSeed = 1;
 };
 
-/** Read or write of a lease's row, under its key; OnLeaseRead/Written. */
+/**
+ * Read or write a lease's row under its key; ends with OnLeaseRead or
+ * OnLeaseWritten.
+ */
 struct LeaseRowAction
 {
   std::string mKey;
@@ -72,8 +75,8 @@
 };
 
 /**
- * Send the order to the engine, if MaySend() still says so right before;
- * OnReply in any case.
+ * Send the order to the engine, provided that MaySend() still holds right
+ * before; ends with OnReply in any case.
  */
 struct SendOrder
 {
@@ -81,7 +84,7 @@
   uint64_t mFencingNumber = 0;
 };
 
-/** Tells an order's end, once. */
+/** Reports the outcome of an order, once. */
 struct OrderEnded
 {
   std::string mId;
@@ -91,7 +94,7 @@
 using OrderAction = std::variant<LeaseRowAction, SendOrder, OrderEnded>;
 using OrderActions = std::vector<OrderAction>;
 
-/** What came of a SendOrder. */
+/** Result of a SendOrder. */
 enum class OrderReply
 {
   Done,
@@ -102,15 +105,15 @@
 };
 
 /**
- * Gives orders to one engine, one at a time, under the upstream's lease.
+ * Sends orders to one engine, one at a time, under the upstream's lease.
  *
- * An engine that checks fencing numbers protects itself from a holder that
- * slept. For one that ignores them, an order is sent only while the lease is
- * good for the longest order's time, and a process that took the lease over
- * from one that did not give it back waits that time before its first order.
+ * An engine that checks fencing numbers protects itself from a holder that has
+ * slept. For an engine that ignores them, an order is sent only while the lease
+ * stays valid for mMaxOrderDuration, and a process that took the lease over
+ * from a holder that did not release it waits that time before its first order.
  *
- * A load needs one of the fleet's load slots besides, each a lease of its
- * own, so that the weight store is not asked by all at once. Single-threaded.
+ * A load additionally needs one of the fleet's load slots, each a lease of its
+ * own, so that the weight store is not overloaded. Single-threaded.
  */
 class Orders
 {
@@ -128,7 +131,7 @@
   OrderActions OnReply(OrderReply aReply, Millis aNow);
   OrderActions OnTick(Millis aNow);
 
-  /** To be asked with the time read right before sending. */
+  /** Must be called with the current time right before sending. */
   bool MaySend(Millis aNow) const;
   size_t Waiting() const { return mOrders.size(); }
   uint64_t FencingNumber() const { return mLease.FencingNumber(); }
@@ -159,18 +162,21 @@
   LeaseOptions OptionsFor(bool aSlot);
 
   OrderOptions mOptions;
-  uint64_t mLeaseCount = 0; /**< made so far; each is a holder of its own */
+  uint64_t mLeaseCount =
+    0; /**< created so far; each has a holder name of its own */
   std::string mLeaseKey;
   Lease mLease;
-  /** One for each load slot; at most one is wanted. Each goes on watching its
-   * row, so that a slot whose holder is gone is found free in time. */
+  /**
+   * One per load slot; at most one is wanted. Each keeps watching its row, so
+   * that a slot whose holder is gone is found free in time.
+   */
   std::vector<Lease> mSlots;
   size_t mSlot = 0;
   Millis mSlotSince;
   std::deque<Entry> mOrders;
   bool mSending = false;
   Millis mSendAllowedAt;
-  /** Until then an order without an answer may be at work. */
+  /** Until then an order without a reply may still be executing. */
   Millis mUncertainUntil;
   Millis mNextAttemptAt;
 };
--- a/src/libtrefoilarch/outputestimator.cpp
+++ b/src/libtrefoilarch/outputestimator.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-constexpr unsigned kBins = 48;
+constexpr unsigned kBinCount = 48;
 constexpr double kMinLength = 1;
 constexpr double kMaxLength = 131072;
 
-/** The guess where nothing is known. */
+/** Estimate without any data. */
 constexpr double kDefaultEstimate = 256;
 
-/** Answers that the guess weighs as much as. */
+/** Weight of the prior, in responses. */
 constexpr double kPriorWeight = 10;
 
-/** At this many answers all counts are halved, so that old ones fade. */
+/** At this many responses all counts are halved, so that old ones fade. */
 constexpr float kDecayCount = 512;
 
-/** Workspaces that are kept apart; further ones go by their class alone. */
+/** Workspaces with a histogram of their own; others use their class's. */
 constexpr size_t kMaxWorkspaces = 10000;
 
 } // namespace
 
 OutputEstimator::OutputEstimator()
 {
-  const Axis axis(kBins, kMinLength, kMaxLength);
+  const Axis axis(kBinCount, kMinLength, kMaxLength);
   for (const auto& bin : axis) {
     mCentres.push_back(bin.center());
   }
@@ -37,7 +37,7 @@
 OutputEstimator::NewHistogram()
 {
   return boost::histogram::make_histogram_with(
-    std::vector<float>(), Axis(kBins, kMinLength, kMaxLength));
+    std::vector<float>(), Axis(kBinCount, kMinLength, kMaxLength));
 }
 
 void
--- a/src/libtrefoilarch/outputestimator.h
+++ b/src/libtrefoilarch/outputestimator.h
@@ -14,22 +14,22 @@
 namespace trefoilarch {
 
 /**
- * Estimates how long an answer will be, in tokens, from the whole answers of
- * its class and workspace. Both are histograms on a logarithmic scale whose
- * old entries fade. A workspace that has had few answers is drawn towards its
- * class, and a class that has had few towards a fixed guess.
+ * Estimates how long a response will be, in tokens, from the complete responses
+ * of its class and workspace. Both are histograms on a logarithmic scale whose
+ * old entries fade. A workspace with few responses is drawn towards its class,
+ * and a class with few towards a fixed default.
  */
 class OutputEstimator
 {
 public:
   OutputEstimator();
 
-  /** A whole answer had that many tokens. */
+  /** A complete response had that many tokens. */
   void Add(const std::string& aClass,
            const std::string& aWorkspace,
            uint32_t aTokens);
 
-  /** The expected length, given that the caller allows aMost (0: any). */
+  /** The expected length if the caller allows aMaxTokens (0: any). */
   uint32_t Estimate(const std::string& aClass,
                     const std::string& aWorkspace,
                     uint32_t aMaxTokens) const;
@@ -42,7 +42,7 @@
     std::tuple<Axis>,
     boost::histogram::storage_adaptor<std::vector<float>>>;
 
-  /** Lengths of one class or of one workspace in a class. */
+  /** Lengths of one class, or of one workspace in a class. */
   struct Lengths
   {
     Histogram mHistogram;
@@ -51,7 +51,7 @@
 
   static Histogram NewHistogram();
   static void Add(Lengths& aLengths, uint32_t aTokens);
-  /** The mean with aGuess weighing as much as a few answers. */
+  /** The mean, in which aPrior weighs as much as a few responses. */
   double Mean(const Lengths& aLengths, double aMaxTokens, double aPrior) const;
 
   std::map<std::string, Lengths, std::less<>> mClasses;
--- a/src/libtrefoilarch/preemptionorder.h
+++ b/src/libtrefoilarch/preemptionorder.h
@@ -18,13 +18,13 @@
   Tier mTier = 0;
   Millis mStartedAt;
 
-  /** The first one is the first to go: lowest tier, then latest start. */
+  /** Orders by preemption: lowest tier first, then latest start. */
   bool operator<(const Preemptible& aOther) const;
 };
 
 /**
- * The running attempts that may be preempted. An attempt is here only while it
- * can be rerun without a trace: it is idempotent, and no chunk of its answer
+ * The running attempts that may be preempted: those that can be rerun without a
+ * visible effect, because they are idempotent and no chunk of their response
  * has been produced. All others run to their end.
  */
 class PreemptionOrder
@@ -35,8 +35,9 @@
   bool Empty() const { return mOrder.empty(); }
 
   /**
-   * Whom to preempt for a request of aTier: the fewest attempts of lower tiers
-   * after which aFits holds, told of each in turn; empty if it never does.
+   * Chooses the attempts to preempt for a request of aTier: the fewest attempts
+   * of lower tiers after which aFits holds. aFits is called with each in turn.
+   * Empty if it never holds.
    */
   std::vector<AttemptKey> Choose(
     Tier aTier,
--- a/src/libtrefoilarch/rankedset.cpp
+++ b/src/libtrefoilarch/rankedset.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Prefixes are ranked in this many slots, each when it is first asked. */
+/** Prefixes are ranked in this many slots, each computed on first use. */
 constexpr size_t kSlots = 1024;
 
 constexpr uint16_t kNoMember = std::numeric_limits<uint16_t>::max();
@@ -20,7 +20,7 @@
   return XXH3_64bits(aText.data(), aText.size());
 }
 
-/** Mixes two hashes; the finalizer of MurmurHash3. */
+/** Mixes two hashes with the finalizer of MurmurHash3. */
 uint64_t
 Mix(uint64_t aLeft, uint64_t aRight)
 {
@@ -62,20 +62,20 @@
 RankedSet::Ranking
 RankedSet::Rank(uint64_t aSlot) const
 {
-  std::array<std::pair<uint64_t, uint16_t>, kPreferred> best;
-  best.fill({ 0, kNoMember });
+  std::array<std::pair<uint64_t, uint16_t>, kPreferred> ranked;
+  ranked.fill({ 0, kNoMember });
   for (size_t i = 0; i < mNameHashes.size() && i < kNoMember; i++) {
     std::pair<uint64_t, uint16_t> next{ Mix(mNameHashes[i], aSlot + 1),
                                         static_cast<uint16_t>(i) };
-    for (auto& place : best) {
-      if (place.second == kNoMember || next.first > place.first) {
-        std::swap(place, next);
+    for (auto& position : ranked) {
+      if (position.second == kNoMember || next.first > position.first) {
+        std::swap(position, next);
       }
     }
   }
   Ranking ranking;
   for (size_t i = 0; i < kPreferred; i++) {
-    ranking[i] = best[i].second;
+    ranking[i] = ranked[i].second;
   }
   return ranking;
 }
--- a/src/libtrefoilarch/rankedset.h
+++ b/src/libtrefoilarch/rankedset.h
@@ -9,23 +9,23 @@
 namespace trefoilarch {
 
 /**
- * Upstreams that one kind of traffic may go to, with the order in which each
- * prefix prefers them: by rendezvous hash, so that when one goes only its own
- * prefixes move.
+ * The upstreams eligible for one kind of traffic, ranked for each prefix by
+ * rendezvous hashing, so that removing an upstream moves only the prefixes that
+ * preferred it.
  */
 class RankedSet
 {
 public:
-  /** Preferred members that are remembered for a prefix. */
+  /** Number of preferred members kept per prefix. */
   static constexpr size_t kPreferred = 4;
 
   explicit RankedSet(std::vector<UpstreamLink*> aMembers);
 
   const std::vector<UpstreamLink*>& Members() const { return mMembers; }
-  /** The prefix's first members, best first, then null where there are few. */
+  /** The prefix's preferred members, best first; null where there are fewer. */
   std::array<UpstreamLink*, kPreferred> PreferredFor(uint64_t aPrefixHash);
 
-  /** The members' mean busyness, as last worked out. */
+  /** The members' mean load score when it was last computed. */
   double mMeanLoadScore = 0;
   Millis mNextUpdateAt;
 
--- a/src/libtrefoilarch/recentanswers.cpp
+++ b/src/libtrefoilarch/recentanswers.cpp
@@ -7,7 +7,10 @@
 
 namespace {
 
-/** Of each part: a busy entry's answers of half a minute. */
+/**
+ * Per generation: a busy entry completes about this many responses in half a
+ * minute.
+ */
 constexpr size_t kMaxAnswers = 4096;
 constexpr Millis kRotationInterval{ 30000 };
 
--- a/src/libtrefoilarch/recentanswers.h
+++ b/src/libtrefoilarch/recentanswers.h
@@ -9,15 +9,18 @@
 namespace trefoilarch {
 
 /**
- * When requests were last answered whole, for half a minute to a minute. Two
- * parts: what comes goes into the first, and when that is full or old the
- * second is forgotten and they change places.
+ * Remembers when requests were last answered completely, for 30 to 60 seconds.
+ * New entries go into the current generation. When it is full or old, it
+ * replaces the previous one, whose entries are dropped.
  */
 class RecentAnswers
 {
 public:
   void Record(const RequestFingerprint& aRequest, Millis aAt, Millis aNow);
-  /** 0 for never or long ago. */
+  /**
+   * Time of the last complete response; 0 if there was none or if it was
+   * dropped.
+   */
   Millis At(const RequestFingerprint& aRequest) const;
 
 private:
--- a/src/libtrefoilarch/schedule.cpp
+++ b/src/libtrefoilarch/schedule.cpp
@@ -70,9 +70,9 @@
     WaitingRequest& request = **mOnTime.begin();
     mOnTime.erase(mOnTime.begin());
     ClassOf(request.mLevel).MarkLate(request);
-    auto& [onTime, tooLate] = mTokens[ClampedTier(request.mLevel)];
+    auto& [onTime, lateTokens] = mTokens[ClampedTier(request.mLevel)];
     onTime -= request.mTokens;
-    tooLate += request.mTokens;
+    lateTokens += request.mTokens;
     late.push_back(request.mKey);
   }
   return late;
@@ -166,17 +166,18 @@
 Schedule::VictimFor(const ServiceLevel& aLevel) const
 {
   for (Tier tier = kTierCount - 1; tier > ClampedTier(aLevel); --tier) {
-    const WaitingRequest* last = nullptr;
+    const WaitingRequest* latestArrival = nullptr;
     for (const auto& [name, scheduleClass] : mTiers[tier]) {
       if (scheduleClass.Waiting() <= mOptions.mReservedPlaces) {
         continue;
       }
-      if (!last || scheduleClass.LastArrival().mArrival > last->mArrival) {
-        last = &scheduleClass.LastArrival();
+      if (!latestArrival ||
+          scheduleClass.LastArrival().mArrival > latestArrival->mArrival) {
+        latestArrival = &scheduleClass.LastArrival();
       }
     }
-    if (last) {
-      return last->mKey;
+    if (latestArrival) {
+      return latestArrival->mKey;
     }
   }
   return std::nullopt;
@@ -287,9 +288,9 @@
 bool
 Schedule::HasFloorCapacity(const ScheduleClass& aClass, uint64_t aCapacity)
 {
-  const double part = aClass.mFloor * static_cast<double>(aCapacity);
+  const double floorTokens = aClass.mFloor * static_cast<double>(aCapacity);
   const uint64_t tokens = aClass.mFloorTokens + aClass.Next()->mTokens;
-  return aClass.mFloorTokens == 0 || static_cast<double>(tokens) <= part;
+  return aClass.mFloorTokens == 0 || static_cast<double>(tokens) <= floorTokens;
 }
 
 void
--- a/src/libtrefoilarch/scheduleclass.cpp
+++ b/src/libtrefoilarch/scheduleclass.cpp
@@ -105,9 +105,9 @@
   const uint64_t own = ownOnTime + (aLate ? ownLate : 0);
   const uint64_t all = mTokens[0] + (aLate ? mTokens[1] : 0);
   const double weight = std::max(aWeight, kMinWeight);
-  const double rounds = std::max(1.0, mWaitingWeight / weight);
-  const double fair = static_cast<double>(own) * rounds;
-  return std::min(all, static_cast<uint64_t>(std::llround(fair)));
+  const double weightRatio = std::max(1.0, mWaitingWeight / weight);
+  const double fairTokens = static_cast<double>(own) * weightRatio;
+  return std::min(all, static_cast<uint64_t>(std::llround(fairTokens)));
 }
 
 ScheduleClass::Workspace&
--- a/src/libtrefoilarch/scheduleclass.h
+++ b/src/libtrefoilarch/scheduleclass.h
@@ -15,9 +15,9 @@
 namespace trefoilarch {
 
 /**
- * The waiting requests of one class at one upstream, with fair shares by
- * tokens between its workspaces: start-time fair queueing (Goyal, Vin and
- * Cheng, 1996), whose cost is logarithmic in the workspaces that wait.
+ * The waiting requests of one class at one upstream, shared fairly by tokens
+ * between its workspaces. Uses start-time fair queueing (Goyal, Vin and Cheng,
+ * 1996), whose cost is logarithmic in the waiting workspaces.
  */
 class ScheduleClass
 {
@@ -31,10 +31,10 @@
   const WaitingRequest* Next(bool aLate) const;
   /** The next request, those on time first. */
   const WaitingRequest* Next() const;
-  /** Who arrived last. */
+  /** The latest arrival. */
   const WaitingRequest& LastArrival() const;
 
-  /** Counts tokens for a workspace, or gives some back. */
+  /** Adds tokens to a workspace's account, or returns some if negative. */
   void Charge(const std::string& aWorkspace, int64_t aTokens);
 
   /** Tokens that start before a new request of the workspace does. */
@@ -49,7 +49,7 @@
   size_t mRunning = 0;
   /** Tokens of its floor starts in flight. */
   uint64_t mFloorTokens = 0;
-  /** The count of regular starts at which a floor turn falls due. */
+  /** The count of regular starts at which a floor dispatch is due. */
   uint64_t mFloorDueAt = 0;
   /** Since when it has waited without a start. */
   Millis mWaitingSince;
@@ -60,7 +60,7 @@
     const std::string* mName = nullptr;
     uint64_t mOrder = 0; /**< breaks ties the same way in every run */
     double mWeight = 1;
-    /** Tokens had for the weight, on the class's virtual clock. */
+    /** Tokens received per weight, on the class's virtual clock. */
     double mServed = 0;
     std::array<uint64_t, 2> mTokens{};
     std::array<UrgencyQueue, 2> mQueues{}; /**< on time, late */
@@ -68,26 +68,26 @@
     bool IsIdle() const { return mQueues[0].empty() && mQueues[1].empty(); }
   };
 
-  struct ByShare
+  struct ByServedShare
   {
-    bool operator()(const Workspace* aLeft, const Workspace* aRight) const
+    bool operator()(const Workspace* aLhs, const Workspace* aRhs) const
     {
-      return std::tie(aLeft->mServed, aLeft->mOrder) <
-             std::tie(aRight->mServed, aRight->mOrder);
+      return std::tie(aLhs->mServed, aLhs->mOrder) <
+             std::tie(aRhs->mServed, aRhs->mOrder);
     }
   };
-  using ShareQueue = std::set<Workspace*, ByShare>;
+  using ShareQueue = std::set<Workspace*, ByServedShare>;
 
   Workspace& WorkspaceOf(const ServiceLevel& aLevel);
   void AddTo(Workspace& aWorkspace, const WaitingRequest& aRequest);
   void RemoveFrom(Workspace& aWorkspace, const WaitingRequest& aRequest);
-  /** Takes the workspace out of, or puts it into, each queue it belongs to. */
+  /** Removes the workspace from, or adds it to, each queue it belongs to. */
   void Dequeue(Workspace& aWorkspace);
   void Enqueue(Workspace& aWorkspace);
   void EraseIdle();
 
   std::unordered_map<std::string, Workspace> mWorkspaces;
-  /** Workspaces with requests in the lane, the one owed most first. */
+  /** Workspaces with requests, on time and late, least served first. */
   std::array<ShareQueue, 2> mFairQueues;
   /** Workspaces without requests that have had more than their share. */
   ShareQueue mIdle;
--- a/src/libtrefoilarch/servicelevel.h
+++ b/src/libtrefoilarch/servicelevel.h
@@ -14,16 +14,16 @@
 constexpr Tier kTierCount = 4;
 
 /**
- * What a request is owed, as its class gave it when it was classified. It
- * travels with the request, so a sidecar schedules by the caller's policy
- * version even while a change is spreading.
+ * The service that a request is entitled to, as its class defined it at
+ * classification. It is sent with the request, so a sidecar schedules by the
+ * caller's policy version even while a change is spreading.
  */
 struct ServiceLevel
 {
   std::string mClass;
   std::string mWorkspace;
   Tier mTier = kTierCount - 1;
-  /** Share of starts that the class is sure of while it waits, 0 to 1. */
+  /** Guaranteed fraction of starts while the class waits, 0 to 1. */
   double mFloor = 0;
   /** Weight of the workspace among those of its class. */
   double mWeight = 1;
--- a/src/libtrefoilarch/servicerate.cpp
+++ b/src/libtrefoilarch/servicerate.cpp
@@ -7,24 +7,27 @@
 
 namespace {
 
-/** Weight of a new sample among the ones before. */
+/** Weight of a new sample in a running mean. */
 constexpr double kSampleWeight = 0.1;
 
-/** Time constant over which the tiers' use is measured. */
+/** Time constant of the tiers' rates in milliseconds. */
 constexpr double kRateTimeConstant = 3000;
 
-/** Prompts of this many tokens and more cost time by their length. */
+/** From this many tokens on, a prompt's length determines its time. */
 constexpr uint32_t kLongPrompt = 512;
 
-/** Requests have waited without a break if they were seen to this often, and
- * for this long before the rate of starts is taken for the capacity. */
+/**
+ * Waiting is continuous if blocked requests are seen at least this often. It
+ * must have lasted for kMinBlockedDuration before the rate of starts is taken
+ * as the capacity.
+ */
 constexpr Millis kMaxBlockedGap{ 300 };
 constexpr Millis kMinBlockedDuration{ 1500 };
 
-/** A time between tokens that is older says nothing of now. */
+/** An older time between tokens is not used any more. */
 constexpr Millis kBetweenTokensMaxAge{ 2000 };
 
-/** The best time grows by this with each sample, until it is met again. */
+/** Growth of the best slope per sample, until it is reached again. */
 constexpr double kBestSlopeGrowth = 1.01;
 
 double
@@ -95,10 +98,10 @@
   const auto tokens = static_cast<double>(std::max<uint64_t>(aTokens, 1));
   const auto duration =
     static_cast<double>(std::max(aDuration, Millis(1)).Count());
-  const double keep = 1 - kSampleWeight;
-  mTokenTime = mTokenTime * keep + tokens * duration;
-  mTokens = mTokens * keep + tokens;
-  mRequests = mRequests * keep + 1;
+  const double decay = 1 - kSampleWeight;
+  mTokenTime = mTokenTime * decay + tokens * duration;
+  mTokens = mTokens * decay + tokens;
+  mRequests = mRequests * decay + 1;
   mMeanOutput = Blend(mMeanOutput, static_cast<double>(aOutput));
 }
 
--- a/src/libtrefoilarch/shedorder.h
+++ b/src/libtrefoilarch/shedorder.h
@@ -12,15 +12,15 @@
 namespace trefoilarch {
 
 /**
- * The requests that may still be given up, in the order in which they are:
- * the lowest tier first, and in a tier whoever came last.
+ * The requests that may still be shed, in shedding order: the lowest tier
+ * first, within a tier the latest arrival first.
  */
 class ShedOrder
 {
 public:
   void Add(const RequestId& aId, Tier aTier);
   void Remove(const RequestId& aId);
-  /** The first to go among those of a lower tier than the one given. */
+  /** The first request to shed among those of tiers lower than aTier. */
   std::optional<RequestId> FirstBelow(Tier aTier) const;
 
 private:
--- a/src/libtrefoilarch/sidecarattempt.h
+++ b/src/libtrefoilarch/sidecarattempt.h
@@ -11,7 +11,7 @@
 
 namespace trefoilarch {
 
-/** All that a sidecar keeps of an attempt that is not over. */
+/** State of an attempt that is still known to its sidecar. */
 struct SidecarAttempt
 {
   EntryId mEntry;
@@ -24,21 +24,23 @@
   Millis mLastTokenAt{};
   /** Output tokens so far. */
   uint64_t mGeneratedTokens = 0;
-  /** Room taken; it grows when the answer outruns its estimate. */
+  /** Capacity taken; grows when the response exceeds its estimate. */
   CapacityShare mShare{};
-  /** Of a floor start: what the Schedule counted it with. */
+  /** For a floor start: the tokens the Schedule counted it with. */
   uint64_t mFloorTokens = 0;
-  /** Prompt tokens in prefill when it started, its own with them. */
+  /** Prompt tokens in prefill when it was granted, including its own. */
   uint64_t mPrefillAhead = 0;
-  /** Whether chunks go out as they come; after a new channel, not until
-   * Resume says where to go on. */
+  /**
+   * Whether chunks are sent as they arrive. On a new channel they are held
+   * until Resume says where to continue.
+   */
   bool mForwarding = true;
-  /** The upstream's head has come and waits for the first data. */
+  /** The upstream's head has arrived and is held until the first data. */
   bool mHeadPending = false;
   int32_t mStatus = 0;
   Headers mHeaders{};
   AnswerBuffer mAnswer{};
-  /** Once the attempt has ended. */
+  /** Set once the attempt has ended. */
   FinalMessage mFinalMessage{};
 
   bool HasEnded() const
--- a/src/libtrefoilarch/sidecarcalls.cpp
+++ b/src/libtrefoilarch/sidecarcalls.cpp
@@ -8,23 +8,29 @@
 
 namespace {
 
-/** Allowed times are these parts of the targets, since a target holds for
- * nearly all tokens and the limit follows the mean. */
+/**
+ * Allowed times in tenths of the targets. A target holds for nearly all tokens,
+ * while the limit follows the mean.
+ */
 constexpr int64_t kFirstTokenTenths = 3;
 constexpr int64_t kBetweenTokensTenths = 9;
 constexpr int64_t kTenths = 10;
-/** A long prompt may take this many times what it took at best. */
+/** A long prompt may take this many times its best measured time. */
 constexpr int64_t kPrefillTolerance = 2;
-/** Only classes within this multiple of the strictest target have a say in
- * how long a first token may take. */
+/**
+ * Only classes within this multiple of the strictest target affect the allowed
+ * first-token time.
+ */
 constexpr int64_t kStrictTargetFactor = 2;
 
-/** An answer that outruns its estimate is taken to go on for this part of
- * what it has. */
+/**
+ * A response that exceeds its estimate is assumed to grow by this fraction of
+ * its present length.
+ */
 constexpr uint64_t kGrowthDivisor = 2;
 constexpr uint64_t kMinGrowth = 16;
 
-/** Such an attempt is remembered as voided: it did not run and will not. */
+/** Such an attempt is recorded as voided: it did not run and will not. */
 bool
 NeverRan(const FinalMessage& aMessage)
 {
--- a/src/libtrefoilarch/sidecarcore.h
+++ b/src/libtrefoilarch/sidecarcore.h
@@ -13,41 +13,46 @@
 
 namespace trefoilarch {
 
-/** How a sidecar decides; times in milliseconds. */
+/** Settings of a sidecar; times in milliseconds. */
 struct SidecarOptions
 {
   UpstreamId mUpstream{};
   std::string mDataCentre{};
   std::map<std::string, std::string> mLabels{};
   uint64_t mIncarnation = 0;
-  /** Requests that may wait here; the lowest tier is shed beyond it. */
+  /** Maximum number of waiting requests; beyond it the lowest tier is shed. */
   size_t mQueueLimit = 2000;
-  /** A waiting class of which nothing runs gets a floor start after this. */
+  /**
+   * A waiting class with nothing running gets a floor start after this time.
+   */
   Millis mFloorStartDelay{ 2000 };
-  /** A grant that no Start answers within this span is voided. */
+  /** A grant is voided if no Start arrives within this time. */
   Millis mGrantTimeout{ 1000 };
-  /** A running attempt whose entry is gone is cancelled after this span. */
+  /** A running attempt whose entry is gone is cancelled after this time. */
   Millis mOrphanTimeout{ 5000 };
   /** How long a finished or voided attempt is remembered. */
   Millis mLedgerRetention{ 300000 };
   size_t mLedgerLimit = 100000;
-  /** Bytes of unacknowledged answer kept for one attempt. */
+  /** Maximum bytes of unacknowledged response per attempt. */
   size_t mAnswerLimit = 4194304;
   Millis mHeartbeat{ 500 };
-  /** An entry with open attempts that is silent for this long is taken for
-   * gone, and heard again after a new Hello; several of its heartbeats. */
+  /**
+   * An entry with open attempts that is silent for this long, several of its
+   * heartbeats, is treated as gone and ignored until its next Hello.
+   */
   Millis mEntrySilenceTimeout{ 2000 };
-  /** A plain service has no tokens: its room is a number of calls. */
+  /** A plain service has no tokens: its capacity is a number of calls. */
   bool mTokenStream = true;
-  uint64_t mInitialTokenCapacity = 16384; /**< tokens in flight to begin with */
-  /** What the upstream can hold at a time (an engine's key-value memory). */
+  uint64_t mInitialTokenCapacity =
+    16384; /**< initial limit on tokens in flight */
+  /** Tokens the upstream can hold at a time (an engine's key-value memory). */
   uint64_t mMaxTokenCapacity = 1048576;
-  /** Calls that the upstream runs at a time (an engine's batch). */
+  /** Calls the upstream runs at a time (an engine's batch). */
   size_t mMaxRunning = 256;
   uint64_t mSeed = 1;
 };
 
-/** Sends a message to an entry, over its newest channel. */
+/** Sends a message to an entry over its newest channel. */
 struct SendToEntry
 {
   EntryId mEntry;
@@ -62,7 +67,7 @@
   Tier mTier = 0; /**< becomes the engine's priority */
 };
 
-/** Stops the upstream's work on the attempt, at once. */
+/** Stops the upstream's work on the attempt at once. */
 struct CancelCall
 {
   AttemptKey mKey;
@@ -71,7 +76,7 @@
 using SidecarAction = std::variant<SendToEntry, StartCall, CancelCall>;
 using SidecarActions = std::vector<SidecarAction>;
 
-/** The upstream's status line and headers have come. */
+/** The upstream's status line and headers have arrived. */
 struct CallHead
 {
   AttemptKey mKey;
@@ -79,7 +84,7 @@
   Headers mHeaders;
 };
 
-/** A part of the upstream's answer. */
+/** A part of the upstream's response. */
 struct CallData
 {
   AttemptKey mKey;
@@ -87,7 +92,7 @@
   uint32_t mTokens = 0;
 };
 
-/** The upstream's answer is whole. */
+/** The upstream's response is complete. */
 struct CallDone
 {
   AttemptKey mKey;
@@ -95,7 +100,7 @@
   uint32_t mOutputTokens = 0;
 };
 
-/** The upstream's answer ended early, or there never was one. */
+/** The upstream's response ended early or never began. */
 struct CallFailed
 {
   AttemptKey mKey;
@@ -106,9 +111,9 @@
 using CallEvent = std::variant<CallHead, CallData, CallDone, CallFailed>;
 
 /**
- * All of a sidecar's decisions: its queue is the upstream's queue, and its
- * ledger says what ran. Single-threaded; each call returns the actions that
- * the caller carries out in order.
+ * Makes all decisions of a sidecar: its queue is the upstream's queue, and its
+ * ledger records what ran. Single-threaded. Each call returns the actions that
+ * the caller has to carry out in order.
  */
 class SidecarCore
 {
@@ -118,28 +123,28 @@
   SidecarCore(const SidecarCore&) = delete;
   SidecarCore& operator=(const SidecarCore&) = delete;
 
-  /** A message came over the newest channel of an entry. */
+  /** A message arrived over the newest channel of an entry. */
   SidecarActions OnMessage(const EntryId& aEntry,
                            EntryMessage aMessage,
                            Millis aNow);
-  /** The entry's newest channel is gone. */
+  /** The entry's newest channel has closed. */
   SidecarActions OnEntryDown(const EntryId& aEntry, Millis aNow);
   SidecarActions OnCall(CallEvent aEvent, Millis aNow);
-  /** Due at NextWake(), and harmless at any other time. */
+  /** Due at NextWake(); has no effect at any other time. */
   SidecarActions OnTick(Millis aNow);
 
-  /** No grants any more; what runs goes on. */
+  /** Stops granting; running calls continue. */
   SidecarActions Drain(Millis aNow);
   /** Undoes Drain. */
   SidecarActions Undrain(Millis aNow);
-  /** After Drain: nothing runs and no answer waits for its last Ack. */
+  /** After Drain: whether nothing runs and no response awaits its last Ack. */
   bool Idle() const;
 
   void SetPolicyVersion(uint64_t aVersion);
 
   Millis NextWake() const;
   Load CurrentLoad() const;
-  /** For the state dump, as JSON text; no request text in it. */
+  /** State dump as JSON text, without any request content. */
   std::string DumpState(Millis aNow) const;
 
 private:
--- a/src/libtrefoilarch/sidecardump.cpp
+++ b/src/libtrefoilarch/sidecardump.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** A dump lists so many attempts at most; the counts cover all. */
+/** Maximum number of attempts listed in a dump; the counts cover all. */
 constexpr size_t kMaxDumpedAttempts = 200;
 
 const char*
--- a/src/libtrefoilarch/sidecarimpl.cpp
+++ b/src/libtrefoilarch/sidecarimpl.cpp
@@ -7,8 +7,10 @@
 
 namespace {
 
-/** Parts of the first limit that the room never falls below. The calls of a
- * service differ by their nature, so slow ones say less of its load. */
+/**
+ * The capacity never falls below these fractions of the initial limit. The
+ * calls of a service differ by nature, so slow ones say less about its load.
+ */
 constexpr uint64_t kMinTokenDivisor = 32;
 constexpr size_t kMinCallDivisor = 4;
 
@@ -263,21 +265,21 @@
                                     const AttemptKey& aKey)
 {
   const FinalMessage* message = mLedger.Find(aKey);
-  const bool unknown = !message && mLedger.HasForgottenStarts();
-  if (!message && !unknown) {
+  const bool maybeDropped = !message && mLedger.HasForgottenStarts();
+  if (!message && !maybeDropped) {
     mLedger.Close(aKey, {}, mNow);
   }
   const bool started =
     message && !std::holds_alternative<std::monostate>(*message);
-  if (!unknown && !started) {
+  if (!maybeDropped && !started) {
     ++mCounters.mVoided;
     return Send(aEntry,
                 Voided{ .mKey = aKey, .mIncarnation = mOptions.mIncarnation });
   }
   const bool failed = message && std::holds_alternative<Failed>(*message);
-  const AttemptState state = unknown  ? AttemptState::Unknown
-                             : failed ? AttemptState::Failed
-                                      : AttemptState::Finished;
+  const AttemptState state = maybeDropped ? AttemptState::Unknown
+                             : failed     ? AttemptState::Failed
+                                          : AttemptState::Finished;
   Send(aEntry,
        LedgerEntry{ .mKey = aKey,
                     .mState = state,
--- a/src/libtrefoilarch/sidecarimpl.h
+++ b/src/libtrefoilarch/sidecarimpl.h
@@ -17,7 +17,7 @@
 
 namespace trefoilarch {
 
-/** What a SidecarCore has counted since its start. */
+/** Counters since the SidecarCore was created. */
 struct SidecarCounters
 {
   uint64_t mOffered = 0;
@@ -27,20 +27,19 @@
   uint64_t mFailed = 0;
   uint64_t mVoided = 0;
   uint64_t mDeclined = 0;
-  uint64_t mShed = 0;        /**< declined, for others found the queue full */
-  uint64_t mGivenUp = 0;     /**< declined, for their deadline can't be met */
-  uint64_t mFloorStarts = 0; /**< granted beside the room */
+  uint64_t mShed = 0;        /**< declined because the queue was full */
+  uint64_t mGivenUp = 0;     /**< declined because the deadline can't be met */
+  uint64_t mFloorStarts = 0; /**< granted outside the limit */
   uint64_t mPreempted = 0;
   uint64_t mLateStarts = 0;      /**< Starts that came after the grant's end */
   uint64_t mStrayEvents = 0;     /**< call events of attempts that are over */
   uint64_t mSilences = 0;        /**< entries that fell silent */
-  uint64_t mForeignMessages = 0; /**< messages on another entry's attempt */
+  uint64_t mForeignMessages = 0; /**< messages about another entry's attempt */
 };
 
 /**
- * The state behind a SidecarCore. Handlers append what is to be done to
- * mActions; each public call of SidecarCore is one Begin, one handler and one
- * Finish.
+ * Implementation of SidecarCore. Handlers append to mActions; each public call
+ * of SidecarCore runs Begin, one handler and Finish.
  */
 class SidecarCore::Impl
 {
@@ -48,7 +47,7 @@
   explicit Impl(SidecarOptions aOptions);
 
   void Begin(Millis aNow);
-  /** Grants what has room, and hands out the collected actions. */
+  /** Grants what fits and returns the collected actions. */
   SidecarActions Finish();
 
   void OnMessage(const EntryId& aEntry, EntryMessage aMessage);
@@ -68,7 +67,7 @@
   struct Entry
   {
     bool mConnected = false;
-    /** It fell silent; nothing of it counts before its next Hello. */
+    /** It fell silent; its messages are ignored until its next Hello. */
     bool mSilenced = false;
     Millis mLastReceivedAt{};
     std::unordered_set<AttemptKey> mAttempts;
@@ -89,7 +88,7 @@
   void Handle(const CallFailed& aFailed);
 
   SidecarAttempt* Find(const AttemptKey& aKey);
-  /** Whether the message's attempt is the entry's own, or nobody's. */
+  /** Whether the message's attempt is unknown or belongs to the entry. */
   template<typename Message>
   bool MayAccess(const EntryId& aEntry, const Message& aMessage);
   SidecarAttempt* FindRunning(const AttemptKey& aKey);
@@ -99,16 +98,18 @@
                     const AttemptKey& aKey,
                     ErrorKind aKind,
                     Millis aRetryAfter);
-  /** Takes a waiting attempt out for good. */
+  /** Removes a waiting attempt and declines it. */
   void DeclineWaiting(const AttemptKey& aKey,
                       ErrorKind aKind,
                       Millis aRetryAfter);
   AdmissionRequest AdmissionRequestFor(const Offer& aOffer) const;
   CapacityShare ShareOf(const Offer& aOffer) const;
   void Enqueue(const EntryId& aEntry, const Offer& aOffer);
-  /** Finds the offer a place in the queue; false if it has been declined. */
+  /** Makes space for the offer in the queue; false if it was declined. */
   bool MakeQueueSpace(const EntryId& aEntry, const Offer& aOffer);
-  /** Declines what has become late and can't meet its deadline either. */
+  /**
+   * Declines requests that became late and can't meet their deadline either.
+   */
   void GiveUpLateRequests();
   /** Declines the waiting attempt if its deadline can't be met any more. */
   void GiveUpIfUnmeetable(const AttemptKey& aKey);
@@ -116,31 +117,36 @@
   void GrantRegularDispatches();
   void GrantFloorDispatches();
   void GrantNow(const Dispatch& aDispatch);
-  /** Holds back a turn whose targets this upstream is too slow for, so that
-   * another sidecar that it is offered to grants it; not for long, since the
-   * others may be as slow. */
+  /**
+   * Whether to hold back a dispatch whose targets this upstream is too slow
+   * for, so that another sidecar it was offered to can grant it. Only for a
+   * short time, since the others may be as slow.
+   */
   bool ShouldHoldBack(const Dispatch& aDispatch);
-  /** Stops lower tiers' work if that saves the turn's first-token target. */
+  /**
+   * Cancels attempts of lower tiers if that saves the dispatch's first-token
+   * target.
+   */
   bool PreemptFor(const Dispatch& aDispatch);
   void SendGrant(const SidecarAttempt& aAttempt);
 
-  /** Rules out that the attempt starts; it must not have started. */
+  /** Ensures that the attempt never starts; it must not have started. */
   void Void(SidecarAttempt& aAttempt);
   void Cancel(SidecarAttempt& aAttempt, ErrorKind aKind);
   void EndRunning(SidecarAttempt& aAttempt, const FinalMessage& aMessage);
   void FailRunning(SidecarAttempt& aAttempt, ErrorKind aKind, Ran aRan);
-  /** aUsed: the tokens that it really took. */
+  /** aUsed: the tokens it actually took. */
   void ReleaseCapacity(SidecarAttempt& aAttempt, uint64_t aUsed);
   void MeasureTokens(SidecarAttempt& aAttempt, uint32_t aTokens);
   void MeasureFirstToken(const SidecarAttempt& aAttempt, Millis aDuration);
   void MeasureBetweenTokens(const SidecarAttempt& aAttempt, uint32_t aTokens);
   void GrowIfUnderestimated(SidecarAttempt& aAttempt);
-  /** Takes another share of the room in place of the present one. */
+  /** Replaces the capacity share of the attempt. */
   void ChangeShare(SidecarAttempt& aAttempt, const CapacityShare& aShare);
   void Erase(const AttemptKey& aKey);
   void EraseIfUnused(const EntryId& aEntry);
 
-  /** Answers on a key that has no live attempt. */
+  /** Replies about a key that has no live attempt. */
   void AnswerFromLedger(const EntryId& aEntry, const AttemptKey& aKey);
   void ResumeFromLedger(const EntryId& aEntry, const Resume& aResume);
   void AppendChunk(SidecarAttempt& aAttempt,
@@ -154,9 +160,12 @@
   void ArmEnded(const SidecarAttempt& aAttempt);
   void SendHeartbeats();
   void SendHeartbeat(const EntryId& aEntry);
-  /** Notes that the entry has spoken; false if it must say Hello first. */
+  /** Records that the entry is alive; false if it must send Hello first. */
   bool AcceptMessage(const EntryId& aEntry, const EntryMessage& aMessage);
-  /** Tells every entry at once, where waiting for a heartbeat is too late. */
+  /**
+   * Sends the load to every entry at once, where waiting for a heartbeat would
+   * be too late.
+   */
   void BroadcastLoad();
   bool IsConnected(const EntryId& aEntry) const;
 
@@ -173,7 +182,7 @@
   PreemptionOrder mPreemption;
   StrictestTarget mStrictestFirstToken;
   StrictestTarget mStrictestBetweenTokens;
-  /** When the turn that was held back is to be looked at again. */
+  /** When to reconsider the dispatch that was held back. */
   Millis mNextGrantAt = Millis::Never();
   Timers<AttemptKey> mTimers;
   Timers<EntryId> mHeartbeats;
--- a/src/libtrefoilarch/sidecarqueue.cpp
+++ b/src/libtrefoilarch/sidecarqueue.cpp
@@ -8,14 +8,16 @@
 
 namespace {
 
-/** A late request is looked at again after this. */
+/** A late request is checked again after this time. */
 constexpr Millis kLateRecheckDelay{ 500 };
 
-/** A turn that this upstream is too slow for waits so long for another's
- * grant: some round trips. */
+/**
+ * How long a dispatch that this upstream is too slow for waits for another
+ * sidecar's grant: some round trips.
+ */
 constexpr Millis kHoldBackTime{ 50 };
 
-/** A preemption comes when this part of the first-token target is left. */
+/** Preemption happens when this fraction of the first-token target is left. */
 constexpr int64_t kPreemptDivisor = 4;
 
 } // namespace
@@ -255,11 +257,12 @@
   const WaitingRequest& request = *mSchedule.Find(aDispatch.mKey);
   const auto target =
     static_cast<double>(request.mLevel.mBetweenTokenTarget.Count());
-  const Millis until = mAttempts.at(aDispatch.mKey).mArrivedAt + kHoldBackTime;
-  if (mNow >= until || mRate.BetweenTokens(mNow) <= target) {
+  const Millis holdUntil =
+    mAttempts.at(aDispatch.mKey).mArrivedAt + kHoldBackTime;
+  if (mNow >= holdUntil || mRate.BetweenTokens(mNow) <= target) {
     return false;
   }
-  mNextGrantAt = until;
+  mNextGrantAt = holdUntil;
   return true;
 }
 
@@ -267,13 +270,13 @@
 SidecarCore::Impl::PreemptFor(const Dispatch& aDispatch)
 {
   const WaitingRequest& request = *mSchedule.Find(aDispatch.mKey);
-  const Millis due =
+  const Millis preemptAt =
     request.mStartBy - request.mLevel.mFirstTokenTarget / kPreemptDivisor;
   if (request.mLate || mPreemption.Empty()) {
     return false;
   }
-  if (mNow < due) {
-    mNextGrantAt = due;
+  if (mNow < preemptAt) {
+    mNextGrantAt = preemptAt;
     return false;
   }
   UpstreamCapacity remaining = mCapacity;
@@ -292,9 +295,9 @@
 void
 SidecarCore::Impl::SendGrant(const SidecarAttempt& aAttempt)
 {
-  const Millis left = aAttempt.mGrantedAt + mOptions.mGrantTimeout - mNow;
+  const Millis validFor = aAttempt.mGrantedAt + mOptions.mGrantTimeout - mNow;
   Send(aAttempt.mEntry,
-       Grant{ .mKey = aAttempt.mOffer.mKey, .mValidFor = left });
+       Grant{ .mKey = aAttempt.mOffer.mKey, .mValidFor = validFor });
 }
 
 void
--- a/src/libtrefoilarch/sidecartimers.cpp
+++ b/src/libtrefoilarch/sidecartimers.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/** How long a whole answer waits for its last Ack from a connected entry. */
+/** How long a complete response waits for the last Ack of a connected entry. */
 constexpr Millis kFinalAckTimeout{ 30000 };
 
-/** Heartbeats are this many times rarer where nothing is open. */
+/** Factor by which heartbeats are less frequent if nothing is open. */
 constexpr int64_t kIdleFactor = 10;
 
 } // namespace
--- a/src/libtrefoilarch/strictesttarget.h
+++ b/src/libtrefoilarch/strictesttarget.h
@@ -5,8 +5,8 @@
 namespace trefoilarch {
 
 /**
- * The strictest of the targets that were seen lately. A class that comes and
- * goes within the span keeps its say in between.
+ * The strictest of the recently seen targets. A target is kept for kRetention,
+ * so a class that comes and goes within that time keeps its effect.
  */
 class StrictestTarget
 {
--- a/src/libtrefoilarch/subset.cpp
+++ b/src/libtrefoilarch/subset.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Higher ranks first; the name settles the case of equal hashes. */
+/** Higher hashes rank first; equal hashes are ordered by name. */
 using Ranked = std::pair<uint64_t, const SidecarMember*>;
 
 uint64_t
@@ -28,10 +28,10 @@
          std::vector<SidecarMember>& aOut)
 {
   std::sort(
-    aGroup.begin(), aGroup.end(), [](const auto& aLeft, const auto& aRight) {
-      return aLeft.first != aRight.first
-               ? aLeft.first > aRight.first
-               : aLeft.second->mUpstream < aRight.second->mUpstream;
+    aGroup.begin(), aGroup.end(), [](const auto& aLhs, const auto& aRhs) {
+      return aLhs.first != aRhs.first
+               ? aLhs.first > aRhs.first
+               : aLhs.second->mUpstream < aRhs.second->mUpstream;
     });
   size_t live = 0;
   for (const auto& [rank, sidecar] : aGroup) {
--- a/src/libtrefoilarch/timers.h
+++ b/src/libtrefoilarch/timers.h
@@ -9,30 +9,30 @@
 
 namespace trefoilarch {
 
-/** One timer for each key; arming, disarming and expiry cost O(log n). */
+/** One timer per key; arming, disarming and expiry cost O(log n). */
 template<typename Key>
 class Timers
 {
 public:
-  /** Sets the key's timer, in place of the one it had. */
+  /** Sets the key's timer, replacing its previous one. */
   void Arm(const Key& aKey, Millis aAt)
   {
     Disarm(aKey);
-    mDue.emplace(aKey, aAt);
+    mDueTimes.emplace(aKey, aAt);
     mQueue.emplace(aAt, aKey);
   }
 
   void Disarm(const Key& aKey)
   {
-    const auto found = mDue.find(aKey);
-    if (found == mDue.end()) {
+    const auto found = mDueTimes.find(aKey);
+    if (found == mDueTimes.end()) {
       return;
     }
     mQueue.erase({ found->second, aKey });
-    mDue.erase(found);
+    mDueTimes.erase(found);
   }
 
-  /** Takes out one key whose time has come. */
+  /** Removes and returns one key whose timer is due. */
   std::optional<Key> TakeDue(Millis aNow)
   {
     if (mQueue.empty() || mQueue.begin()->first > aNow) {
@@ -40,7 +40,7 @@
     }
     Key key = mQueue.begin()->second;
     mQueue.erase(mQueue.begin());
-    mDue.erase(key);
+    mDueTimes.erase(key);
     return key;
   }
 
@@ -51,7 +51,7 @@
 
 private:
   std::set<std::pair<Millis, Key>> mQueue;
-  std::unordered_map<Key, Millis> mDue;
+  std::unordered_map<Key, Millis> mDueTimes;
 };
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/upstreamcapacity.cpp
+++ b/src/libtrefoilarch/upstreamcapacity.cpp
@@ -8,19 +8,22 @@
 
 namespace {
 
-/** Room left for a burst, as a multiple of the root of the calls that run. */
+/**
+ * Capacity reserved for a burst, as a multiple of the square root of the
+ * running calls.
+ */
 constexpr double kBurstFactor = 1;
-/** A tier is present for so long after its last request came. */
+/** How long a tier counts as present after its last request arrived. */
 constexpr Millis kTierPresenceTimeout{ 10000 };
 
-/** How far each tier may go, in hundredths of the limit on tokens. */
+/** How much of the token limit each tier may use, in hundredths. */
 constexpr std::array<uint64_t, kTierCount> kTokenPercent = { 150,
                                                              120,
                                                              100,
                                                              100 };
 constexpr uint64_t kHundredPercent = 100;
 
-/** Prompt tokens in prefill: to begin with, at least and at most. */
+/** Initial, minimum and maximum limit on prompt tokens in prefill. */
 constexpr uint64_t kInitialPrefill = 4096;
 constexpr uint64_t kMinPrefill = 1024;
 constexpr uint64_t kMaxPrefill = 65536;
--- a/src/libtrefoilarch/upstreamlink.h
+++ b/src/libtrefoilarch/upstreamlink.h
@@ -15,12 +15,12 @@
 namespace trefoilarch {
 
 /**
- * No attempt has this key, as attempts count from 1. Asking what became of
- * it is how a channel is probed: every sidecar has to answer.
+ * No attempt has this key, as attempts count from 1. A channel is probed by
+ * asking for the state of this key: every sidecar has to reply.
  */
 constexpr AttemptKey kProbe{};
 
-/** What an entry knows of one upstream, and what it has there. */
+/** What an entry knows about one upstream, and its open work there. */
 struct UpstreamLink
 {
   explicit UpstreamLink(ChannelTimeouts aTimeouts)
@@ -31,31 +31,31 @@
   UpstreamView mView;
   ChannelHealth mHealth;
   bool mListed = true;   /**< in the last SetUpstreams() */
-  bool mLeaving = false; /**< by the host list's word */
+  bool mLeaving = false; /**< according to the host list */
   Millis mListedSince;
   bool mWelcomed = false;
   uint64_t mIncarnation = 0;
-  /** As last reported, and what this entry has added or ended since. */
+  /** As last reported, and the changes by this entry since then. */
   Load mLoad;
   int64_t mTokensSinceReport = 0;
   int32_t mCallsSinceReport = 0;
-  /** Smoothed time of a probe and its answer. */
+  /** Smoothed round-trip time of probes. */
   Millis mRoundTrip;
 
-  /** Offers that wait there and attempts that were started there. */
+  /** Offers waiting there and attempts started there. */
   std::set<AttemptKey> mOpen;
-  /** Withdrawn, and not confirmed by the sidecar. */
+  /** Withdrawn, but not yet confirmed by the sidecar. */
   std::set<AttemptKey> mWithdrawn;
-  /** Answered as a whole, with the chunk count of the last Ack. */
+  /** Completed attempts, with the chunk count of the last Ack. */
   std::map<AttemptKey, uint64_t> mCompleted;
-  /** When to forget members of mWithdrawn and mWhole, in order of time. */
-  std::deque<std::pair<Millis, AttemptKey>> mForgetQueue;
+  /** When to erase entries of mWithdrawn and mCompleted, in order of time. */
+  std::deque<std::pair<Millis, AttemptKey>> mEraseQueue;
 
-  /** When this link is next looked at. */
+  /** When the link's timer fires next. */
   Millis mWakeAt = Millis::Never();
 
   bool Ready() const { return mHealth.State() == ChannelState::Ready; }
-  /** Whether new work may go there at all. */
+  /** Whether new work may be offered to the upstream. */
   bool AcceptsWork() const { return mListed && !mLeaving && !mLoad.mDraining; }
   void SetLoad(const Load& aLoad)
   {
@@ -63,13 +63,13 @@
     mTokensSinceReport = 0;
     mCallsSinceReport = 0;
   }
-  /** Counts an attempt in, or out with -1. */
+  /** Adds attempts to the counts, or removes them with -1. */
   void Count(int32_t aCalls, uint32_t aTokens)
   {
     mCallsSinceReport += aCalls;
     mTokensSinceReport += int64_t{ aCalls } * aTokens;
   }
-  /** Whether the sidecar owes this entry a word. */
+  /** Whether a reply from the sidecar is awaited. */
   bool AwaitsReply() const { return !mOpen.empty() || !mWithdrawn.empty(); }
 };
 
--- a/src/libtrefoilarch/waitingrequest.h
+++ b/src/libtrefoilarch/waitingrequest.h
@@ -10,29 +10,28 @@
 
 namespace trefoilarch {
 
-/** A request that waits for its turn. */
+/** A request waiting to be dispatched. */
 struct WaitingRequest
 {
   AttemptKey mKey;
   ServiceLevel mLevel;
-  /** Estimated tokens, prompt and output; calls to plain services have 0. */
+  /** Estimated tokens, prompt and output; 0 for calls to plain services. */
   uint64_t mTokens = 0;
-  /** Last moment of a start that meets the first-token target. */
+  /** Latest start that meets the first-token target. */
   Millis mStartBy;
-  /** Kept by the Schedule: the order of arrival. */
+  /** Set by the Schedule: the order of arrival. */
   uint64_t mArrival = 0;
-  /** Kept by the Schedule: the first-token target can't be met any more. */
+  /** Set by the Schedule: the first-token target can't be met any more. */
   bool mLate = false;
 };
 
-/** Orders waiting requests by their last moment, then by arrival. */
+/** Orders waiting requests by mStartBy, then by arrival. */
 struct ByUrgency
 {
-  bool operator()(const WaitingRequest* aLeft,
-                  const WaitingRequest* aRight) const
+  bool operator()(const WaitingRequest* aLhs, const WaitingRequest* aRhs) const
   {
-    return std::tie(aLeft->mStartBy, aLeft->mArrival) <
-           std::tie(aRight->mStartBy, aRight->mArrival);
+    return std::tie(aLhs->mStartBy, aLhs->mArrival) <
+           std::tie(aRhs->mStartBy, aRhs->mArrival);
   }
 };
 
--- a/tests/unit/callwatchtest.cpp
+++ b/tests/unit/callwatchtest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-Test(callwatch, a_silent_call_is_found_in_two_seconds_beside_lively_ones)
+Test(callwatch, a_silent_call_is_found_in_two_seconds_beside_active_ones)
 {
   CallWatch watch({});
   watch.Started(Key(1), Millis(0));
@@ -31,7 +31,7 @@
   }
 }
 
-Test(callwatch, a_long_prefill_that_holds_up_every_call_is_borne_with)
+Test(callwatch, a_long_prefill_that_blocks_every_call_is_tolerated)
 {
   CallWatch watch({});
   for (uint64_t i = 1; i <= 3; ++i) {
@@ -42,7 +42,7 @@
   cr_assert(watch.TakeSilent(Millis(3100)).size() == 3);
 }
 
-Test(callwatch, before_anything_is_known_the_first_token_has_long)
+Test(callwatch, the_first_token_has_a_long_timeout_before_any_measurement)
 {
   CallWatch watch({});
   watch.Started(Key(1), Millis(0));
@@ -51,7 +51,7 @@
   cr_assert(watch.TakeSilent(Millis(90000)).empty());
 }
 
-Test(callwatch, no_wait_under_two_seconds_ends_a_call)
+Test(callwatch, no_silence_under_two_seconds_ends_a_call)
 {
   const bool holds = rc::check([] {
     CallWatch watch({});
@@ -73,7 +73,7 @@
   cr_assert(holds);
 }
 
-Test(callwatch, a_recovered_upstream_is_judged_by_its_new_pace)
+Test(callwatch, the_timeout_follows_a_recovered_upstream)
 {
   CallWatch watch({});
   int64_t now = 0;
--- a/tests/unit/claimstest.cpp
+++ b/tests/unit/claimstest.cpp
@@ -18,40 +18,43 @@
 constexpr int kSteps = 600;
 constexpr int64_t kEpochSeconds = 1000;
 
-/** What became of one request, over all of its life. */
+/** What happened to one request. */
 struct RequestRecord
 {
   std::string mKey;
   size_t mEntry = 0;
-  int mBoot = 0;
+  int mIncarnation = 0;
   std::optional<ClaimOutcome> mOutcome;
   bool mStarted = false;
   std::optional<CachedAnswer> mAnswer;
 };
 
-struct Pending
+struct PendingOperation
 {
   size_t mEntry = 0;
-  int mBoot = 0;
+  int mIncarnation = 0;
   ClaimAction mAction;
   bool mSlow = false;
   bool mExecuted = false;
-  bool mForgotten = false;
+  bool mReplyLost = false;
   ClaimCommit mCommit;
   ClaimReport mReport;
 };
 
-/** Entries round one table; its writes come late and lose their answers. */
+/**
+ * Entries sharing a table whose writes may be late and whose replies may be
+ * lost.
+ */
 class Fleet : private ModelRandom
 {
 public:
   explicit Fleet(uint32_t aSeed)
     : ModelRandom(aSeed)
   {
-    for (size_t each = 0; each < kEntries; ++each) {
-      mEntries[each].mSkew =
+    for (size_t index = 0; index < kEntries; ++index) {
+      mEntries[index].mSkew =
         static_cast<int64_t>(Draw(kEpochSeconds)) - kEpochSeconds / 2;
-      Boot(each);
+      Boot(index);
     }
   }
 
@@ -80,31 +83,31 @@
       case 10:
         return Advance(Millis(Draw(900)));
       default:
-        return MovePending();
+        return AdvancePending();
     }
   }
 
-  void Heal()
+  void EndFaults()
   {
     mTableDown = false;
-    mHealed = true;
+    mFaultsEnded = true;
     for (Entry& entry : mEntries) {
       entry.mPaused = false;
     }
     for (int round = 0; round < 200; ++round) {
-      for (int moves = 0; moves < 30; ++moves) {
-        MovePending();
+      for (int advances = 0; advances < 30; ++advances) {
+        AdvancePending();
       }
       Advance(Millis(100));
     }
   }
 
-  /** Each request of a living entry was answered; none has run twice. */
+  /** Each request of a running entry was answered; no key has run twice. */
   void CheckAll()
   {
     std::map<std::string, int> runs;
     for (const auto& [id, record] : mRequests) {
-      if (mEntries[record.mEntry].mBoot == record.mBoot) {
+      if (mEntries[record.mEntry].mIncarnation == record.mIncarnation) {
         RC_ASSERT(record.mOutcome.has_value());
       }
       runs[record.mKey] += record.mStarted ? 1 : 0;
@@ -116,13 +119,14 @@
     }
   }
 
-  /** A key whose requests have all not run lets the next one run. */
+  /** A key none of whose requests ran lets the next one run. */
   void CheckKeysAreFree()
   {
     for (const std::string& key : mUsedKeys) {
       bool free = true;
       for (const auto& [id, record] : mRequests) {
-        const bool alive = mEntries[record.mEntry].mBoot == record.mBoot;
+        const bool alive =
+          mEntries[record.mEntry].mIncarnation == record.mIncarnation;
         free &= record.mKey != key ||
                 (alive && record.mOutcome != ClaimOutcome::Run) ||
                 (alive && mNotRun.contains(id));
@@ -132,7 +136,7 @@
       }
       const RequestId id = Send(Draw(kEntries), key);
       for (int round = 0; round < 20; ++round) {
-        Heal();
+        EndFaults();
         if (mRequests.at(id).mOutcome) {
           break;
         }
@@ -150,7 +154,7 @@
   struct Entry
   {
     std::unique_ptr<Claims> mClaims;
-    int mBoot = 0;
+    int mIncarnation = 0;
     bool mPaused = false;
     int64_t mSkew = 0;
   };
@@ -163,7 +167,7 @@
   void Boot(size_t aEntry)
   {
     Entry& entry = mEntries[aEntry];
-    ++entry.mBoot;
+    ++entry.mIncarnation;
     entry.mClaims = std::make_unique<Claims>(
       ClaimOptions{ .mAddress = "entry-" + std::to_string(aEntry),
                     .mMaxBatchSize = 3,
@@ -187,29 +191,33 @@
   {
     mUsedKeys.insert(aKey);
     const RequestId id{ 7, ++mLastId };
-    mRequests[id] = { aKey, aEntry, mEntries[aEntry].mBoot, {}, false, {} };
+    mRequests[id] = {
+      aKey, aEntry, mEntries[aEntry].mIncarnation, {}, false, {}
+    };
     Perform(aEntry,
             mEntries[aEntry].mClaims->Claim(
               { id, aKey, "same" }, SecondsAt(aEntry), mNow));
     return id;
   }
 
-  /** One of the requests that were let run starts, ends or is given up. */
+  /**
+   * One of the requests that were allowed to run starts, ends or is given up.
+   */
   void FinishOne()
   {
     if (mRunning.empty()) {
       return;
     }
-    auto place = mRunning.begin();
-    std::advance(place, Draw(static_cast<uint32_t>(mRunning.size())));
-    const RequestId id = *place;
+    auto position = mRunning.begin();
+    std::advance(position, Draw(static_cast<uint32_t>(mRunning.size())));
+    const RequestId id = *position;
     RequestRecord& record = mRequests.at(id);
     Entry& entry = mEntries[record.mEntry];
     if (entry.mPaused) {
       return;
     }
-    mRunning.erase(place);
-    if (entry.mBoot != record.mBoot) {
+    mRunning.erase(position);
+    if (entry.mIncarnation != record.mIncarnation) {
       return;
     }
     if (Chance(30)) {
@@ -226,13 +234,13 @@
     entry.mClaims->Answered(id, *record.mAnswer);
   }
 
-  void Advance(Millis aSpan)
+  void Advance(Millis aDuration)
   {
-    mNow += aSpan;
-    for (size_t each = 0; each < kEntries; ++each) {
-      Entry& entry = mEntries[each];
+    mNow += aDuration;
+    for (size_t index = 0; index < kEntries; ++index) {
+      Entry& entry = mEntries[index];
       if (!entry.mPaused && entry.mClaims->NextWake() <= mNow) {
-        Perform(each, entry.mClaims->OnTick(SecondsAt(each), mNow));
+        Perform(index, entry.mClaims->OnTick(SecondsAt(index), mNow));
       }
     }
   }
@@ -240,31 +248,31 @@
   void Perform(size_t aEntry, ClaimActions aActions)
   {
     for (ClaimAction& action : aActions) {
-      if (const auto* answer = std::get_if<ClaimDecided>(&action)) {
-        RecordDecision(*answer);
+      if (const auto* decided = std::get_if<ClaimDecided>(&action)) {
+        RecordDecision(*decided);
         continue;
       }
-      Pending& pending = mPending.emplace_back();
+      PendingOperation& pending = mPending.emplace_back();
       pending.mEntry = aEntry;
-      pending.mBoot = mEntries[aEntry].mBoot;
+      pending.mIncarnation = mEntries[aEntry].mIncarnation;
       pending.mAction = std::move(action);
       pending.mSlow = Fault(15);
     }
   }
 
-  void RecordDecision(const ClaimDecided& aAnswer)
+  void RecordDecision(const ClaimDecided& aDecided)
   {
-    RequestRecord& record = mRequests.at(aAnswer.mId);
+    RequestRecord& record = mRequests.at(aDecided.mId);
     RC_ASSERT(!record.mOutcome.has_value());
-    record.mOutcome = aAnswer.mOutcome;
-    if (aAnswer.mOutcome == ClaimOutcome::Run) {
-      mRunning.insert(aAnswer.mId);
+    record.mOutcome = aDecided.mOutcome;
+    if (aDecided.mOutcome == ClaimOutcome::Run) {
+      mRunning.insert(aDecided.mId);
     }
-    if (aAnswer.mOutcome == ClaimOutcome::Finished) {
+    if (aDecided.mOutcome == ClaimOutcome::Finished) {
       ++mRepeats;
       const RequestId first = FirstOf(record.mKey);
-      RC_ASSERT(aAnswer.mAnswer && mRequests.contains(first));
-      RC_ASSERT(*aAnswer.mAnswer == *mRequests.at(first).mAnswer);
+      RC_ASSERT(aDecided.mAnswer && mRequests.contains(first));
+      RC_ASSERT(*aDecided.mAnswer == *mRequests.at(first).mAnswer);
     }
   }
 
@@ -278,36 +286,38 @@
     return {};
   }
 
-  void MovePending()
+  void AdvancePending()
   {
     if (mPending.empty()) {
       return;
     }
-    const size_t place = Draw(static_cast<uint32_t>(mPending.size()));
-    Pending& one = mPending[place];
-    const bool mayExecute = mHealed || !one.mSlow || Chance(2);
-    if (!one.mExecuted && mayExecute && (mHealed || !Fault(30))) {
-      Execute(one);
-    } else if (one.mForgotten) {
-      if (one.mExecuted || Chance(one.mSlow ? 1 : 10)) {
-        EraseAt(mPending, place);
+    const size_t position = Draw(static_cast<uint32_t>(mPending.size()));
+    PendingOperation& operation = mPending[position];
+    const bool mayExecute = mFaultsEnded || !operation.mSlow || Chance(2);
+    if (!operation.mExecuted && mayExecute && (mFaultsEnded || !Fault(30))) {
+      Execute(operation);
+    } else if (operation.mReplyLost) {
+      if (operation.mExecuted || Chance(operation.mSlow ? 1 : 10)) {
+        EraseAt(mPending, position);
       }
-    } else if (!mEntries[one.mEntry].mPaused) {
-      Deliver(place, !one.mExecuted || (!mHealed && Fault(50)));
+    } else if (!mEntries[operation.mEntry].mPaused) {
+      Deliver(position, !operation.mExecuted || (!mFaultsEnded && Fault(50)));
     }
   }
 
-  void Execute(Pending& aOne)
+  void Execute(PendingOperation& aOperation)
   {
-    aOne.mExecuted = true;
-    if (const auto* commit = std::get_if<CommitClaims>(&aOne.mAction)) {
-      aOne.mCommit = TableCommit(*commit);
-    } else if (const auto* query = std::get_if<QueryClaimant>(&aOne.mAction)) {
+    aOperation.mExecuted = true;
+    if (const auto* commit = std::get_if<CommitClaims>(&aOperation.mAction)) {
+      aOperation.mCommit = TableCommit(*commit);
+    } else if (const auto* query =
+                 std::get_if<QueryClaimant>(&aOperation.mAction)) {
       const size_t entry = query->mAddress.back() - '0';
       if (!mEntries[entry].mPaused) {
-        aOne.mReport = mEntries[entry].mClaims->Report(query->mRequest);
+        aOperation.mReport = mEntries[entry].mClaims->Report(query->mRequest);
       }
-    } else if (const auto* expired = std::get_if<ExpireClaims>(&aOne.mAction)) {
+    } else if (const auto* expired =
+                 std::get_if<ExpireClaims>(&aOperation.mAction)) {
       std::erase_if(mTable, [&](const auto& aRow) {
         return aRow.second.mEpoch < expired->mBelowEpoch;
       });
@@ -354,38 +364,41 @@
     return std::nullopt;
   }
 
-  void Deliver(size_t aPlace, bool aLost)
+  void Deliver(size_t aPosition, bool aLost)
   {
-    const Pending one = mPending[aPlace];
-    if (aLost && !one.mExecuted) {
-      mPending[aPlace].mForgotten = true;
+    const PendingOperation operation = mPending[aPosition];
+    if (aLost && !operation.mExecuted) {
+      mPending[aPosition].mReplyLost = true;
     } else {
-      EraseAt(mPending, aPlace);
+      EraseAt(mPending, aPosition);
     }
-    Entry& entry = mEntries[one.mEntry];
-    if (entry.mBoot != one.mBoot || one.mForgotten) {
+    Entry& entry = mEntries[operation.mEntry];
+    if (entry.mIncarnation != operation.mIncarnation || operation.mReplyLost) {
       return;
     }
-    const int64_t seconds = SecondsAt(one.mEntry);
-    if (std::holds_alternative<CommitClaims>(one.mAction)) {
-      Perform(one.mEntry,
+    const int64_t seconds = SecondsAt(operation.mEntry);
+    if (std::holds_alternative<CommitClaims>(operation.mAction)) {
+      Perform(operation.mEntry,
               entry.mClaims->OnCommitted(
-                aLost ? ClaimCommit() : one.mCommit, seconds, mNow));
-    } else if (const auto* query = std::get_if<QueryClaimant>(&one.mAction)) {
-      Perform(
-        one.mEntry,
-        entry.mClaims->OnClaimantReport(
-          query->mTicket, aLost ? ClaimReport() : one.mReport, seconds, mNow));
+                aLost ? ClaimCommit() : operation.mCommit, seconds, mNow));
+    } else if (const auto* query =
+                 std::get_if<QueryClaimant>(&operation.mAction)) {
+      Perform(operation.mEntry,
+              entry.mClaims->OnClaimantReport(query->mTicket,
+                                              aLost ? ClaimReport()
+                                                    : operation.mReport,
+                                              seconds,
+                                              mNow));
     }
   }
 
   Millis mNow{ 1000 };
   std::array<Entry, kEntries> mEntries;
-  std::vector<Pending> mPending;
+  std::vector<PendingOperation> mPending;
   std::map<std::pair<std::string, uint64_t>, FoundClaim> mTable;
   int64_t mRevision = 0;
   bool mTableDown = false;
-  bool mHealed = false;
+  bool mFaultsEnded = false;
   std::map<RequestId, RequestRecord> mRequests;
   std::set<RequestId> mRunning;
   std::set<RequestId> mNotRun;
@@ -414,7 +427,7 @@
     for (int step = 0; step < kSteps; ++step) {
       fleet.Step();
     }
-    fleet.Heal();
+    fleet.EndFaults();
     fleet.CheckAll();
     fleet.CheckKeysAreFree();
     runs += fleet.Runs();
@@ -426,7 +439,7 @@
   cr_assert(reusedKeys > 10, "%d", reusedKeys);
 }
 
-Test(claims, what_waits_is_committed_together)
+Test(claims, waiting_claims_are_committed_together)
 {
   Claims claims({ .mAddress = "here" });
   size_t commits = 0;
@@ -439,15 +452,16 @@
       }
     }
   };
-  for (uint64_t each = 0; each < 30; ++each) {
-    count(claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0)));
+  for (uint64_t index = 0; index < 30; ++index) {
+    count(
+      claims.Claim({ Id(index), std::to_string(index), "f" }, 0, Millis(0)));
   }
   cr_assert(commits == 1 && writes == 1);
   count(claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(5)));
   cr_assert(commits == 2 && writes == 30);
 }
 
-Test(claims, a_lost_answer_is_settled_by_the_row)
+Test(claims, a_lost_commit_reply_is_resolved_by_the_row)
 {
   Claims claims({ .mAddress = "here" });
   claims.Claim({ Id(1), "key", "f" }, 0, Millis(0));
@@ -475,10 +489,10 @@
                   .mMaxRemembered = 10,
                   .mMaxCachedBytes = 1000,
                   .mMaxCachedAnswerSize = 300 });
-  for (uint64_t each = 0; each < 100; ++each) {
-    claims.Claim({ Id(each), std::to_string(each), "f" }, 0, Millis(0));
+  for (uint64_t index = 0; index < 100; ++index) {
+    claims.Claim({ Id(index), std::to_string(index), "f" }, 0, Millis(0));
     claims.OnCommitted({ ClaimCommitOutcome::Done, {} }, 0, Millis(0));
-    claims.Answered(Id(each), { 200, "text/plain", std::string(250, 'x') });
+    claims.Answered(Id(index), { 200, "text/plain", std::string(250, 'x') });
     cr_assert(claims.AnswerBytes() <= 1000);
   }
   cr_assert(claims.Remembered() == 10);
--- a/tests/unit/embeddingtest.cpp
+++ b/tests/unit/embeddingtest.cpp
@@ -15,9 +15,9 @@
 constexpr const char* kUpstream = "engine-1";
 
 /**
- * How to embed both cores: one entry, one sidecar, and an upstream that
+ * Example of embedding both cores: one entry, one sidecar, and an upstream that
  * answers each call with "Hello, " and "traveller" 20 ms apart. Every action is
- * carried out at once, every message arrives at once, and the time is ours.
+ * carried out at once, every message arrives at once, and time is virtual.
  */
 class Example
 {
@@ -37,7 +37,7 @@
     CarryOut(mEntry.OnChannelUp(kUpstream, mNow));
   }
 
-  /** Classifies a caller's request and hands it in. */
+  /** Classifies a caller's request and passes it to the entry. */
   void SendRequest(RequestId aId, const std::string& aBody)
   {
     const auto classified =
@@ -62,7 +62,7 @@
     CarryOut(mEntry.OnRequest(std::move(request), mNow));
   }
 
-  /** Lets time pass, from one due moment to the next. */
+  /** Advances the time from one wake-up to the next. */
   void RunUntil(Millis aEnd)
   {
     while (mNow < aEnd) {
@@ -79,7 +79,7 @@
   }
 
   std::string mAnswer;
-  bool mWhole = false;
+  bool mComplete = false;
   bool mRefused = false;
 
 private:
@@ -100,24 +100,29 @@
     return std::make_shared<const Classifier>(std::move(policy));
   }
 
-  /** Queued, so that what an action brings about comes after its fellows. */
+  /**
+   * Queued, so that the consequences of an action come after the other actions
+   * of its event.
+   */
   template<typename Actions>
   void CarryOut(Actions aActions)
   {
     for (auto& action : aActions) {
       std::visit(
-        [this](auto& aOne) {
-          mQueue.emplace_back(
-            [this, one = std::move(aOne)]() mutable { Do(std::move(one)); });
+        [this](auto& aTyped) {
+          mPendingActions.emplace_back(
+            [this, typed = std::move(aTyped)]() mutable {
+              Do(std::move(typed));
+            });
         },
         action);
     }
-    while (!mBusy && !mQueue.empty()) {
-      const auto next = std::move(mQueue.front());
-      mQueue.pop_front();
-      mBusy = true;
+    while (!mRunningAction && !mPendingActions.empty()) {
+      const auto next = std::move(mPendingActions.front());
+      mPendingActions.pop_front();
+      mRunningAction = true;
       next();
-      mBusy = false;
+      mRunningAction = false;
     }
   }
 
@@ -131,7 +136,7 @@
   }
   void Do(const AnswerHead&) {}
   void Do(const AnswerData& aAction) { mAnswer += aAction.mData; }
-  void Do(const AnswerEnd&) { mWhole = true; }
+  void Do(const AnswerEnd&) { mComplete = true; }
   void Do(const AnswerError&) { mRefused = true; }
 
   void Do(SendToEntry aAction)
@@ -149,11 +154,11 @@
   {
     const std::vector<std::string> words = { "Hello, ", "traveller" };
     mCallDue = mNow + Millis(20);
-    if (mWord == 0) {
+    if (mNextWord == 0) {
       CarryOut(mSidecar.OnCall(CallHead{ mCall, 200, {} }, mNow));
     }
-    if (mWord < words.size()) {
-      CarryOut(mSidecar.OnCall(CallData{ mCall, words[mWord++], 1 }, mNow));
+    if (mNextWord < words.size()) {
+      CarryOut(mSidecar.OnCall(CallData{ mCall, words[mNextWord++], 1 }, mNow));
     } else {
       mCallDue = Millis::Never();
       CarryOut(mSidecar.OnCall(CallDone{ mCall, 3, 2 }, mNow));
@@ -165,9 +170,9 @@
   SidecarCore mSidecar;
   AttemptKey mCall;
   Millis mCallDue = Millis::Never();
-  size_t mWord = 0;
-  std::deque<std::function<void()>> mQueue;
-  bool mBusy = false;
+  size_t mNextWord = 0;
+  std::deque<std::function<void()>> mPendingActions;
+  bool mRunningAction = false;
 };
 
 } // namespace
@@ -178,9 +183,9 @@
   example.SendRequest({ 1, 2 }, R"({"model":"base"})");
   example.RunUntil(Millis(1030));
   cr_assert(example.mAnswer == "Hello, ");
-  cr_assert_not(example.mWhole);
+  cr_assert_not(example.mComplete);
   example.RunUntil(Millis(2000));
   cr_assert(example.mAnswer == "Hello, traveller");
-  cr_assert(example.mWhole);
+  cr_assert(example.mComplete);
   cr_assert_not(example.mRefused);
 }
--- a/tests/unit/entrycoretest.cpp
+++ b/tests/unit/entrycoretest.cpp
@@ -11,7 +11,7 @@
 
 const RequestId kRequest{ 1, 2 };
 
-/** An entry with three welcomed upstreams, and what it did last. */
+/** An entry with three welcomed upstreams, and its last actions. */
 class EntryFixture
 {
 public:
@@ -40,7 +40,7 @@
     mActions = mCore.SetUpstreams(std::move(views), aLeaving, mNow);
   }
 
-  /** A policy that allows all, but for one upstream that is drained. */
+  /** Sets a policy that allows everything except one drained upstream. */
   void SetDrained(const UpstreamId& aName)
   {
     auto policy = std::make_shared<Policy>();
@@ -83,7 +83,7 @@
     mActions = mCore.OnMessage(aFrom, std::move(aMessage), mNow);
   }
 
-  /** The messages of one type that were sent by the last event. */
+  /** The messages of type T sent by the last event. */
   template<typename T>
   std::vector<std::pair<UpstreamId, T>> Sent() const
   {
@@ -98,14 +98,14 @@
     return sent;
   }
 
-  /** The answers' actions of one type that the last event gave. */
+  /** The actions of type T returned by the last event. */
   template<typename T>
   std::vector<T> ActionsOf() const
   {
     std::vector<T> actions;
     for (const EntryAction& action : mActions) {
-      if (const T* known = std::get_if<T>(&action)) {
-        actions.push_back(*known);
+      if (const T* typed = std::get_if<T>(&action)) {
+        actions.push_back(*typed);
       }
     }
     return actions;
@@ -137,7 +137,7 @@
   cr_assert(withdrawn[0].second.mKey == offers[0].second.mKey);
 }
 
-Test(entrycore, chunks_become_the_answer_and_the_end_needs_them_all)
+Test(entrycore, the_response_ends_only_after_all_chunks)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -156,7 +156,7 @@
   cr_assert_eq(fixture.mCore.OpenRequests(), 0);
 }
 
-Test(entrycore, declined_everywhere_ends_with_the_soonest_time_to_return)
+Test(entrycore, a_request_declined_everywhere_gets_the_earliest_retry_time)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -178,7 +178,7 @@
   cr_assert(refusal.mRetryAfter == Millis(500));
 }
 
-Test(entrycore, draining_upstreams_do_not_hide_why_the_others_declined)
+Test(entrycore, draining_upstreams_do_not_hide_other_decline_reasons)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -200,7 +200,7 @@
   cr_assert(refusal.mRetryAfter == Millis(800));
 }
 
-Test(entrycore, a_deadline_that_a_sidecar_saw_pass_ends_the_request)
+Test(entrycore, a_deadline_exceeded_at_a_sidecar_ends_the_request)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -213,7 +213,7 @@
   cr_assert_eq(fixture.Sent<Withdraw>().size(), 1);
 }
 
-Test(entrycore, a_caller_that_left_is_withdrawn_everywhere)
+Test(entrycore, a_request_whose_caller_left_is_withdrawn_everywhere)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -223,7 +223,7 @@
   cr_assert_eq(fixture.mCore.OpenRequests(), 0);
 }
 
-Test(entrycore, silence_with_something_at_stake_reopens_the_channel)
+Test(entrycore, silence_while_a_reply_is_awaited_reopens_the_channel)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -246,10 +246,12 @@
   fixture.Receive(upstream, Chunk{ key, 0, "one", 1, 200, {} });
   cr_assert(fixture.mActions.empty(), "a duplicate");
   fixture.Receive(offers[1].first, Chunk{ key, 1, "two", 1, 0, {} });
-  cr_assert(fixture.ActionsOf<AnswerData>().empty(), "from another upstream");
+  cr_assert(fixture.ActionsOf<AnswerData>().empty(),
+            "sent by another upstream");
   fixture.Receive(offers[1].first,
                   Chunk{ offers[1].second.mKey, 1, "two", 1, 0, {} });
-  cr_assert(fixture.ActionsOf<AnswerData>().empty(), "of another attempt");
+  cr_assert(fixture.ActionsOf<AnswerData>().empty(),
+            "belongs to another attempt");
   fixture.Receive(upstream, Chunk{ key, 2, "three", 1, 0, {} });
   cr_assert(fixture.ActionsOf<AnswerData>().empty(), "after a gap");
   cr_assert_eq(fixture.Sent<Resume>().at(0).second.mNextChunk, 1);
@@ -274,10 +276,10 @@
   }
 }
 
-Test(entrycore, a_full_entry_gives_up_the_lowest_tier_that_waits)
+Test(entrycore, a_full_entry_sheds_the_lowest_waiting_tier)
 {
   const bool holds = rc::check(
-    "a full entry gives up the lowest tier that waits",
+    "a full entry sheds the lowest waiting tier",
     [](const std::vector<std::pair<uint8_t, bool>>& aRequests) {
       EntryFixture fixture(4);
       std::map<RequestId, Tier> waiting;
@@ -291,8 +293,8 @@
           lowest = std::max(lowest, otherTier);
         }
         for (const AnswerError& refused : fixture.ActionsOf<AnswerError>()) {
-          const bool newcomer = refused.mId == id;
-          RC_ASSERT((newcomer ? tier : waiting.at(refused.mId)) == lowest);
+          const bool isArrival = refused.mId == id;
+          RC_ASSERT((isArrival ? tier : waiting.at(refused.mId)) == lowest);
           RC_ASSERT(refused.mRefusal.mRan == Ran::No);
           RC_ASSERT(refused.mRefusal.mRetryAfter > Millis());
           waiting.erase(refused.mId);
@@ -312,7 +314,7 @@
   cr_assert(holds);
 }
 
-Test(entrycore, an_upstream_that_leaves_gets_no_new_work_and_ends_the_old)
+Test(entrycore, a_leaving_upstream_gets_no_new_work_and_finishes_its_own)
 {
   const std::vector<UpstreamId> all = { "a", "b", "c" };
   for (int source = 0; source < 4; source++) {
@@ -356,7 +358,7 @@
   }
 }
 
-Test(entrycore, a_caller_that_left_stops_what_runs_and_hears_no_more)
+Test(entrycore, a_caller_that_left_stops_its_running_call_and_gets_no_more_data)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -379,14 +381,14 @@
   cr_assert(dump.find("question") == std::string::npos);
 }
 
-Test(entrycore, a_request_waits_a_moment_for_an_upstream_that_is_connecting)
+Test(entrycore, a_request_waits_briefly_for_a_connecting_upstream)
 {
-  for (const bool comes : { true, false }) {
+  for (const bool connects : { true, false }) {
     EntryFixture fixture;
     fixture.SetUpstreams({ "d" }, {});
     fixture.Request();
     cr_assert(fixture.mActions.empty());
-    if (comes) {
+    if (connects) {
       fixture.mCore.OnChannelUp("d", fixture.mNow);
       fixture.Receive("d", EntryFixture::WelcomeOf("d", 1));
       cr_assert_eq(fixture.Sent<Offer>().size(), 1);
@@ -399,11 +401,11 @@
     fixture.mNow += Millis(5000);
     fixture.Request();
     cr_assert_eq(
-      fixture.ActionsOf<AnswerError>().size(), 1, "dead for too long");
+      fixture.ActionsOf<AnswerError>().size(), 1, "unreachable for too long");
   }
 }
 
-Test(entrycore, what_no_upstream_serves_is_refused_at_once_with_its_reason)
+Test(entrycore, requests_no_upstream_serves_are_refused_at_once_with_a_reason)
 {
   EntryFixture fixture;
   fixture.SetUpstreams({}, {});
@@ -418,7 +420,7 @@
   cr_assert(refusal.mRetryAfter > Millis());
 }
 
-Test(entrycore, an_offer_that_a_ledger_has_closed_is_placed_anew)
+Test(entrycore, an_offer_closed_in_the_ledger_is_placed_again)
 {
   EntryFixture fixture;
   fixture.Request();
@@ -427,9 +429,9 @@
     fixture.Receive(upstream,
                     LedgerEntry{ offer.mKey, AttemptState::Unknown, 1 });
   }
-  const auto anew = fixture.Sent<Offer>();
-  cr_assert_not(anew.empty());
-  fixture.Receive(anew[0].first, Grant{ anew[0].second.mKey, Millis(1000) });
+  const auto again = fixture.Sent<Offer>();
+  cr_assert_not(again.empty());
+  fixture.Receive(again[0].first, Grant{ again[0].second.mKey, Millis(1000) });
   cr_assert_eq(fixture.Sent<Start>().size(), 1);
 }
 
--- a/tests/unit/entryfaultstest.cpp
+++ b/tests/unit/entryfaultstest.cpp
@@ -11,15 +11,17 @@
 
 constexpr Millis kFaultsEnd{ 16000 };
 constexpr Millis kMaxDeadline{ 20000 };
-/** Too short for some answers, and more than the sidecars ever foresee. */
+/**
+ * Too short for some responses, and more than sidecars ever refuse in advance.
+ */
 constexpr Millis kShortDeadline{ 500 };
 constexpr Millis kAmpleDeadline{ 10000 };
-/** By now every channel has been found silent and replaced. */
+/** By now every silent channel has been found and replaced. */
 constexpr Millis kRecoveredAt{ 40000 };
-/** Longer than every deadline and span together. */
+/** Longer than all deadlines and timeouts together. */
 constexpr Millis kRunEnd{ 60000 };
 
-/** Requests and faults drawn from one seed, and the checks on what came. */
+/** Requests and faults drawn from one seed. */
 class FaultScenario
 {
 public:
@@ -43,7 +45,7 @@
     return mFleet;
   }
 
-  /** Asked when all faults were over. */
+  /** Requests sent after all faults were over. */
   const std::vector<RequestId>& RequestsAfterFaults() const
   {
     return mRequestsAfterFaults;
@@ -134,7 +136,7 @@
   }
 }
 
-/** What is told of a request whose sidecar was restarted. */
+/** The error expected for a request whose sidecar was restarted. */
 ErrorKind
 ExpectedKindAfterRestart(const VirtualCaller& aCaller)
 {
@@ -147,39 +149,40 @@
 
 } // namespace
 
-Test(entryfaults, answers_are_whole_once_and_honest_under_faults)
+Test(entryfaults, responses_are_complete_unique_and_correct_under_faults)
 {
   std::map<std::string, int> endings;
-  const bool holds = rc::check(
-    "answers are whole, once and honest under faults", [&](uint64_t aSeed) {
-      const size_t faults = aSeed % 25;
-      FaultScenario scenario(
-        aSeed, faults, { .mCrash = 0.02, .mRefuse = 0.05 });
-      VirtualFleet& fleet = scenario.Run();
-      RC_ASSERT(fleet.Entry().OpenRequests() == 0U);
-      RC_ASSERT(fleet.DrainedAtOnce());
-      for (const RequestId& id : scenario.RequestsAfterFaults()) {
-        RC_ASSERT(fleet.Callers().at(id).mComplete);
-      }
-      for (const auto& [id, caller] : fleet.Callers()) {
-        CheckCaller(id, caller);
-        endings[caller.mComplete ? "whole"
-                : caller.mDisconnected
-                  ? "left"
-                  : std::string(Name(caller.mRefusal->mKind)) + " " +
-                      std::string(Name(caller.mRefusal->mRan))]++;
-      }
-    });
+  const bool holds =
+    rc::check("responses are complete, unique and correct under faults",
+              [&](uint64_t aSeed) {
+                const size_t faults = aSeed % 25;
+                FaultScenario scenario(
+                  aSeed, faults, { .mCrash = 0.02, .mRefuse = 0.05 });
+                VirtualFleet& fleet = scenario.Run();
+                RC_ASSERT(fleet.Entry().OpenRequests() == 0U);
+                RC_ASSERT(fleet.DrainedAtOnce());
+                for (const RequestId& id : scenario.RequestsAfterFaults()) {
+                  RC_ASSERT(fleet.Callers().at(id).mComplete);
+                }
+                for (const auto& [id, caller] : fleet.Callers()) {
+                  CheckCaller(id, caller);
+                  endings[caller.mComplete ? "whole"
+                          : caller.mDisconnected
+                            ? "left"
+                            : std::string(Name(caller.mRefusal->mKind)) + " " +
+                                std::string(Name(caller.mRefusal->mRan))]++;
+                }
+              });
   for (const auto& [ending, count] : endings) {
     std::cout << ending << ": " << count << "\n";
   }
   cr_assert(holds);
 }
 
-Test(entryfaults, without_faults_every_answer_is_whole_at_the_first_try)
+Test(entryfaults, without_faults_every_response_completes_on_the_first_attempt)
 {
   const bool holds =
-    rc::check("without faults every answer is whole at the first try",
+    rc::check("without faults every response completes on the first attempt",
               [](uint64_t aSeed) {
                 FaultScenario scenario(aSeed, 0, {});
                 VirtualFleet& fleet = scenario.Run();
@@ -192,18 +195,18 @@
   cr_assert(holds);
 }
 
-Test(entryfaults, silence_alone_costs_no_answer)
+Test(entryfaults, silent_channels_alone_lose_no_response)
 {
   const bool holds =
-    rc::check("silence alone costs no answer", [](uint64_t aSeed) {
+    rc::check("silent channels alone lose no response", [](uint64_t aSeed) {
       std::mt19937_64 random(aSeed);
       VirtualFleet fleet(aSeed, 2, {}, AnyUpstream());
       for (int i = 0; i < 20; i++) {
-        std::uniform_int_distribution<int64_t> span(1, 10000);
-        const Millis when(span(random));
-        fleet.At(when,
+        std::uniform_int_distribution<int64_t> time(1, 10000);
+        const Millis cutAt(time(random));
+        fleet.At(cutAt,
                  [&] { fleet.SendRequest(random() % 2 == 0, Millis(20000)); });
-        fleet.At(when + Millis(span(random) / 25), [&] {
+        fleet.At(cutAt + Millis(time(random) / 25), [&] {
           fleet.Silence(random() % 2 == 0 ? "engine-0" : "engine-1",
                         random() % 3 != 0,
                         random() % 3 != 0);
@@ -218,7 +221,7 @@
   cr_assert(holds);
 }
 
-Test(entryfaults, what_a_restart_lost_is_told_or_rerun_at_once)
+Test(entryfaults, requests_lost_in_a_restart_are_reported_or_rerun_at_once)
 {
   VirtualFleet fleet(3, 1, { .mMaxPause = Millis(1000) }, AnyUpstream());
   fleet.Run(Millis(2000));
@@ -245,7 +248,7 @@
   }
 }
 
-Test(entryfaults, a_busy_upstream_is_not_taken_for_a_silent_channel)
+Test(entryfaults, a_busy_upstream_is_not_mistaken_for_a_silent_channel)
 {
   VirtualFleet fleet(1, 1, { .mMaxPause = Millis(6000) }, AnyUpstream());
   for (int i = 1; i <= 20; i++) {
@@ -267,10 +270,10 @@
       fleet.Run(Millis(7000) + Millis(pause));
       fleet.Silence("engine-0", up, !up);
       const RequestId id = fleet.SendRequest(true, Millis(20000));
-      const Millis asked = fleet.Now();
-      fleet.Run(asked + Millis(10000));
+      const Millis sentAt = fleet.Now();
+      fleet.Run(sentAt + Millis(10000));
       cr_assert_eq(fleet.Reopened().size(), 1);
-      cr_assert(fleet.Reopened().at("engine-0") - asked <= Millis(2000));
+      cr_assert(fleet.Reopened().at("engine-0") - sentAt <= Millis(2000));
       cr_assert(fleet.Callers().at(id).mComplete);
     }
   }
--- a/tests/unit/leasetest.cpp
+++ b/tests/unit/leasetest.cpp
@@ -16,30 +16,30 @@
 constexpr size_t kProcesses = 3;
 constexpr int kSteps = 1500;
 
-struct Pending
+struct PendingOperation
 {
   size_t mProcess = 0;
   int mIncarnation = 0;
   LeaseAction mAction;
   bool mSlow = false;
   bool mExecuted = false;
-  bool mForgotten = false;
+  bool mReplyLost = false;
   LeaseFound mFound;
   LeaseWriteOutcome mResult = LeaseWriteOutcome::Unknown;
   int64_t mRevision = 0;
 };
 
-/** Processes with clocks of their own contend for one lease. */
-class Contenders : private ModelRandom
+/** Processes with independent clocks contend for one lease. */
+class LeaseContenders : private ModelRandom
 {
 public:
-  explicit Contenders(uint32_t aSeed)
+  explicit LeaseContenders(uint32_t aSeed)
     : ModelRandom(aSeed)
   {
-    for (size_t each = 0; each < kProcesses; ++each) {
-      mProcesses[each].mOffset = Draw(1000000);
-      mProcesses[each].mRate = 980 + Draw(41);
-      Boot(each);
+    for (size_t index = 0; index < kProcesses; ++index) {
+      mProcesses[index].mOffset = Draw(1000000);
+      mProcesses[index].mRate = 980 + Draw(41);
+      Boot(index);
     }
   }
 
@@ -67,23 +67,23 @@
         Advance(Draw(800));
         break;
       default:
-        MovePending();
+        AdvancePending();
     }
     CheckOneHolder();
   }
 
-  /** After the faults somebody gets it, and keeps it. */
-  void Heal()
+  /** After the faults one process gets the lease and keeps it. */
+  void EndFaults()
   {
     mTableDown = false;
-    mHealed = true;
-    for (size_t each = 0; each < kProcesses; ++each) {
-      mProcesses[each].mPaused = false;
-      SetWanted(each, true);
+    mFaultsEnded = true;
+    for (size_t index = 0; index < kProcesses; ++index) {
+      mProcesses[index].mPaused = false;
+      SetWanted(index, true);
     }
     for (int round = 0; round < 3000; ++round) {
-      for (int moves = 0; moves < 10; ++moves) {
-        MovePending();
+      for (int advances = 0; advances < 10; ++advances) {
+        AdvancePending();
       }
       Advance(20);
       CheckOneHolder();
@@ -91,8 +91,8 @@
     const size_t gains = mGains;
     RC_ASSERT(Holders() == 1U);
     for (int round = 0; round < 3000; ++round) {
-      for (int moves = 0; moves < 10; ++moves) {
-        MovePending();
+      for (int advances = 0; advances < 10; ++advances) {
+        AdvancePending();
       }
       Advance(20);
       RC_ASSERT(Holders() == 1U);
@@ -109,7 +109,7 @@
     int mIncarnation = 0;
     bool mPaused = false;
     int64_t mOffset = 0;
-    int64_t mRate = 1000; /**< thousandths of true time */
+    int64_t mRate = 1000; /**< thousandths of the true rate */
   };
 
   Millis Now(const Process& aProcess) const
@@ -154,10 +154,10 @@
   void Advance(int64_t aMillis)
   {
     mTime += aMillis;
-    for (size_t each = 0; each < kProcesses; ++each) {
-      Process& process = mProcesses[each];
+    for (size_t index = 0; index < kProcesses; ++index) {
+      Process& process = mProcesses[index];
       if (!process.mPaused && process.mLease->NextWake() <= Now(process)) {
-        Perform(each, process.mLease->OnTick(Now(process)));
+        Perform(index, process.mLease->OnTick(Now(process)));
       }
     }
   }
@@ -173,7 +173,7 @@
         mHighestNumber = gained->mFencingNumber;
         mNumberOwner = Owner(aProcess);
       } else if (!std::holds_alternative<LeaseEnded>(action)) {
-        Pending& pending = mPending.emplace_back();
+        PendingOperation& pending = mPending.emplace_back();
         pending.mProcess = aProcess;
         pending.mIncarnation = mProcesses[aProcess].mIncarnation;
         pending.mAction = std::move(action);
@@ -187,27 +187,27 @@
     return { aProcess, mProcesses[aProcess].mIncarnation };
   }
 
-  void MovePending()
+  void AdvancePending()
   {
     if (mPending.empty()) {
       return;
     }
-    const size_t place = Draw(static_cast<uint32_t>(mPending.size()));
-    Pending& one = mPending[place];
+    const size_t position = Draw(static_cast<uint32_t>(mPending.size()));
+    PendingOperation& operation = mPending[position];
     const bool mayExecute =
-      mHealed || ((!one.mSlow || Chance(2)) && !Fault(30));
-    if (!one.mExecuted && mayExecute) {
-      Execute(one);
-    } else if (one.mForgotten) {
-      if (one.mExecuted || Chance(one.mSlow ? 1 : 10)) {
-        EraseAt(mPending, place);
+      mFaultsEnded || ((!operation.mSlow || Chance(2)) && !Fault(30));
+    if (!operation.mExecuted && mayExecute) {
+      Execute(operation);
+    } else if (operation.mReplyLost) {
+      if (operation.mExecuted || Chance(operation.mSlow ? 1 : 10)) {
+        EraseAt(mPending, position);
       }
-    } else if (!mProcesses[one.mProcess].mPaused) {
-      Deliver(place, !one.mExecuted || (!mHealed && Fault(40)));
+    } else if (!mProcesses[operation.mProcess].mPaused) {
+      Deliver(position, !operation.mExecuted || (!mFaultsEnded && Fault(40)));
     }
   }
 
-  void Execute(Pending& aOne)
+  void Execute(PendingOperation& aOne)
   {
     aOne.mExecuted = true;
     if (mTableDown) {
@@ -227,37 +227,38 @@
     }
   }
 
-  void Deliver(size_t aPlace, bool aLost)
+  void Deliver(size_t aPosition, bool aLost)
   {
-    const Pending one = mPending[aPlace];
-    if (aLost && !one.mExecuted) {
-      mPending[aPlace].mForgotten = true;
+    const PendingOperation operation = mPending[aPosition];
+    if (aLost && !operation.mExecuted) {
+      mPending[aPosition].mReplyLost = true;
     } else {
-      EraseAt(mPending, aPlace);
+      EraseAt(mPending, aPosition);
     }
-    Process& process = mProcesses[one.mProcess];
-    if (process.mIncarnation != one.mIncarnation || one.mForgotten) {
+    Process& process = mProcesses[operation.mProcess];
+    if (process.mIncarnation != operation.mIncarnation ||
+        operation.mReplyLost) {
       return;
     }
     const Millis now = Now(process);
     Lease& lease = *process.mLease;
-    Perform(
-      one.mProcess,
-      std::holds_alternative<ReadLease>(one.mAction)
-        ? lease.OnRead(aLost ? LeaseFound() : one.mFound, now)
-        : lease.OnWritten(aLost ? LeaseWriteOutcome::Unknown : one.mResult,
-                          one.mRevision,
-                          now));
+    Perform(operation.mProcess,
+            std::holds_alternative<ReadLease>(operation.mAction)
+              ? lease.OnRead(aLost ? LeaseFound() : operation.mFound, now)
+              : lease.OnWritten(aLost ? LeaseWriteOutcome::Unknown
+                                      : operation.mResult,
+                                operation.mRevision,
+                                now));
   }
 
   int64_t mTime = 0;
   std::array<Process, kProcesses> mProcesses;
-  std::vector<Pending> mPending;
+  std::vector<PendingOperation> mPending;
   int64_t mRevision = 0;
   int64_t mLastRevision = 0;
   std::string mText;
   bool mTableDown = false;
-  bool mHealed = false;
+  bool mFaultsEnded = false;
   size_t mGains = 0;
   uint64_t mHighestNumber = 0;
   std::pair<size_t, int> mNumberOwner;
@@ -265,22 +266,22 @@
 
 } // namespace
 
-Test(lease, two_never_hold_it_over_random_faults)
+Test(lease, the_lease_never_has_two_holders_under_random_faults)
 {
   size_t gains = 0;
   const bool holds = rc::check([&](uint32_t aSeed) {
-    Contenders contenders(aSeed);
+    LeaseContenders contenders(aSeed);
     for (int step = 0; step < kSteps; ++step) {
       contenders.Step();
     }
-    contenders.Heal();
+    contenders.EndFaults();
     gains += contenders.Gains();
   });
   cr_assert(holds);
   cr_assert(gains > 300, "%zu", gains);
 }
 
-Test(lease, a_holder_that_slept_finds_out_before_it_acts)
+Test(lease, a_holder_that_slept_no_longer_holds_the_lease)
 {
   Lease lease({ .mHolder = "a" });
   lease.SetWanted(true, Millis(0));
@@ -292,8 +293,8 @@
   cr_assert(!lease.IsHeld(Millis(9600)));
 }
 
-/** A repeat was sent later, but the row may be the first one's. */
-Test(lease, a_late_write_is_not_taken_for_its_repeat)
+/** A repeat was sent later, but the row may be the first write's. */
+Test(lease, a_late_write_is_not_mistaken_for_its_repeat)
 {
   Lease lease({ .mHolder = "a" });
   lease.SetWanted(true, Millis(0));
@@ -312,7 +313,7 @@
   cr_assert(lease.FencingNumber() == 1);
 }
 
-Test(lease, given_back_it_goes_to_the_next_at_once)
+Test(lease, a_released_lease_goes_to_the_next_process_at_once)
 {
   Lease first({ .mHolder = "a" });
   first.SetWanted(true, Millis(0));
--- a/tests/unit/ledgertest.cpp
+++ b/tests/unit/ledgertest.cpp
@@ -19,11 +19,11 @@
 } // namespace
 
 /**
- * Over random ends and pauses: the bounds hold, the first word on a key
- * stands, and while no start has been forgotten every attempt that had started
- * is still known.
+ * Over random ends and pauses: the bounds hold, the first record of a key
+ * stays, and as long as no started attempt has been dropped, all of them are
+ * known.
  */
-Test(ledger, never_forgets_a_start_unsaid)
+Test(ledger, never_drops_a_started_attempt_unreported)
 {
   const bool holds = rc::check([] {
     constexpr size_t kLimit = 20;
@@ -60,8 +60,8 @@
   cr_assert(holds);
 }
 
-/** At the bound a voided attempt goes before one that had started. */
-Test(ledger, forgets_voided_attempts_first)
+/** At the limit voided attempts are dropped before started ones. */
+Test(ledger, drops_voided_attempts_first)
 {
   Ledger ledger({ .mRetention = Millis(1000), .mLimit = 3 });
   ledger.Close(KeyOf(1), Finished{ .mKey = KeyOf(1) }, Millis(1));
--- a/tests/unit/membershiptest.cpp
+++ b/tests/unit/membershiptest.cpp
@@ -33,18 +33,18 @@
 bool
 Has(const std::vector<SidecarMember>& aAll, const std::string& aUpstream)
 {
-  return std::any_of(aAll.begin(), aAll.end(), [&](const auto& aOne) {
-    return aOne.mUpstream == aUpstream;
+  return std::any_of(aAll.begin(), aAll.end(), [&](const auto& aMember) {
+    return aMember.mUpstream == aUpstream;
   });
 }
 
-/** How many of aOld are not in aNew. */
+/** Number of members of aOld that are not in aNew. */
 size_t
-Lost(const std::vector<SidecarMember>& aOld,
-     const std::vector<SidecarMember>& aNew)
+CountMissing(const std::vector<SidecarMember>& aOld,
+             const std::vector<SidecarMember>& aNew)
 {
-  return std::count_if(aOld.begin(), aOld.end(), [&](const auto& aOne) {
-    return !Has(aNew, aOne.mUpstream);
+  return std::count_if(aOld.begin(), aOld.end(), [&](const auto& aMember) {
+    return !Has(aNew, aMember.mUpstream);
   });
 }
 
@@ -56,7 +56,7 @@
 
 } // namespace
 
-Test(subset, a_change_moves_one_place_at_the_most)
+Test(subset, a_change_replaces_at_most_one_member)
 {
   const bool holds = rc::check([](uint32_t aSeed) {
     std::mt19937 random(aSeed);
@@ -72,19 +72,19 @@
     const std::string gone = fewer[place].mUpstream;
     fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(place));
     const auto after = ChooseSubset(entry, fewer, size);
-    RC_ASSERT(Lost(before, after) == (Has(before, gone) ? 1U : 0U));
+    RC_ASSERT(CountMissing(before, after) == (Has(before, gone) ? 1U : 0U));
 
     auto leaving = all;
     leaving[place].mLeaving = true;
     const auto during = ChooseSubset(entry, leaving, size);
-    RC_ASSERT(Lost(before, during) == 0U);
-    RC_ASSERT(Lost(after, during) == 0U);
+    RC_ASSERT(CountMissing(before, during) == 0U);
+    RC_ASSERT(CountMissing(after, during) == 0U);
   });
   cr_assert(holds);
 }
 
-/** At 340 entries and 910 sidecars of 8 models, 24 of each. */
-Test(subset, load_is_even_at_the_two_year_size)
+/** With 340 entries and 910 sidecars of 8 models, 24 of each per entry. */
+Test(subset, load_is_even_with_340_entries_and_910_sidecars)
 {
   constexpr size_t kEntries = 340;
   constexpr size_t kSidecars = 910;
@@ -96,17 +96,17 @@
     const auto chosen =
       ChooseSubset("entry-" + std::to_string(entry), all, kSize);
     cr_assert(chosen.size() == kModels * kSize);
-    for (const SidecarMember& one : chosen) {
-      ++channels[one.mUpstream];
+    for (const SidecarMember& member : chosen) {
+      ++channels[member.mUpstream];
     }
   }
   const double mean =
     double(kEntries) * kModels * kSize / static_cast<double>(kSidecars);
   size_t maxChannels = 0;
   size_t minChannels = kEntries;
-  for (const SidecarMember& one : all) {
-    maxChannels = std::max(maxChannels, channels[one.mUpstream]);
-    minChannels = std::min(minChannels, channels[one.mUpstream]);
+  for (const SidecarMember& member : all) {
+    maxChannels = std::max(maxChannels, channels[member.mUpstream]);
+    minChannels = std::min(minChannels, channels[member.mUpstream]);
   }
   cr_log_info("channels of a sidecar: %zu to %zu, mean %.1f",
               minChannels,
@@ -116,7 +116,7 @@
   cr_assert(minChannels > 0.6 * mean, "%zu of %f", minChannels, mean);
 }
 
-Test(membershipview, leaving_holds_at_once)
+Test(membershipview, leaving_takes_effect_at_once)
 {
   MembershipView view({});
   view.OnList(Listed({ Sidecar(1) }), Millis(0));
@@ -124,20 +124,20 @@
   cr_assert(now.mSidecars.size() == 1 && now.mSidecars[0].mLeaving);
 }
 
-Test(membershipview, one_read_without_a_host_is_not_believed)
+Test(membershipview, a_host_missing_from_one_read_is_kept)
 {
   MembershipView view({});
   const Membership both = Listed({ Sidecar(1), Sidecar(2) });
   view.OnList(both, Millis(0));
-  const Membership one = Listed({ Sidecar(1) });
-  cr_assert(view.OnList(one, Millis(1000)) == both);
+  const Membership member = Listed({ Sidecar(1) });
+  cr_assert(view.OnList(member, Millis(1000)) == both);
   cr_assert(view.OnList(both, Millis(2000)) == both);
-  cr_assert(view.OnList(one, Millis(3000)) == both);
-  cr_assert(view.OnList(one, Millis(4000)) == one);
+  cr_assert(view.OnList(member, Millis(3000)) == both);
+  cr_assert(view.OnList(member, Millis(4000)) == member);
   cr_assert(view.Missing() == 0);
 }
 
-Test(membershipview, a_fleet_that_vanishes_is_doubted_for_a_while)
+Test(membershipview, a_fleet_that_vanishes_at_once_is_kept_for_a_while)
 {
   MembershipView view({});
   const Membership all = Listed(Sidecars(12));
--- a/tests/unit/orderstest.cpp
+++ b/tests/unit/orderstest.cpp
@@ -15,18 +15,18 @@
 
 namespace {
 
-constexpr size_t kProcesses = 4; /**< two for each of two upstreams */
+constexpr size_t kProcesses = 4; /**< two per upstream, for two upstreams */
 constexpr size_t kSlots = 1;
 constexpr int kSteps = 2000;
 const Millis kMaxOrderDuration{ 2000 };
 
-struct Pending
+struct PendingOperation
 {
   size_t mProcess = 0;
   int mIncarnation = 0;
   OrderAction mAction;
   bool mExecuted = false;
-  bool mForgotten = false;
+  bool mReplyLost = false;
   LeaseFound mFound;
   LeaseWriteOutcome mEnd = LeaseWriteOutcome::Unknown;
   int64_t mRevision = 0;
@@ -43,16 +43,16 @@
   bool mDelayed = false;
 };
 
-/** Sidecars that replace each other give orders to the same engines. */
-class Site : private ModelRandom
+/** Sidecars that replace each other send orders to the same engines. */
+class EngineSite : private ModelRandom
 {
 public:
-  Site(uint32_t aSeed, bool aEnginesCheck)
+  EngineSite(uint32_t aSeed, bool aEnginesCheck)
     : ModelRandom(aSeed)
     , mEnginesCheck(aEnginesCheck)
   {
-    for (size_t each = 0; each < kProcesses; ++each) {
-      Boot(each);
+    for (size_t index = 0; index < kProcesses; ++index) {
+      Boot(index);
     }
   }
 
@@ -82,43 +82,44 @@
         Advance(Draw(700));
         break;
       default:
-        MovePending();
+        AdvancePending();
     }
   }
 
-  void Heal()
+  void EndFaults()
   {
     mTableDown = false;
-    mHealed = true;
+    mFaultsEnded = true;
     for (Process& process : mProcesses) {
       process.mPaused = false;
       process.mTableUnreachable = false;
     }
     for (int round = 0; round < 6000; ++round) {
-      for (int moves = 0; moves < 10; ++moves) {
-        MovePending();
+      for (int advances = 0; advances < 10; ++advances) {
+        AdvancePending();
       }
       Advance(50);
     }
     for (const Process& process : mProcesses) {
       RC_ASSERT(process.mOrders->Waiting() == 0U);
-      RC_ASSERT(process.mOpen == 0);
+      RC_ASSERT(process.mOpenOrders == 0);
     }
   }
 
-  /** What the engines saw. */
+  /** Checks the orders that the engines executed. */
   void CheckExecutions() const
   {
-    for (size_t one = 0; one < mExecutions.size(); ++one) {
+    for (size_t firstIndex = 0; firstIndex < mExecutions.size(); ++firstIndex) {
       size_t loads = 0;
-      const Execution& first = mExecutions[one];
-      for (size_t two = 0; two < mExecutions.size(); ++two) {
-        const Execution& other = mExecutions[two];
+      const Execution& first = mExecutions[firstIndex];
+      for (size_t otherIndex = 0; otherIndex < mExecutions.size();
+           ++otherIndex) {
+        const Execution& other = mExecutions[otherIndex];
         const bool during =
           other.mBegin <= first.mBegin && first.mBegin < other.mEnd;
-        const bool counts = !other.mDelayed && !first.mDelayed;
-        loads += during && counts && other.mLoad && first.mLoad ? 1 : 0;
-        if (two > one && other.mUpstream == first.mUpstream) {
+        const bool bothOnTime = !other.mDelayed && !first.mDelayed;
+        loads += during && bothOnTime && other.mLoad && first.mLoad ? 1 : 0;
+        if (otherIndex > firstIndex && other.mUpstream == first.mUpstream) {
           RC_ASSERT(other.mFencingNumber >= first.mFencingNumber);
           RC_ASSERT(mEnginesCheck ||
                     other.mFencingNumber == first.mFencingNumber ||
@@ -133,9 +134,9 @@
   size_t Handovers() const
   {
     size_t count = 0;
-    for (size_t place = 1; place < mExecutions.size(); ++place) {
-      count += mExecutions[place].mFencingNumber !=
-               mExecutions[place - 1].mFencingNumber;
+    for (size_t position = 1; position < mExecutions.size(); ++position) {
+      count += mExecutions[position].mFencingNumber !=
+               mExecutions[position - 1].mFencingNumber;
     }
     return count;
   }
@@ -151,9 +152,10 @@
     std::unique_ptr<Orders> mOrders;
     int mIncarnation = 0;
     bool mPaused = false;
-    bool mTableUnreachable = false; /**< it alone does not reach the table */
-    int mOpen = 0;
-    /** It sleeps between its check and its sending. */
+    bool mTableUnreachable =
+      false; /**< only this process can't reach the table */
+    int mOpenOrders = 0;
+    /** The process sleeps between its check and its sending. */
     std::optional<SendOrder> mDelayedOrder;
     Millis mDelayedUntil;
 
@@ -162,12 +164,12 @@
 
   void SendDelayedOrders()
   {
-    for (size_t each = 0; each < kProcesses; ++each) {
-      Process& process = mProcesses[each];
+    for (size_t index = 0; index < kProcesses; ++index) {
+      Process& process = mProcesses[index];
       if (process.mDelayedOrder && mNow >= process.mDelayedUntil) {
         const SendOrder send = *process.mDelayedOrder;
         process.mDelayedOrder.reset();
-        Arrive(each, send, true);
+        DeliverToEngine(index, send, true);
       }
     }
   }
@@ -176,7 +178,7 @@
   {
     Process& process = mProcesses[aProcess];
     ++process.mIncarnation;
-    process.mOpen = 0;
+    process.mOpenOrders = 0;
     process.mDelayedOrder.reset();
     process.mOrders = std::make_unique<Orders>(
       OrderOptions{ .mUpstream = "engine-" + std::to_string(aProcess % 2),
@@ -197,7 +199,7 @@
       return;
     }
     const bool load = Chance(60);
-    ++process.mOpen;
+    ++process.mOpenOrders;
     Perform(aProcess,
             process.mOrders->Submit(
               { std::to_string(++mLastId),
@@ -211,10 +213,10 @@
   {
     mNow += Millis(aMillis);
     SendDelayedOrders();
-    for (size_t each = 0; each < kProcesses; ++each) {
-      Process& process = mProcesses[each];
+    for (size_t index = 0; index < kProcesses; ++index) {
+      Process& process = mProcesses[index];
       if (process.IsActive() && process.mOrders->NextWake() <= mNow) {
-        Perform(each, process.mOrders->OnTick(mNow));
+        Perform(index, process.mOrders->OnTick(mNow));
       }
     }
   }
@@ -223,46 +225,48 @@
   {
     for (OrderAction& action : aActions) {
       if (std::holds_alternative<OrderEnded>(action)) {
-        --mProcesses[aProcess].mOpen;
+        --mProcesses[aProcess].mOpenOrders;
         continue;
       }
-      Pending& pending = mPending.emplace_back();
+      PendingOperation& pending = mPending.emplace_back();
       pending.mProcess = aProcess;
       pending.mIncarnation = mProcesses[aProcess].mIncarnation;
       pending.mAction = std::move(action);
     }
   }
 
-  void MovePending()
+  void AdvancePending()
   {
     if (mPending.empty()) {
       return;
     }
-    const size_t place = Draw(static_cast<uint32_t>(mPending.size()));
-    Pending& one = mPending[place];
-    const Process& process = mProcesses[one.mProcess];
-    if (const auto* send = std::get_if<SendOrder>(&one.mAction)) {
+    const size_t position = Draw(static_cast<uint32_t>(mPending.size()));
+    PendingOperation& operation = mPending[position];
+    const Process& process = mProcesses[operation.mProcess];
+    if (const auto* send = std::get_if<SendOrder>(&operation.mAction)) {
       if (process.IsActive()) {
         const SendOrder copy = *send;
-        const Pending taken = one;
-        EraseAt(mPending, place);
+        const PendingOperation taken = operation;
+        EraseAt(mPending, position);
         Attempt(taken, copy);
       }
       return;
     }
-    if (!one.mExecuted && (mHealed || !Fault(30))) {
-      Execute(one);
-    } else if (one.mForgotten) {
-      if (one.mExecuted || Chance(5)) {
-        EraseAt(mPending, place);
+    if (!operation.mExecuted && (mFaultsEnded || !Fault(30))) {
+      Execute(operation);
+    } else if (operation.mReplyLost) {
+      if (operation.mExecuted || Chance(5)) {
+        EraseAt(mPending, position);
       }
     } else if (process.IsActive()) {
-      Deliver(place, !one.mExecuted || (!mHealed && Fault(40)));
+      Deliver(position, !operation.mExecuted || (!mFaultsEnded && Fault(40)));
     }
   }
 
-  /** The process checks, sends, and the engine acts within kLongest. */
-  void Attempt(const Pending& aPending, const SendOrder& aSend)
+  /**
+   * The process checks and sends, and the engine acts within kMaxOrderDuration.
+   */
+  void Attempt(const PendingOperation& aPending, const SendOrder& aSend)
   {
     Process& process = mProcesses[aPending.mProcess];
     if (process.mIncarnation != aPending.mIncarnation) {
@@ -273,17 +277,17 @@
               process.mOrders->OnReply(OrderReply::NotSent, mNow));
       return;
     }
-    if (!mHealed && Fault(60)) {
+    if (!mFaultsEnded && Fault(60)) {
       process.mDelayedOrder = aSend;
       process.mDelayedUntil =
         mNow + Millis(Draw(static_cast<uint32_t>(kMaxOrderDuration.Count())));
       return;
     }
-    Arrive(aPending.mProcess, aSend, false);
+    DeliverToEngine(aPending.mProcess, aSend, false);
   }
 
   /** The order reaches the engine. */
-  void Arrive(size_t aProcess, const SendOrder& aSend, bool aDelayed)
+  void DeliverToEngine(size_t aProcess, const SendOrder& aSend, bool aDelayed)
   {
     Orders& orders = *mProcesses[aProcess].mOrders;
     const size_t upstream = aProcess % 2;
@@ -294,76 +298,79 @@
     }
     highest = aSend.mFencingNumber;
     const bool load = aSend.mOrder.mKind == OrderKind::LoadAdapter;
-    const bool lost = !mHealed && (aDelayed || Fault(30));
-    const Millis span =
+    const bool lost = !mFaultsEnded && (aDelayed || Fault(30));
+    const Millis duration =
       lost ? kMaxOrderDuration : Millis(static_cast<int64_t>(Draw(300)));
     const Millis begin = aDelayed ? mProcesses[aProcess].mDelayedUntil : mNow;
     mExecutions.push_back({ upstream,
                             aProcess,
                             aSend.mFencingNumber,
                             begin,
-                            begin + span,
+                            begin + duration,
                             load,
                             aDelayed });
     if (!lost) {
-      mNow += span; // nothing else moves meanwhile; the reply comes at once
+      mNow +=
+        duration; // nothing else happens meanwhile; the reply comes at once
     }
     Perform(
       aProcess,
       orders.OnReply(lost ? OrderReply::Unknown : OrderReply::Done, mNow));
   }
 
-  void Execute(Pending& aOne)
+  void Execute(PendingOperation& aOperation)
   {
-    aOne.mExecuted = true;
-    if (mTableDown || mProcesses[aOne.mProcess].mTableUnreachable) {
+    aOperation.mExecuted = true;
+    if (mTableDown || mProcesses[aOperation.mProcess].mTableUnreachable) {
       return;
     }
-    const auto& action = std::get<LeaseRowAction>(aOne.mAction);
+    const auto& action = std::get<LeaseRowAction>(aOperation.mAction);
     Row& row = mTable[action.mKey];
     const auto* write = std::get_if<WriteLease>(&action.mAction);
     if (write == nullptr) {
-      aOne.mFound = { true, row.mRevision, row.mText };
+      aOperation.mFound = { true, row.mRevision, row.mText };
       return;
     }
-    aOne.mEnd = LeaseWriteOutcome::Refused;
+    aOperation.mEnd = LeaseWriteOutcome::Refused;
     if (write->mRevision == row.mRevision) {
       row = { ++mLastRevision, write->mText };
-      aOne.mEnd = LeaseWriteOutcome::Done;
-      aOne.mRevision = row.mRevision;
+      aOperation.mEnd = LeaseWriteOutcome::Done;
+      aOperation.mRevision = row.mRevision;
     }
   }
 
-  void Deliver(size_t aPlace, bool aLost)
+  void Deliver(size_t aPosition, bool aLost)
   {
-    const Pending one = mPending[aPlace];
-    if (aLost && !one.mExecuted) {
-      mPending[aPlace].mForgotten = true;
+    const PendingOperation operation = mPending[aPosition];
+    if (aLost && !operation.mExecuted) {
+      mPending[aPosition].mReplyLost = true;
     } else {
-      EraseAt(mPending, aPlace);
+      EraseAt(mPending, aPosition);
     }
-    Process& process = mProcesses[one.mProcess];
-    if (process.mIncarnation != one.mIncarnation || one.mForgotten) {
+    Process& process = mProcesses[operation.mProcess];
+    if (process.mIncarnation != operation.mIncarnation ||
+        operation.mReplyLost) {
       return;
     }
-    const auto& action = std::get<LeaseRowAction>(one.mAction);
+    const auto& action = std::get<LeaseRowAction>(operation.mAction);
     const bool reads = std::holds_alternative<ReadLease>(action.mAction);
-    const LeaseFound found = aLost ? LeaseFound() : one.mFound;
-    const LeaseWriteOutcome end = aLost ? LeaseWriteOutcome::Unknown : one.mEnd;
-    Perform(one.mProcess,
+    const LeaseFound found = aLost ? LeaseFound() : operation.mFound;
+    const LeaseWriteOutcome end =
+      aLost ? LeaseWriteOutcome::Unknown : operation.mEnd;
+    Perform(operation.mProcess,
             reads ? process.mOrders->OnLeaseRead(action.mKey, found, mNow)
                   : process.mOrders->OnLeaseWritten(
-                      action.mKey, end, one.mRevision, mNow));
+                      action.mKey, end, operation.mRevision, mNow));
   }
 
   bool mEnginesCheck;
   Millis mNow{ 1000 };
   std::array<Process, kProcesses> mProcesses;
-  std::vector<Pending> mPending;
+  std::vector<PendingOperation> mPending;
   std::map<std::string, Row> mTable;
   int64_t mLastRevision = 0;
   bool mTableDown = false;
-  bool mHealed = false;
+  bool mFaultsEnded = false;
   uint64_t mLastId = 0;
   std::array<uint64_t, 2> mHighest{};
   std::vector<Execution> mExecutions;
@@ -375,14 +382,14 @@
   size_t executions = 0;
   size_t handovers = 0;
   const bool holds = rc::check([&](uint32_t aSeed) {
-    Site site(aSeed, aEnginesCheck);
+    EngineSite engineSite(aSeed, aEnginesCheck);
     for (int step = 0; step < kSteps; ++step) {
-      site.Step();
+      engineSite.Step();
     }
-    site.Heal();
-    site.CheckExecutions();
-    executions += site.Executions();
-    handovers += site.Handovers();
+    engineSite.EndFaults();
+    engineSite.CheckExecutions();
+    executions += engineSite.Executions();
+    handovers += engineSite.Handovers();
   });
   cr_assert(holds);
   cr_assert(
@@ -391,12 +398,12 @@
 
 } // namespace
 
-Test(orders, an_engine_that_ignores_numbers_never_serves_two_holders)
+Test(orders, an_engine_that_ignores_fencing_never_serves_two_holders)
 {
   CheckSites(false);
 }
 
-Test(orders, an_engine_that_checks_numbers_sees_them_rise)
+Test(orders, an_engine_that_checks_fencing_sees_rising_numbers)
 {
   CheckSites(true);
 }
@@ -417,7 +424,7 @@
 const EngineOrder kUnload{ "1", OrderKind::UnloadAdapter, "x", "" };
 const std::string kKey = "lease/orders/e";
 
-/** Has the lease at time 0, whose row was like this before. */
+/** Holds the lease from time 0, after the row was aBefore. */
 Orders
 OrdersHoldingLease(const LeaseFound& aBefore)
 {
@@ -429,7 +436,7 @@
 }
 
 bool
-GivesBack(const OrderActions& aActions)
+ReleasesLease(const OrderActions& aActions)
 {
   return std::any_of(
     aActions.begin(), aActions.end(), [](const OrderAction& aAction) {
@@ -443,7 +450,7 @@
 
 } // namespace
 
-Test(orders, no_order_is_sent_that_the_lease_may_not_outlast)
+Test(orders, no_order_is_sent_that_may_outlast_the_lease)
 {
   const Orders orders = OrdersHoldingLease({ true, 0, "" });
   cr_assert(orders.MaySend(Millis(0)));
@@ -451,7 +458,7 @@
   cr_assert(!orders.MaySend(Millis(7600)));
 }
 
-Test(orders, a_successor_waits_for_what_the_holder_before_may_have_sent)
+Test(orders, a_successor_waits_for_orders_the_previous_holder_may_have_sent)
 {
   Orders orders(OptionsWithoutFencing());
   orders.Submit(kUnload, Millis(0));
@@ -464,25 +471,25 @@
   orders.OnLeaseWritten(kKey, LeaseWriteOutcome::Done, 9, Millis(5000));
   cr_assert(!orders.MaySend(Millis(6900)));
   cr_assert(orders.MaySend(Millis(7000)));
-  const Orders given =
+  const Orders afterRelease =
     OrdersHoldingLease({ true, 5, LeaseRowToText({ "", 3, 1, Millis(4000) }) });
-  cr_assert(given.MaySend(Millis(0)));
+  cr_assert(afterRelease.MaySend(Millis(0)));
 }
 
-Test(orders, the_lease_is_kept_while_an_order_may_be_at_work)
+Test(orders, the_lease_is_kept_while_an_order_may_be_executing)
 {
   Orders done = OrdersHoldingLease({ true, 0, "" });
-  cr_assert(GivesBack(done.OnReply(OrderReply::Done, Millis(100))));
+  cr_assert(ReleasesLease(done.OnReply(OrderReply::Done, Millis(100))));
   Orders lost = OrdersHoldingLease({ true, 0, "" });
   lost.OnReply(OrderReply::Unknown, Millis(7000));
-  cr_assert(!GivesBack(lost.OnTick(Millis(8000))));
+  cr_assert(!ReleasesLease(lost.OnTick(Millis(8000))));
   const auto renewed = [&](int64_t aNow) {
     return lost.OnLeaseWritten(
       kKey, LeaseWriteOutcome::Done, aNow, Millis(aNow));
   };
-  cr_assert(!GivesBack(renewed(8000)));
-  const bool givesBack =
-    GivesBack(lost.OnTick(Millis(9000))) || GivesBack(renewed(9001));
-  cr_assert(givesBack);
+  cr_assert(!ReleasesLease(renewed(8000)));
+  const bool released =
+    ReleasesLease(lost.OnTick(Millis(9000))) || ReleasesLease(renewed(9001));
+  cr_assert(released);
   cr_assert(lost.Waiting() == 0);
 }
--- a/tests/unit/outputestimatortest.cpp
+++ b/tests/unit/outputestimatortest.cpp
@@ -9,7 +9,7 @@
 
 using namespace trefoilarch;
 
-Test(outputestimator, workspaces_and_classes_are_told_apart)
+Test(outputestimator, workspaces_and_classes_are_estimated_separately)
 {
   OutputEstimator estimator;
   cr_assert_eq(estimator.Estimate("agents", "rail", 0), 256);
@@ -23,7 +23,7 @@
   cr_assert(rail > 1600 && rail < 2400);
   cr_assert(bus > 80 && bus < 150);
   const double other = estimator.Estimate("agents", "ferry", 0);
-  cr_assert(other > 800 && other < 1300, "as its class");
+  cr_assert(other > 800 && other < 1300, "uses the class's lengths");
   cr_assert(estimator.Estimate("prices", "yard", 0) < 30);
   cr_assert_leq(estimator.Estimate("agents", "rail", 50), 50);
 }
--- a/tests/unit/scheduletest.cpp
+++ b/tests/unit/scheduletest.cpp
@@ -34,7 +34,7 @@
            .mWeight = 1.0 + aWorkspace };
 }
 
-/** A schedule beside a naive record of what it must hold. */
+/** A schedule and a naive model of its contents. */
 class Model
 {
 public:
@@ -48,7 +48,7 @@
     mWaiting.push_back(request);
     ClassRecord& record = mClasses[request.mLevel.mClass];
     if (CountOf(request.mLevel.mClass) == 1) {
-      Restart(record);
+      ResetWait(record);
     }
   }
 
@@ -86,7 +86,7 @@
     TakeFloors();
   }
 
-  /** As the sidecar does after regular turns and at each wake. */
+  /** As the sidecar does after regular dispatches and at each wake-up. */
   void TakeFloors()
   {
     while (const auto dispatch = mSchedule.NextFloorDispatch(kCapacity, mNow)) {
@@ -121,9 +121,9 @@
     }
   }
 
-  void AdvanceTime(Millis aSpan)
+  void AdvanceTime(Millis aDuration)
   {
-    const Millis until = mNow + aSpan;
+    const Millis until = mNow + aDuration;
     while (mSchedule.NextWake() <= until) {
       mNow = std::max(mNow, mSchedule.NextWake());
       mSchedule.TakeLate(mNow);
@@ -200,7 +200,7 @@
     Millis mWaitingSince{};
   };
 
-  void Restart(ClassRecord& aRecord) const
+  void ResetWait(ClassRecord& aRecord) const
   {
     aRecord.mOthersStarts = 0;
     aRecord.mWaitingSince = mNow;
@@ -214,16 +214,19 @@
     Forget(aDispatch.mKey);
     ClassRecord& record = mClasses[request.mLevel.mClass];
     if (aDispatch.mFloor) {
-      CheckFloorRoom(request, record);
+      CheckFloorCapacity(request, record);
     }
     record.mFloorTokens += floorTokens;
-    Restart(record);
+    ResetWait(record);
     record.mRunning.push_back({ request.mLevel, floorTokens });
   }
 
-  /** Floor starts stay within their part of the room, one apart. */
-  static void CheckFloorRoom(const WaitingRequest& aRequest,
-                             const ClassRecord& aRecord)
+  /**
+   * Floor starts stay within their fraction of the capacity, except for a
+   * single one.
+   */
+  static void CheckFloorCapacity(const WaitingRequest& aRequest,
+                                 const ClassRecord& aRecord)
   {
     const uint64_t tokens = aRecord.mFloorTokens + aRequest.mTokens;
     RC_ASSERT(aRecord.mFloorTokens == 0 ||
@@ -273,11 +276,12 @@
 } // namespace
 
 /**
- * Over random arrivals, turns, ends, removals and pauses: tiers are strict in
- * regular turns, nothing is lost or taken twice, each class that waits starts
- * within its stated bound, and whom to shed is of the lowest tier.
+ * Over random arrivals, dispatches, ends, removals and pauses: tiers are strict
+ * in regular dispatches, no request is lost or dispatched twice, each waiting
+ * class starts within its documented bound, and the shed request is of the
+ * lowest tier.
  */
-Test(schedule, keeps_its_promises)
+Test(schedule, keeps_its_documented_guarantees)
 {
   const bool holds = rc::check([] {
     Model model;
@@ -308,9 +312,8 @@
 }
 
 /**
- * Two workspaces of a class that always wait get tokens in proportion to
- * their weights, whatever the sizes of their requests, up to one request of
- * each.
+ * Two workspaces of a class that always wait get tokens in proportion to their
+ * weights, whatever the sizes of their requests, up to one request of each.
  */
 Test(schedule, shares_are_fair_by_tokens)
 {
@@ -344,7 +347,7 @@
   cr_assert(holds);
 }
 
-/** A workspace that was away can't claim what it did not use meanwhile. */
+/** A workspace gains no credit for the time in which it sent no requests. */
 Test(schedule, absence_earns_no_credit)
 {
   Schedule schedule;
