--- a/tests/unit/sidecarcoretest.cpp
+++ b/tests/unit/sidecarcoretest.cpp
@@ -30,7 +30,7 @@
            .mIdempotent = true };
 }
 
-/** A core with one entry, and a short way to look at its actions. */
+/** A core with one entry, and accessors for its last actions. */
 class SidecarFixture
 {
 public:
@@ -50,8 +50,7 @@
     mActions = mCore.OnCall(std::move(aEvent), mNow);
   }
 
-  /** Lets time pass, at the end of which the entry still gives signs of life
-   * or does not. */
+  /** Advances the time. At the end the entry sends a heartbeat if aAlive. */
   void AdvanceTime(int64_t aMillis, bool aAlive = true)
   {
     mNow += Millis(aMillis);
@@ -122,7 +121,7 @@
 
 } // namespace
 
-Test(sidecarcore, answer_goes_whole_and_numbered)
+Test(sidecarcore, response_is_complete_and_numbered)
 {
   SidecarFixture fixture;
   fixture.StartOne(1);
@@ -144,7 +143,7 @@
   cr_assert(fixture.mCore.Idle());
 }
 
-Test(sidecarcore, empty_answer_still_has_its_head)
+Test(sidecarcore, empty_response_still_has_its_head)
 {
   SidecarFixture fixture;
   fixture.StartOne(1);
@@ -166,7 +165,7 @@
   cr_assert_eq(fixture.mCore.CurrentLoad().mWaiting, 1);
 }
 
-Test(sidecarcore, lapsed_grant_is_voided_for_good)
+Test(sidecarcore, expired_grant_is_voided_for_good)
 {
   SidecarFixture fixture({ .mGrantTimeout = Millis(100) });
   fixture.Message(OfferOf(1));
@@ -178,7 +177,7 @@
   cr_assert_eq(fixture.mCore.CurrentLoad().mRunning, 0);
 }
 
-Test(sidecarcore, start_late_by_the_clock_is_voided_before_any_tick)
+Test(sidecarcore, late_start_is_voided_before_any_tick)
 {
   SidecarFixture fixture({ .mGrantTimeout = Millis(100) });
   fixture.Message(OfferOf(1));
@@ -202,7 +201,7 @@
   cr_assert(fixture.mActions.empty());
 }
 
-Test(sidecarcore, void_or_report_tells_what_became_of_it)
+Test(sidecarcore, void_or_report_reports_the_state)
 {
   SidecarFixture fixture;
   fixture.StartOne(1);
@@ -219,7 +218,7 @@
   cr_assert_not_null(fixture.Sent<Voided>());
 }
 
-Test(sidecarcore, forgotten_attempt_is_never_said_not_to_have_run)
+Test(sidecarcore, dropped_attempt_is_never_reported_as_not_run)
 {
   SidecarFixture fixture({ .mLedgerRetention = Millis(1000) });
   fixture.StartOne(1);
@@ -233,7 +232,7 @@
   cr_assert_null(fixture.Sent<Voided>());
 }
 
-Test(sidecarcore, resume_sends_again_from_the_chunk_asked_for)
+Test(sidecarcore, resume_sends_again_from_the_requested_chunk)
 {
   SidecarFixture fixture;
   fixture.StartOne(1);
@@ -246,7 +245,7 @@
   cr_assert(fixture.mActions.empty());
   fixture.Message(Hello{ .mEntry = "e", .mDataCentre = "d" });
   fixture.Event(CallData{ .mKey = KeyOf(1), .mData = "x", .mTokens = 1 });
-  cr_assert(fixture.mActions.empty(), "nothing flows before Resume");
+  cr_assert(fixture.mActions.empty(), "nothing is sent before Resume");
   fixture.Message(Resume{ .mKey = KeyOf(1), .mNextChunk = 2 });
   cr_assert(fixture.Chunks() == std::vector<uint64_t>({ 2, 3, 4, 5 }));
   fixture.Event(CallDone{ .mKey = KeyOf(1) });
@@ -257,7 +256,7 @@
   cr_assert_eq(fixture.Sent<Finished>()->mChunks, 6);
 }
 
-Test(sidecarcore, lost_entry_voids_what_waits_and_orphans_what_runs)
+Test(sidecarcore, lost_entry_voids_waiting_and_orphans_running_attempts)
 {
   SidecarFixture fixture(
     { .mOrphanTimeout = Millis(5000), .mInitialTokenCapacity = 200 });
@@ -272,7 +271,7 @@
   cr_assert_eq(fixture.mCore.CurrentLoad().mRunning, 0);
 }
 
-Test(sidecarcore, drain_declines_what_waits_and_finishes_what_runs)
+Test(sidecarcore, drain_declines_waiting_and_finishes_running_attempts)
 {
   SidecarFixture fixture({ .mInitialTokenCapacity = 200 });
   fixture.StartOne(1);
@@ -292,7 +291,7 @@
   cr_assert_not_null(fixture.Sent<Grant>());
 }
 
-Test(sidecarcore, passed_deadline_frees_its_place_at_once)
+Test(sidecarcore, passed_deadline_frees_the_queue_place_at_once)
 {
   SidecarFixture fixture({ .mInitialTokenCapacity = 200 });
   fixture.StartOne(1);
@@ -322,11 +321,11 @@
 }
 
 /**
- * A request of a higher tier that is about to miss its first token takes the
- * room of a lower tier's work that can be rerun without a trace, of nothing
- * else, and not before it is needed.
+ * A request of a higher tier that is about to miss its first-token target
+ * preempts work of a lower tier that can be rerun without a visible effect,
+ * nothing else, and not earlier than needed.
  */
-Test(sidecarcore, preempts_only_what_can_be_rerun_without_a_trace)
+Test(sidecarcore, preempts_only_what_can_be_rerun_invisibly)
 {
   const auto run = [](bool aIdempotent, bool aHasOutput, Tier aTier) {
     SidecarFixture fixture(
@@ -359,9 +358,11 @@
   cr_assert_not(run(true, false, 0));
 }
 
-/** What is preempted must make the room that is needed: here a prompt that
- * may not be preempted holds up the higher tier as well. */
-Test(sidecarcore, preempts_nothing_in_vain)
+/**
+ * Preemption must free the needed capacity: here a prompt that can't be
+ * preempted blocks the higher tier as well.
+ */
+Test(sidecarcore, preempts_nothing_that_does_not_help)
 {
   SidecarFixture fixture({ .mMaxRunning = 2 });
   const auto start = [&](uint64_t aNumber, uint32_t aPrompt, bool aIdempotent) {
@@ -384,9 +385,11 @@
   cr_assert_not_null(fixture.Sent<Grant>());
 }
 
-/** An upstream too slow for a class leaves its requests to others for a
- * moment, and not for good: the others may be as slow. */
-Test(sidecarcore, slow_upstream_holds_a_turn_back_for_a_moment)
+/**
+ * An upstream too slow for a class leaves its requests to others for a short
+ * time only, as the others may be as slow.
+ */
+Test(sidecarcore, slow_upstream_holds_a_dispatch_back_briefly)
 {
   SidecarFixture fixture;
   fixture.StartOne(1);
@@ -400,10 +403,10 @@
   cr_assert_not_null(fixture.Sent<Grant>());
   fixture.AdvanceTime(3000);
   fixture.Message(OfferOf(3));
-  cr_assert_not_null(fixture.Sent<Grant>(), "an old measurement says nothing");
+  cr_assert_not_null(fixture.Sent<Grant>(), "an old measurement is ignored");
 }
 
-/** A plain service has no tokens; its room is a number of calls. */
+/** A plain service has no tokens; its capacity is a number of calls. */
 Test(sidecarcore, service_is_counted_in_calls)
 {
   SidecarFixture fixture({ .mTokenStream = false, .mMaxRunning = 2 });
@@ -418,8 +421,10 @@
   cr_assert_not_null(fixture.Sent<Grant>());
 }
 
-/** Nobody acknowledges a failure, so nothing may wait for that: the entry has
- * closed the attempt and gives few signs of life. The ledger answers for it. */
+/**
+ * Failures are not acknowledged, so nothing may wait for an Ack: the entry has
+ * closed the attempt and sends few messages. The ledger answers for it.
+ */
 Test(sidecarcore, failed_attempt_is_over_at_once)
 {
   SidecarFixture fixture;
@@ -437,9 +442,11 @@
   cr_assert_eq(fixture.Sent<Failed>()->mChunks, 1);
 }
 
-/** Sidecar to entry alone works: the sidecar goes silent too, so that the
- * entry replaces the channel. */
-Test(sidecarcore, entry_that_falls_silent_must_say_hello_again)
+/**
+ * If only the direction from sidecar to entry works, the sidecar becomes silent
+ * too, so that the entry replaces the channel.
+ */
+Test(sidecarcore, silent_entry_must_send_hello_again)
 {
   SidecarFixture fixture({ .mEntrySilenceTimeout = Millis(2000) });
   fixture.StartOne(1);
@@ -457,8 +464,10 @@
   cr_assert(fixture.Chunks() == std::vector<uint64_t>({ 0 }));
 }
 
-/** An entry that watches for silence must hear of its open requests. */
-Test(sidecarcore, first_open_attempt_hastens_the_heartbeat)
+/**
+ * An entry that watches for silence must get heartbeats for its open requests.
+ */
+Test(sidecarcore, first_open_attempt_speeds_up_the_heartbeat)
 {
   SidecarFixture fixture(
     { .mInitialTokenCapacity = 200, .mMaxTokenCapacity = 200 });
--- a/tests/unit/upstreamcapacitytest.cpp
+++ b/tests/unit/upstreamcapacitytest.cpp
@@ -15,17 +15,17 @@
                                             .mMaxRunning = 64 };
 constexpr Millis kWindow{ 250 };
 
-/** Windows of equal measurements while somebody wants more room. */
+/** Adds windows of equal measurements while requests are kept out. */
 void
 MeasureWindows(UpstreamCapacity& aCapacity,
                double aBetween,
                int aWindows,
                Millis& aNow)
 {
-  const CapacityShare wanted{ .mTokens = 1000000 };
+  const CapacityShare share{ .mTokens = 1000000 };
   for (int window = 0; window < aWindows; ++window) {
     aNow += kWindow;
-    aCapacity.OnLimited(wanted);
+    aCapacity.OnLimited(share);
     aCapacity.OnBetweenTokens(aBetween, 10);
     aCapacity.Adapt(aNow);
   }
@@ -33,8 +33,10 @@
 
 } // namespace
 
-/** Whatever is measured, the room neither closes nor grows past its bound, and
- * what has been released is free again. */
+/**
+ * Whatever is measured, the limit neither drops to zero nor exceeds its bound,
+ * and what has been released is free again.
+ */
 Test(capacity, never_closes)
 {
   const bool holds = rc::check([] {
@@ -79,8 +81,10 @@
   cr_assert(holds);
 }
 
-/** Times within the targets widen the room to its bound; once they exceed the
- * targets it shrinks, and when they are good again it comes back. */
+/**
+ * Times within the targets raise the limit to its bound; times above them lower
+ * it, and when they are good again it recovers.
+ */
 Test(capacity, follows_the_measured_times)
 {
   UpstreamCapacity capacity(kOptions);
@@ -92,15 +96,17 @@
   const uint64_t shrunk = capacity.Limit();
   cr_assert_lt(shrunk, kOptions.mMaxLimit);
   MeasureWindows(capacity, 1.5, 5, now);
-  cr_assert_eq(capacity.Limit(), shrunk, "waits until the use has come down");
+  cr_assert_eq(capacity.Limit(), shrunk, "waits until the use has decreased");
   capacity.Release({ .mTokens = kOptions.mMaxLimit });
   MeasureWindows(capacity, 0.5, 40, now);
   cr_assert_eq(capacity.Limit(), kOptions.mMaxLimit);
 }
 
-/** An upstream that is three times too slow from the first keeps its room:
- * less would not make it quicker. */
-Test(capacity, does_not_shrink_for_what_it_cannot_better)
+/**
+ * An upstream that is three times too slow from the start keeps its limit, as a
+ * lower one would not make it faster.
+ */
+Test(capacity, does_not_shrink_if_that_gains_nothing)
 {
   UpstreamCapacity capacity(kOptions);
   Millis now(1000);
@@ -111,13 +117,14 @@
   capacity.Take({ .mTokens = capacity.Limit() });
   const uint64_t before = capacity.Limit();
   MeasureWindows(capacity, 6, 1, now);
-  cr_assert_lt(capacity.Limit(), before, "what is worse than its best can be");
+  cr_assert_lt(
+    capacity.Limit(), before, "times worse than the best lower the limit");
 }
 
-/** A lower tier leaves room for a burst of a higher one that was seen. */
-Test(capacity, lower_tier_leaves_room_for_a_burst)
+/** A lower tier leaves capacity for a burst of a higher one that was seen. */
+Test(capacity, lower_tier_leaves_capacity_for_a_burst)
 {
-  const auto places = [](bool aSeen) {
+  const auto fittingCalls = [](bool aSeen) {
     UpstreamCapacity capacity(
       { .mInitialLimit = 100, .mMaxLimit = 100, .mMaxRunning = 100 });
     if (aSeen) {
@@ -134,12 +141,12 @@
     cr_assert(capacity.Fits({ .mTokens = 1, .mTier = 0 }) == aSeen);
     return count;
   };
-  cr_assert_eq(places(false), 84);
-  cr_assert_eq(places(true), 80);
+  cr_assert_eq(fittingCalls(false), 84);
+  cr_assert_eq(fittingCalls(true), 80);
 }
 
-/** What runs beside the room takes no place from the tiers above. */
-Test(capacity, beside_counts_only_downwards)
+/** What runs outside the limit takes no capacity from higher tiers. */
+Test(capacity, use_outside_the_limit_counts_only_for_lower_tiers)
 {
   UpstreamCapacity capacity(
     { .mInitialLimit = 100, .mMaxLimit = 100, .mMaxRunning = 100 });
@@ -149,9 +156,11 @@
   cr_assert_not(capacity.Fits({ .mTokens = 20, .mTier = 3 }));
 }
 
-/** An upstream that can't be reached is tried again, one call at a time, more
- * and more rarely. */
-Test(capacity, pauses_for_an_upstream_out_of_reach)
+/**
+ * An unreachable upstream is tried again, one call at a time, less and less
+ * often.
+ */
+Test(capacity, pauses_for_an_unreachable_upstream)
 {
   UpstreamCapacity capacity(kOptions);
   Millis now(1000);
--- a/tests/unit/virtualfleet.h
+++ b/tests/unit/virtualfleet.h
@@ -21,9 +21,9 @@
 namespace trefoilarch {
 
 /**
- * One EntryCore and several SidecarCores with small fakes of upstreams, joined
- * by a fake network in virtual time. Throws where a rule of the interface is
- * broken. All chance comes from the seed.
+ * One EntryCore and several SidecarCores with simple fakes of upstreams,
+ * connected by a fake network in virtual time. Throws if a rule of the
+ * interface is broken. All randomness comes from the seed.
  */
 class VirtualFleet
 {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** The answer that every upstream gives to the request. */
+  /** The response that every upstream gives to the request. */
   static std::string TrueAnswer(RequestId aId)
   {
     std::string answer;
@@ -78,7 +78,7 @@
         return;
       }
       repeated = next == mNow ? repeated + 1 : 0;
-      Require(repeated < kMaxStepsAtOnce, "time stands still");
+      Require(repeated < kMaxStepsAtOnce, "virtual time does not advance");
       mNow = next;
       Step();
     }
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Both ends see the connection break, each after a while. */
+  /** Both ends see the connection break, each after a delay. */
   void Cut(const UpstreamId& aName)
   {
     Host& host = mHosts.at(aName);
@@ -131,7 +131,7 @@
     });
   }
 
-  /** The present connection swallows bytes; nobody is told. */
+  /** The present connection drops bytes without either end noticing. */
   void Silence(const UpstreamId& aName, bool aUp, bool aDown)
   {
     Host& host = mHosts.at(aName);
@@ -139,7 +139,7 @@
     host.mSilentDown |= aDown;
   }
 
-  /** The sidecar's process is replaced; what it knew is gone. */
+  /** The sidecar's process is replaced and loses its state. */
   void Restart(const UpstreamId& aName)
   {
     Host& host = mHosts.at(aName);
@@ -148,14 +148,14 @@
     Boot(host);
   }
 
-  /** No new connection to the host works until then. */
+  /** No new connection to the host succeeds until aUntil. */
   void Isolate(const UpstreamId& aName, Millis aUntil)
   {
     mHosts.at(aName).mUnreachableUntil = aUntil;
     Cut(aName);
   }
 
-  /** The sidecar's process stands still until then. */
+  /** The sidecar's process is frozen until aUntil. */
   void Freeze(const UpstreamId& aName, Millis aUntil)
   {
     Host& host = mHosts.at(aName);
@@ -164,13 +164,13 @@
   }
 
   void SetEngines(VirtualEngines aEngines) { mEngines = aEngines; }
-  /** One upstream that is not like the others. */
+  /** Sets one upstream to behave differently from the others. */
   void SetEngine(const UpstreamId& aName, VirtualEngines aEngine)
   {
     mEngineOverrides[aName] = aEngine;
   }
 
-  /** Drains all sidecars, and tells whether they have nothing left to do. */
+  /** Drains all sidecars and returns whether they are idle at once. */
   bool DrainedAtOnce()
   {
     bool idle = true;
@@ -184,9 +184,9 @@
   EntryCore& Entry() { return *mEntry; }
   Millis Now() const { return mNow; }
   const std::map<RequestId, VirtualCaller>& Callers() const { return mCallers; }
-  /** When an upstream's channel was last taken for silent. */
+  /** When an upstream's channel was last reopened for silence. */
   const std::map<UpstreamId, Millis>& Reopened() const { return mReopened; }
-  /** Calls sent to each upstream, refused ones too. */
+  /** Calls sent to each upstream, including refused ones. */
   const std::map<UpstreamId, int>& Calls() const { return mCalls; }
 
 private:
@@ -196,7 +196,9 @@
     std::unique_ptr<SidecarCore> mCore;
     std::set<AttemptKey> mCalls;
     uint64_t mBoots = 0;
-    /** The newest connection's number, 0 for none; and the sidecar's. */
+    /**
+     * Number of the newest connection, 0 for none; and as the sidecar sees it.
+     */
     uint64_t mChannel = 0;
     uint64_t mSidecarChannel = 0;
     bool mSilentUp = false;
@@ -338,7 +340,7 @@
     CarryOut(aHost, aHost.mCore->OnMessage(kEntry, std::move(aMessage), mNow));
   }
 
-  /** Does it at once, or in its turn when the host's process moves again. */
+  /** Runs aWhat at once, or in order when the host's process is unfrozen. */
   void RunWhenActive(Host& aHost, std::function<void()> aWhat)
   {
     if (mNow < aHost.mFrozenUntil || !aHost.mInbox.empty()) {
@@ -368,16 +370,16 @@
   VirtualCaller& CallerOf(RequestId aId)
   {
     VirtualCaller& caller = mCallers.at(aId);
-    Require(!caller.Ended(), "something after the final answer");
-    Require(!caller.mDisconnected, "something for a caller that left");
+    Require(!caller.Ended(), "an action after the final response");
+    Require(!caller.mDisconnected, "an action for a caller that left");
     return caller;
   }
 
   void Do(AnswerHead& aAction)
   {
     VirtualCaller& caller = CallerOf(aAction.mId);
-    Require(!caller.mHead, "a second head");
-    Require(aAction.mStatus == 200, "another status");
+    Require(!caller.mHead, "a second response head");
+    Require(aAction.mStatus == 200, "an unexpected status");
     caller.mHead = true;
   }
 
@@ -429,7 +431,8 @@
   void Do(Host& aHost, StartCall& aAction)
   {
     const RequestId id = aAction.mKey.mRequest;
-    Require(aAction.mCall.mBody == id.Text(), "another request's call");
+    Require(aAction.mCall.mBody == id.Text(),
+            "the call belongs to another request");
     mCalls[aHost.mName]++;
     if (RandomBool(EngineOf(aHost).mRefuse)) {
       DeliverCallEvent(
@@ -473,7 +476,7 @@
     });
   }
 
-  /** Tells the sidecar, as soon as its process moves. */
+  /** Passes the event to the sidecar as soon as its process runs. */
   void DeliverCallEvent(Host& aHost, const CallEvent& aEvent)
   {
     RunWhenActive(aHost, [this, &aHost, aEvent, boots = aHost.mBoots] {
