--- a/src/libtrefoilarch/servicerate.cpp
+++ b/src/libtrefoilarch/servicerate.cpp
@@ -18,8 +18,8 @@
 
 /**
  * Waiting is continuous if blocked requests are seen at least this often. It
- * must have lasted for the second time before the rate of starts is taken as
- * the capacity.
+ * must have lasted for kMinBlockedDuration before the rate of starts is taken
+ * as the capacity.
  */
 constexpr Millis kMaxBlockedGap{ 300 };
 constexpr Millis kMinBlockedDuration{ 1500 };
