--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -89,7 +89,7 @@
 
 /** A valid row of an upstream. */
 nlohmann::json
-OwnRow()
+ValidRow()
 {
   return { { "service", "s" },     { "address", "10.0.0.1:80" },
            { "zone", "z" },        { "slots", 6 },
@@ -110,7 +110,7 @@
 
 Test(adapter, an_upstream_row_is_read)
 {
-  nlohmann::json row = OwnRow();
+  nlohmann::json row = ValidRow();
   row["state"] = "draining";
   const auto upstream = ReadRow(row);
   cr_assert(upstream.has_value());
@@ -122,7 +122,7 @@
 
 Test(adapter, a_row_without_a_start_time_is_valid)
 {
-  nlohmann::json row = OwnRow();
+  nlohmann::json row = ValidRow();
   row.erase("born");
   const auto upstream = ReadRow(row);
   cr_assert(upstream.has_value());
@@ -133,7 +133,7 @@
 Test(adapter, invalid_rows_describe_no_upstream)
 {
   for (const char* name : { "service", "address", "zone", "slots", "state" }) {
-    nlohmann::json row = OwnRow();
+    nlohmann::json row = ValidRow();
     row.erase(name);
     cr_expect(!ReadRow(row), "without %s", name);
   }
@@ -150,7 +150,7 @@
     { "sequence", -4 },
   };
   for (const auto& [name, value] : others) {
-    nlohmann::json row = OwnRow();
+    nlohmann::json row = ValidRow();
     row[name] = value;
     cr_expect(!ReadRow(row), "%s: %s", name, value.dump().c_str());
   }
@@ -223,7 +223,7 @@
 Test(adapter, corrupted_rows_and_responses_do_no_harm)
 {
   std::mt19937_64 random(20261203);
-  const std::string row = OwnRow().dump();
+  const std::string row = ValidRow().dump();
   const std::string answer = nlohmann::json{
     { "rows", { StoreRow("i-1", trefoilio::ToBase64(row)) } },
     { "ver", 3 },
@@ -233,19 +233,19 @@
     std::string text = each % 2 == 0 ? row : answer;
     const size_t changes = 1 + random() % 4;
     for (size_t change = 0; change < changes && !text.empty(); ++change) {
-      const size_t place = random() % text.size();
+      const size_t position = random() % text.size();
       switch (random() % 4) {
         case 0:
-          text[place] = static_cast<char>(random());
+          text[position] = static_cast<char>(random());
           break;
         case 1:
-          text.erase(place, 1 + random() % 9);
+          text.erase(position, 1 + random() % 9);
           break;
         case 2:
-          text.insert(place, text.substr(random() % text.size(), 12));
+          text.insert(position, text.substr(random() % text.size(), 12));
           break;
         default:
-          text[place] = "{}[]\",:0-9e"[random() % 12];
+          text[position] = "{}[]\",:0-9e"[random() % 12];
       }
     }
     std::string reason;
@@ -391,15 +391,15 @@
 Test(adapter, the_route_priority_precedes_the_workspace_priority)
 {
   const Dialect dialect = PlatformDialect();
-  const auto rankOf = [&](uint8_t aWorkspace, uint8_t aRoute) {
+  const auto priorityOf = [&](uint8_t aWorkspace, uint8_t aRoute) {
     const Headers headers = dialect.mOutgoing(
       CallerRequest{}, { .mPriority = aWorkspace, .mRoutePriority = aRoute });
     return std::stoi(std::string(HeaderValue(headers, "X-Request-Priority")));
   };
-  cr_expect(rankOf(1, 0) < rankOf(0, 1));
-  cr_expect(rankOf(2, 0) < rankOf(0, 2));
-  cr_expect(rankOf(0, 1) < rankOf(1, 1));
-  cr_expect(rankOf(9, 9) <= 9);
+  cr_expect(priorityOf(1, 0) < priorityOf(0, 1));
+  cr_expect(priorityOf(2, 0) < priorityOf(0, 2));
+  cr_expect(priorityOf(0, 1) < priorityOf(1, 1));
+  cr_expect(priorityOf(9, 9) <= 9);
 }
 
 Test(adapter, request_attributes_are_read_from_the_headers)
--- a/tests/platform/answerintegritytest.cpp
+++ b/tests/platform/answerintegritytest.cpp
@@ -32,9 +32,9 @@
 {
   for (int event = 1; event <= aCount; ++event) {
     const std::string line = "data: event " + std::to_string(event) + "\n";
-    const size_t place = aText.find(line);
-    cr_expect(place != std::string::npos, "event %d", event);
-    cr_expect(aText.find(line, place + 1) == std::string::npos);
+    const size_t position = aText.find(line);
+    cr_expect(position != std::string::npos, "event %d", event);
+    cr_expect(aText.find(line, position + 1) == std::string::npos);
   }
   cr_expect(aText.ends_with("0\r\n\r\n"));
 }
--- a/tests/platform/callcounter.cpp
+++ b/tests/platform/callcounter.cpp
@@ -68,9 +68,10 @@
     return Counted(SYS_write, fd, data, size);
   }
 
-  int epoll_wait(int fd, epoll_event* events, int most, int timeout)
+  int epoll_wait(int fd, epoll_event* events, int max_events, int timeout)
   {
-    return static_cast<int>(Counted(SYS_epoll_wait, fd, events, most, timeout));
+    return static_cast<int>(
+      Counted(SYS_epoll_wait, fd, events, max_events, timeout));
   }
 
   int epoll_ctl(int fd, int operation, int other, epoll_event* event) noexcept
@@ -93,22 +94,22 @@
 operator new(size_t size)
 {
   sCounts.mAllocations++;
-  void* place = std::malloc(size == 0 ? 1 : size);
-  if (place == nullptr) {
+  void* pointer = std::malloc(size == 0 ? 1 : size);
+  if (pointer == nullptr) {
     throw std::bad_alloc();
   }
-  return place;
+  return pointer;
 }
 
 void
-operator delete(void* place) noexcept
+operator delete(void* pointer) noexcept
 {
-  std::free(place);
+  std::free(pointer);
 }
 
 void
-operator delete(void* place, size_t) noexcept
+operator delete(void* pointer, size_t) noexcept
 {
-  std::free(place);
+  std::free(pointer);
 }
 // NOLINTEND
--- a/tests/platform/crashingupstreams.cpp
+++ b/tests/platform/crashingupstreams.cpp
@@ -102,10 +102,10 @@
   const int start = aSlot.mStartCount++;
   const std::string name = "i-" + std::to_string(aNumber);
   aSlot.mId = mOptions.mSameId ? name : name + "-" + std::to_string(start);
-  const std::string place =
+  const std::string address =
     aSlot.mAddress.empty() ? "127.0.0.1:0" : aSlot.mAddress;
   aSlot.mProcess = std::make_unique<ChildProcess>(
-    "trefoilarch-worker", std::vector<std::string>{ aSlot.mId, place });
+    "trefoilarch-worker", std::vector<std::string>{ aSlot.mId, address });
   aSlot.mAddress = aSlot.mProcess->Address("worker");
   mFleet.PutRow(
     "servers",
--- a/tests/platform/enginetest.cpp
+++ b/tests/platform/enginetest.cpp
@@ -106,9 +106,9 @@
   cr_expect(CountOf(fleet, 1, "preempted") >= 1);
   for (int event = 1; event <= 100; ++event) {
     const std::string text = "data: event " + std::to_string(event) + "\n";
-    const size_t place = lowText.find(text);
-    cr_assert(place != std::string::npos, "event %d is missing", event);
-    cr_assert(lowText.find(text, place + 1) == std::string::npos);
+    const size_t position = lowText.find(text);
+    cr_assert(position != std::string::npos, "event %d is missing", event);
+    cr_assert(lowText.find(text, position + 1) == std::string::npos);
   }
   cr_expect(lowText.ends_with(kLastChunk) && highText.ends_with(kLastChunk));
 }
--- a/tests/platform/gatesettingstest.cpp
+++ b/tests/platform/gatesettingstest.cpp
@@ -44,9 +44,9 @@
   return reader.Read(static_cast<int>(arguments.size()),
                      arguments.data(),
                      [&](const char* aName) -> const char* {
-                       const auto place = aVariables.find(aName);
-                       return place == aVariables.end() ? nullptr
-                                                        : place->second.c_str();
+                       const auto found = aVariables.find(aName);
+                       return found == aVariables.end() ? nullptr
+                                                        : found->second.c_str();
                      });
 }
 
--- a/tests/platform/metricstexttest.cpp
+++ b/tests/platform/metricstexttest.cpp
@@ -55,10 +55,10 @@
 double
 ValueOf(const std::string& aText, const std::string& aSample)
 {
-  const size_t place = aText.find("\n" + aSample + " ");
-  return place == std::string::npos
+  const size_t position = aText.find("\n" + aSample + " ");
+  return position == std::string::npos
            ? -1
-           : std::stod(aText.substr(place + aSample.size() + 2));
+           : std::stod(aText.substr(position + aSample.size() + 2));
 }
 
 } // namespace
--- a/tests/platform/poisondaystest.cpp
+++ b/tests/platform/poisondaystest.cpp
@@ -74,10 +74,10 @@
     if (++crashes[each.mPath] == kThird) {
       third[each.mPath] = each.mAtMs;
     }
-    const auto place = third.find(each.mPath);
+    const auto found = third.find(each.mPath);
     const bool after =
-      place != third.end() &&
-      each.mAtMs > place->second + kStableWindowMs + aCrashDelayMs;
+      found != third.end() &&
+      each.mAtMs > found->second + kStableWindowMs + aCrashDelayMs;
     lateCrashes[each.mPath] += after ? 1 : 0;
   }
   return lateCrashes;
@@ -108,8 +108,8 @@
   }
   RepeatLoad load(fleet, gates, repeaters, random.Between(10, 50), aSeed);
   Sleep(5000);
-  const bool replaces = random.Coin();
-  if (replaces) {
+  const bool replacesGate = random.Coin();
+  if (replacesGate) {
     const auto gate =
       static_cast<size_t>(random.Between(0, static_cast<int>(gates) - 1));
     load.ExcludeGate(gate);
@@ -122,7 +122,8 @@
   const int64_t settled = trefoilio::MonotonicNow().Count();
   Sleep(3000);
   load.Stop();
-  const size_t maxLateCrashes = kMaxRetries + (replaces ? kExtraPerNewGate : 0);
+  const size_t maxLateCrashes =
+    kMaxRetries + (replacesGate ? kExtraPerNewGate : 0);
   for (const auto& [path, crashes] : LateCrashes(upstreams, kMaxCrashDelayMs)) {
     cr_expect(crashes <= maxLateCrashes,
               "seed %d: %s crashed %zu upstreams late",
--- a/tests/platform/storeupdatestest.cpp
+++ b/tests/platform/storeupdatestest.cpp
@@ -183,7 +183,7 @@
   cr_expect(Await([&] { return fleet.ReadyStatus(1) == 200; }));
 }
 
-/** A gate without peers sends a verification query every half to whole second,
+/** A gate without peers sends a verification query every 0.5 to 1 s,
  * which covers all tables while nothing changes, and a long poll every 25 s. */
 Test(storeupdates, the_store_gets_no_more_calls_than_planned)
 {
