--- a/src/libtrefoilarch/entryanswers.cpp
+++ b/src/libtrefoilarch/entryanswers.cpp
@@ -73,8 +73,8 @@
                          EntryAttempt aOffer,
                          Millis aNow)
 {
-  aOffer.mStarted = aNow;
-  aRequest.mStarted = aOffer;
+  aOffer.mStartedAt = aNow;
+  aRequest.mStartedAttempt = aOffer;
   aRequest.mRetryAt = Millis::Never();
   aRequest.mHoldUntil.reset();
   mAwaitingChannel.erase(aRequest.mRequest.mId);
@@ -154,7 +154,7 @@
   }
   auto attempt = TakeOffer(aLink, *request, aMessage.mKey);
   if (!attempt && StartedAt(aLink, aMessage.mKey)) {
-    attempt = std::exchange(request->mStarted, std::nullopt);
+    attempt = std::exchange(request->mStartedAttempt, std::nullopt);
   }
   if (!attempt) {
     ConfirmWithdrawal(aLink, aMessage.mKey);
@@ -219,7 +219,7 @@
   }
   aRequest.mAckedChunk = aRequest.mNextChunk;
   aRequest.mUnackedBytes = 0;
-  Send(aLink, Ack{ aRequest.mStarted->mKey, aRequest.mNextChunk }, aNow);
+  Send(aLink, Ack{ aRequest.mStartedAttempt->mKey, aRequest.mNextChunk }, aNow);
 }
 
 void
@@ -230,7 +230,8 @@
   if (std::exchange(aRequest.mResumeSent, true)) {
     return;
   }
-  Send(aLink, Resume{ aRequest.mStarted->mKey, aRequest.mNextChunk }, aNow);
+  Send(
+    aLink, Resume{ aRequest.mStartedAttempt->mKey, aRequest.mNextChunk }, aNow);
 }
 
 void
@@ -281,8 +282,8 @@
     return;
   }
   request->mMayHaveRun |= aMessage.mRan == Ran::Maybe || request->mHeadSent;
-  Release(aLink, *request->mStarted);
-  request->mStarted.reset();
+  Release(aLink, *request->mStartedAttempt);
+  request->mStartedAttempt.reset();
   request->mFailedUpstreams.push_back(aLink.mView.mName);
   if (IsUpstreamFailure(aMessage.mKind)) {
     mOutlierDetector.OnFailure(aLink.mView.mName, aNow);
@@ -372,9 +373,9 @@
 void
 EntryCore::Impl::ReportFirstToken(const OpenRequest& aRequest, Millis aNow)
 {
-  const Millis took = aNow - aRequest.mStarted->mStarted;
+  const Millis took = aNow - aRequest.mStartedAttempt->mStartedAt;
   const int64_t tokens = aRequest.mRequest.mPromptTokens;
-  mOutlierDetector.OnFirstToken(aRequest.mStarted->mUpstream,
+  mOutlierDetector.OnFirstToken(aRequest.mStartedAttempt->mUpstream,
                                 took * kTypicalPromptTokens /
                                   (kTypicalPromptTokens + tokens),
                                 aNow);
@@ -412,10 +413,11 @@
 EntryCore::Impl::StartedAt(const UpstreamLink& aLink, const AttemptKey& aKey)
 {
   OpenRequest* request = RequestOf(aKey);
-  const bool current = request && request->mStarted &&
-                       request->mStarted->mKey == aKey &&
-                       request->mStarted->mUpstream == aLink.mView.mName &&
-                       request->mStarted->mIncarnation == aLink.mIncarnation;
+  const bool current =
+    request && request->mStartedAttempt &&
+    request->mStartedAttempt->mKey == aKey &&
+    request->mStartedAttempt->mUpstream == aLink.mView.mName &&
+    request->mStartedAttempt->mIncarnation == aLink.mIncarnation;
   return current ? request : nullptr;
 }
 
--- a/src/libtrefoilarch/entrychannels.cpp
+++ b/src/libtrefoilarch/entrychannels.cpp
@@ -176,8 +176,8 @@
   if (!request) {
     return;
   }
-  if (request->mStarted && request->mStarted->mKey == aKey) {
-    if (request->mStarted->mIncarnation != aLink.mIncarnation) {
+  if (request->mStartedAttempt && request->mStartedAttempt->mKey == aKey) {
+    if (request->mStartedAttempt->mIncarnation != aLink.mIncarnation) {
       HandleLostStart(*request, aNow);
       return;
     }
@@ -211,7 +211,7 @@
     if (!request) {
       continue;
     }
-    if (request->mStarted && request->mStarted->mKey == key) {
+    if (request->mStartedAttempt && request->mStartedAttempt->mKey == key) {
       const bool mayRerun =
         request->mRequest.mClassified.mIdempotent && !request->mHeadSent;
       request->mRetryAt = aNow + (mayRerun ? kRerunDelay : kResumeTimeout);
--- a/src/libtrefoilarch/entrydump.cpp
+++ b/src/libtrefoilarch/entrydump.cpp
@@ -61,8 +61,8 @@
                           { "attempts", aRequest.mLastAttempt },
                           { "retries", aRequest.mRetries },
                           { "next_chunk", aRequest.mNextChunk } };
-  if (aRequest.mStarted) {
-    dump["started_at"] = aRequest.mStarted->mUpstream;
+  if (aRequest.mStartedAttempt) {
+    dump["started_at"] = aRequest.mStartedAttempt->mUpstream;
   }
   return dump;
 }
--- a/src/libtrefoilarch/entryplacing.cpp
+++ b/src/libtrefoilarch/entryplacing.cpp
@@ -279,7 +279,8 @@
 void
 EntryCore::Impl::HandleLostStart(OpenRequest& aRequest, Millis aNow)
 {
-  const EntryAttempt attempt = *std::exchange(aRequest.mStarted, std::nullopt);
+  const EntryAttempt attempt =
+    *std::exchange(aRequest.mStartedAttempt, std::nullopt);
   aRequest.mMayHaveRun = true;
   aRequest.mFailedUpstreams.push_back(attempt.mUpstream);
   CloseAttempt(attempt, aNow);
@@ -290,7 +291,7 @@
 EntryCore::Impl::OnRequestTimer(OpenRequest& aRequest, Millis aNow)
 {
   if (aNow >= aRequest.mDeadline) {
-    if (aRequest.mStarted && !aRequest.mHeadSent) {
+    if (aRequest.mStartedAttempt && !aRequest.mHeadSent) {
       ReportFirstToken(aRequest, aNow);
     }
     ConcludeWithError(aRequest,
@@ -306,7 +307,7 @@
     return;
   }
   aRequest.mRetryAt = Millis::Never();
-  if (aRequest.mStarted) {
+  if (aRequest.mStartedAttempt) {
     HandleLostStart(aRequest, aNow);
   } else {
     PlaceOrConclude(aRequest, aNow);
@@ -318,7 +319,7 @@
                                    Refusal aRefusal,
                                    Millis aNow)
 {
-  const bool mayHaveRun = aRequest.mMayHaveRun || aRequest.mStarted;
+  const bool mayHaveRun = aRequest.mMayHaveRun || aRequest.mStartedAttempt;
   aRefusal.mRan = mayHaveRun ? Ran::Maybe : Ran::No;
   if (aRequest.mHeadSent) {
     aRefusal.mKind = KindAfterHead(aRefusal.mKind);
@@ -336,7 +337,8 @@
 void
 EntryCore::Impl::ConcludeComplete(OpenRequest& aRequest, Millis aNow)
 {
-  const EntryAttempt attempt = *std::exchange(aRequest.mStarted, std::nullopt);
+  const EntryAttempt attempt =
+    *std::exchange(aRequest.mStartedAttempt, std::nullopt);
   const uint64_t chunks = aRequest.mNextChunk;
   mCounters.mCompleteResponses++;
   mActions.emplace_back(AnswerEnd{ aRequest.mRequest.mId });
@@ -353,8 +355,8 @@
 EntryCore::Impl::Conclude(OpenRequest& aRequest, Millis aNow)
 {
   DropOffers(aRequest, aNow);
-  if (aRequest.mStarted) {
-    CloseAttempt(*aRequest.mStarted, aNow);
+  if (aRequest.mStartedAttempt) {
+    CloseAttempt(*aRequest.mStartedAttempt, aNow);
   }
   const RequestId id = aRequest.mRequest.mId;
   mRequestTimers.Disarm(id);
@@ -431,7 +433,7 @@
 EntryCore::Impl::ArmTimer(const OpenRequest& aRequest)
 {
   const EntryRequest& request = aRequest.mRequest;
-  if (aRequest.mStarted) {
+  if (aRequest.mStartedAttempt) {
     mShedOrder.Remove(request.mId);
   } else {
     mShedOrder.Add(request.mId, request.mClassified.mLevel.mTier);
--- a/src/libtrefoilarch/openrequest.h
+++ b/src/libtrefoilarch/openrequest.h
@@ -22,7 +22,7 @@
   uint32_t mTokens = 0;
   /** When the last offer and the Start were sent. */
   Millis mOfferedAt{};
-  Millis mStarted{};
+  Millis mStartedAt{};
 };
 
 /** A caller's request without a final response. */
@@ -39,7 +39,7 @@
   uint32_t mLastAttempt = 0;
   std::vector<EntryAttempt> mOffers{};
   /** The attempt for which Start was sent. At most one at a time. */
-  std::optional<EntryAttempt> mStarted{};
+  std::optional<EntryAttempt> mStartedAttempt{};
   /** A Start was sent that was never proved void, now or earlier. */
   bool mMayHaveRun = false;
 
--- a/src/libtrefoilgate/exchange.cpp
+++ b/src/libtrefoilgate/exchange.cpp
@@ -137,7 +137,8 @@
   if (!mPlan.MaySend(now)) {
     // The upstream began to leave while the connection was established.
     mContext.mPool.Release(mAttempt->mUpstream, aConnection);
-    LogAttempt("not_sent", "the upstream is leaving or the key expired");
+    LogAttempt("not_sent",
+               "the upstream is leaving or the key is no longer accepted");
     EndAttempt(AttemptOutcome::Withdrawn);
     Apply(mPlan.OnUnreachable(now));
     return;
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -370,13 +370,12 @@
     return;
   }
   if (mBodyBytes + aRequest.mBody->size() > mOptions.mSettings.mMaxBodyBytes) {
-    RefuseRequest(
-      aCaller,
-      aRequest,
-      id,
-      Refusal{ .mKind = ErrorKind::TooManyOpen,
-               .mRetryAfter = kMemoryRetryAfter,
-               .mMessage = "request bodies exceed the memory limit" });
+    RefuseRequest(aCaller,
+                  aRequest,
+                  id,
+                  Refusal{ .mKind = ErrorKind::TooManyOpen,
+                           .mRetryAfter = kMemoryRetryAfter,
+                           .mMessage = "bodies fill the memory" });
     return;
   }
   const RequestAttributes attributes =
