--- a/src/libtrefoilarch/callwatch.h
+++ b/src/libtrefoilarch/callwatch.h
@@ -28,7 +28,7 @@
  * The timeouts follow the upstream's own recent waits, kept separately for the
  * first token and between tokens. The longest recent wait decays by an eighth
  * of the difference with each shorter one, so a slow upstream gets enough time
- * and a recovered one is not given too much. If no call receives anything, the
+ * and a recovered one does not get too much. If no call receives anything, the
  * upstream may be busy with a long prefill and gets more time.
  */
 class CallWatch
--- a/src/libtrefoilarch/crashdetector.cpp
+++ b/src/libtrefoilarch/crashdetector.cpp
@@ -39,11 +39,11 @@
 CrashDetector::Suspects
 CrashDetector::OnEnded(const UpstreamIncarnation& aIncarnation, Millis aNow)
 {
-  const auto place = mStates.find(aIncarnation);
-  if (place == mStates.end() || place->second.mEnded) {
+  const auto it = mStates.find(aIncarnation);
+  if (it == mStates.end() || it->second.mEnded) {
     return {};
   }
-  IncarnationState& state = place->second;
+  IncarnationState& state = it->second;
   state.mEnded = true;
   state.mChangedAt = aNow;
   const std::vector<LostConnection> lostConnections =
@@ -68,18 +68,17 @@
 void
 CrashDetector::OnListening(const UpstreamIncarnation& aIncarnation)
 {
-  const auto place = mStates.find(aIncarnation);
-  if (place != mStates.end()) {
-    place->second.mIsListening = true;
+  const auto it = mStates.find(aIncarnation);
+  if (it != mStates.end()) {
+    it->second.mIsListening = true;
   }
 }
 
 bool
 CrashDetector::IsCrashSuspected(const UpstreamIncarnation& aIncarnation) const
 {
-  const auto place = mStates.find(aIncarnation);
-  return place != mStates.end() && !place->second.mEnded &&
-         !place->second.mIsListening;
+  const auto it = mStates.find(aIncarnation);
+  return it != mStates.end() && !it->second.mEnded && !it->second.mIsListening;
 }
 
 void
--- a/src/libtrefoilarch/crashevidence.cpp
+++ b/src/libtrefoilarch/crashevidence.cpp
@@ -33,11 +33,11 @@
 void
 CrashEvidence::Clear(const RequestFingerprint& aRequest, Millis aAt)
 {
-  const auto place = mSuspects.find(aRequest);
-  if (place == mSuspects.end()) {
+  const auto it = mSuspects.find(aRequest);
+  if (it == mSuspects.end()) {
     return;
   }
-  Suspect& suspect = place->second;
+  Suspect& suspect = it->second;
   suspect.mClearedAt = std::max(suspect.mClearedAt, aAt);
   std::erase_if(suspect.mCrashes, [&](const auto& aEntry) {
     const auto& [incarnation, at] = aEntry;
@@ -58,8 +58,8 @@
 CrashEvidence::UnexplainedCrashes(const RequestFingerprint& aRequest,
                                   const IsExplanation& aIsExplanation) const
 {
-  const auto place = mSuspects.find(aRequest);
-  if (place == mSuspects.end()) {
+  const auto it = mSuspects.find(aRequest);
+  if (it == mSuspects.end()) {
     return 0;
   }
   const auto isUnexplained = [&](const auto& aEntry) {
@@ -69,7 +69,7 @@
         return aOther != aRequest && aIsExplanation(aOther);
       });
   };
-  const auto& crashes = place->second.mCrashes;
+  const auto& crashes = it->second.mCrashes;
   return static_cast<size_t>(
     std::count_if(crashes.begin(), crashes.end(), isUnexplained));
 }
@@ -78,9 +78,9 @@
 CrashEvidence::IncarnationsOf(const RequestFingerprint& aRequest) const
 {
   std::vector<UpstreamIncarnation> incarnations;
-  const auto place = mSuspects.find(aRequest);
-  if (place != mSuspects.end()) {
-    for (const auto& [incarnation, at] : place->second.mCrashes) {
+  const auto it = mSuspects.find(aRequest);
+  if (it != mSuspects.end()) {
+    for (const auto& [incarnation, at] : it->second.mCrashes) {
       incarnations.push_back(incarnation);
     }
   }
@@ -90,11 +90,11 @@
 Millis
 CrashEvidence::FirstCrashAt(const RequestFingerprint& aRequest) const
 {
-  const auto place = mSuspects.find(aRequest);
-  if (place == mSuspects.end() || place->second.mCrashes.empty()) {
+  const auto it = mSuspects.find(aRequest);
+  if (it == mSuspects.end() || it->second.mCrashes.empty()) {
     return {};
   }
-  const auto& crashes = place->second.mCrashes;
+  const auto& crashes = it->second.mCrashes;
   return std::min_element(crashes.begin(),
                           crashes.end(),
                           [](const auto& aOne, const auto& aTwo) {
@@ -125,8 +125,8 @@
 size_t
 CrashEvidence::TotalCrashes(const RequestFingerprint& aRequest) const
 {
-  const auto place = mSuspects.find(aRequest);
-  return place == mSuspects.end() ? 0 : place->second.mCrashes.size();
+  const auto it = mSuspects.find(aRequest);
+  return it == mSuspects.end() ? 0 : it->second.mCrashes.size();
 }
 
 void
--- a/src/libtrefoilarch/dedicatedpools.cpp
+++ b/src/libtrefoilarch/dedicatedpools.cpp
@@ -22,11 +22,11 @@
  * entry in a large fleet. */
 constexpr Millis kMaxReportAge{ 1800 };
 
-/** One less urgent request at the upstreams for this many as urgent ones is
- * enough to absorb an overload. On a morning at twice the engines' capacity
- * 0.983 of the most urgent class got complete responses at 1 and 1.000 at 3, of
- * the third class 0.86 and 1.00; at 6 the least urgent got 0.19 instead of 0.22
- * (virtual time). */
+/** An overload of a class is absorbed if the upstreams have one less urgent
+ * request for this many of the same urgency. On a morning at twice the engines'
+ * capacity 0.983 of the most urgent class got complete responses at 1 and 1.000
+ * at 3, of the third class 0.86 and 1.00; at 6 the least urgent got 0.19
+ * instead of 0.22 (virtual time). */
 constexpr double kUrgentPerLessUrgent = 3;
 
 /** How long a route's computed positions are used. */
@@ -118,9 +118,9 @@
   }
   Demand& demand = mServices[aService].mRoutes[aRoute.mName];
   Decay(demand, aNow);
-  // Whole prompts: shared segments are prefilled too wherever they are not
-  // cached, and a pool without capacity for that would reject requests while
-  // others are idle.
+  // The full prompts count: shared segments are prefilled too wherever they are
+  // not cached, and a pool without capacity for that would reject requests
+  // while others are idle.
   RouteDemand& sums = demand.mSums;
   sums.mService = aService;
   sums.mRoute = aRoute.mName;
--- a/src/libtrefoilarch/lease.h
+++ b/src/libtrefoilarch/lease.h
@@ -99,7 +99,7 @@
  * One process's side of a lease that the table arbitrates. Clocks of different
  * processes are never compared: the holder counts from before its write was
  * sent, and a successor takes over only after it has seen the row unchanged for
- * the whole duration and the margin. The table may therefore be slow or down,
+ * the full duration and the margin. The table may therefore be slow or down,
  * writes may be late and processes may sleep: IsHeld() is never true for two
  * processes at a time. Single-threaded.
  */
--- a/src/libtrefoilarch/peerwork.cpp
+++ b/src/libtrefoilarch/peerwork.cpp
@@ -53,18 +53,18 @@
 PendingPrefill
 PeerWork::Pending(const UpstreamId& aUpstream) const
 {
-  const auto place = mPending.find(aUpstream);
-  return place == mPending.end() ? PendingPrefill() : place->second;
+  const auto it = mPending.find(aUpstream);
+  return it == mPending.end() ? PendingPrefill() : it->second;
 }
 
 void
 PeerWork::Subtract(const Peer& aPeer)
 {
   for (const UpstreamPendingPrefill& each : aPeer.mPending) {
-    const auto place = mPending.find(each.mUpstream);
-    place->second -= each.mPendingPrefill;
-    if (place->second.All() == 0) {
-      mPending.erase(place);
+    const auto it = mPending.find(each.mUpstream);
+    it->second -= each.mPendingPrefill;
+    if (it->second.All() == 0) {
+      mPending.erase(it);
     }
   }
 }
--- a/src/libtrefoilarch/permitissuer.cpp
+++ b/src/libtrefoilarch/permitissuer.cpp
@@ -12,7 +12,7 @@
 /** Entries with a request within this time compete for the next permit. */
 constexpr Millis kRequesterWindow{ 2000 };
 
-/** Entries that may compete for a permit; more are told to retry later. */
+/** Entries that may compete for a permit; others must retry later. */
 constexpr size_t kRequestersPerPermit = 4;
 
 constexpr Millis kMaxWait{ 4000 };
--- a/src/libtrefoilarch/permitrequester.cpp
+++ b/src/libtrefoilarch/permitrequester.cpp
@@ -40,11 +40,11 @@
                          uint8_t aUrgency,
                          Millis aNow)
 {
-  const auto place = mUpstreams.find(aUpstream);
-  if (place == mUpstreams.end()) {
+  const auto it = mUpstreams.find(aUpstream);
+  if (it == mUpstreams.end()) {
     return PermitState::NotRequested;
   }
-  UpstreamPermits& permits = place->second;
+  UpstreamPermits& permits = it->second;
   const bool unanswered = permits.mState == PermitState::Requested &&
                           aNow - permits.mRequestedAt >= mOptions.mReplyTimeout;
   if (unanswered) {
@@ -111,16 +111,16 @@
 void
 PermitRequester::OnReply(const PermitReply& aReply, Millis aNow)
 {
-  const auto place =
+  const auto it =
     std::find_if(mUpstreams.begin(), mUpstreams.end(), [&](const auto& aEntry) {
       return aEntry.second.mNumber == aReply.mNumber &&
              aEntry.second.mState == PermitState::Requested;
     });
-  if (place == mUpstreams.end() ||
-      aNow - place->second.mRequestedAt >= mOptions.mReplyTimeout) {
+  if (it == mUpstreams.end() ||
+      aNow - it->second.mRequestedAt >= mOptions.mReplyTimeout) {
     return;
   }
-  UpstreamPermits& permits = place->second;
+  UpstreamPermits& permits = it->second;
   mSilent.erase(permits.mIssuer);
   const bool granted = aReply.mGranted > 0;
   permits.mState = granted ? PermitState::Granted : PermitState::Denied;
@@ -145,18 +145,18 @@
                          uint8_t aUrgency,
                          Millis aNow) const
 {
-  const auto place = mUpstreams.find(aUpstream);
-  const bool denied = place != mUpstreams.end() &&
-                      place->second.mState == PermitState::Denied &&
-                      aUrgency >= place->second.mFromUrgency;
-  return denied ? std::max(Millis(0), place->second.mUntil - aNow) : Millis(0);
+  const auto it = mUpstreams.find(aUpstream);
+  const bool denied = it != mUpstreams.end() &&
+                      it->second.mState == PermitState::Denied &&
+                      aUrgency >= it->second.mFromUrgency;
+  return denied ? std::max(Millis(0), it->second.mUntil - aNow) : Millis(0);
 }
 
 uint64_t
 PermitRequester::Used(const UpstreamId& aUpstream) const
 {
-  const auto place = mUpstreams.find(aUpstream);
-  return place == mUpstreams.end() ? 0 : place->second.mUsed;
+  const auto it = mUpstreams.find(aUpstream);
+  return it == mUpstreams.end() ? 0 : it->second.mUsed;
 }
 
 std::vector<std::string>
--- a/src/libtrefoilarch/policylogsteps.cpp
+++ b/src/libtrefoilarch/policylogsteps.cpp
@@ -147,8 +147,8 @@
 }
 
 /**
- * A write with an unknown outcome is thereby repeated at its own version and
- * never at another: while that version is free, it follows the tail.
+ * So a write with an unknown outcome is repeated at its own version and never
+ * at another: while that version is free, it follows the tail.
  */
 void
 PolicyLog::InsertHead(PolicyLogActions& aOut)
--- a/src/libtrefoilarch/prefixcachetracker.h
+++ b/src/libtrefoilarch/prefixcachetracker.h
@@ -19,10 +19,10 @@
   Millis mRetention{ 20000 };
   /** If it is known, after this time: nothing confirms a longer stay. */
   Millis mMaxRetention{ 120000 };
-  /** A segment is assumed cached until new tokens fill this share of the cache:
-   * the least recently used are evicted, those of running requests are not. At
-   * 0.4 and 0.8 the mean score of days with failures was 0.780 and 0.795 at 18
-   * engines (trials, one run each). */
+  /** A segment is assumed cached until new tokens fill this share of the
+   * cache: the least recently used are evicted, those of running requests are
+   * not. At 0.4 and 0.8 the mean score of days with failures was 0.780 and
+   * 0.795 at 18 engines (one run each). */
   double mEvictionShare = 0.8;
   /** Segments tracked for one upstream. */
   size_t mMaxSegments = 4000;
--- a/src/libtrefoilarch/upstreamdirectory.cpp
+++ b/src/libtrefoilarch/upstreamdirectory.cpp
@@ -55,8 +55,8 @@
   }
   const UnlistedUpstream unlisted{ .mSince = aNow,
                                    .mOffset = Millis(0) - ServedAtLastRead() };
-  const auto place = mUnlisted.try_emplace(aId, unlisted).first;
-  if (IsGone(place->second)) {
+  const auto it = mUnlisted.try_emplace(aId, unlisted).first;
+  if (IsGone(it->second)) {
     Drop(aId);
   }
 }
@@ -165,16 +165,16 @@
 const ListedUpstream*
 UpstreamDirectory::Find(const UpstreamId& aId) const
 {
-  const auto place = mAll.find(aId);
-  return place == mAll.end() ? nullptr : &place->second;
+  const auto it = mAll.find(aId);
+  return it == mAll.end() ? nullptr : &it->second;
 }
 
 const std::vector<const ListedUpstream*>&
 UpstreamDirectory::OfService(const std::string& aService) const
 {
   static const std::vector<const ListedUpstream*> kNone;
-  const auto place = mByService.find(aService);
-  return place == mByService.end() ? kNone : place->second;
+  const auto it = mByService.find(aService);
+  return it == mByService.end() ? kNone : it->second;
 }
 
 void
--- a/src/libtrefoilarch/upstreamdirectory.h
+++ b/src/libtrefoilarch/upstreamdirectory.h
@@ -63,8 +63,8 @@
  * outage of the store although their upstreams are running. So a missing
  * upstream counts as gone once the store has served long enough for a running
  * one to be listed again; at once, if there was no outage. All entries together
- * know whether there was one. That this entry alone failed to read the list is
- * no reason to assume it.
+ * know whether there was one. A failure of this entry alone to read the list
+ * does not count as one.
  */
 class UpstreamDirectory
 {
@@ -92,8 +92,8 @@
    * upstreams are gone. Empty if there are none. */
   std::optional<Millis> RequiredStoreTime() const;
 
-  /** Removes upstreams that are gone as far as known of the store. Returns true
-   * if there were any. */
+  /** Removes upstreams that are gone by what is known of the store. Returns
+   * true if there were any. */
   bool Expire();
 
   const ListedUpstream* Find(const UpstreamId& aId) const;
--- a/src/libtrefoilarch/upstreamlimits.cpp
+++ b/src/libtrefoilarch/upstreamlimits.cpp
@@ -62,8 +62,8 @@
                      bool aFromPeer,
                      Millis aNow)
 {
-  const auto [place, inserted] = mStates.try_emplace(aUpstream);
-  LimitState& state = place->second;
+  const auto [it, inserted] = mStates.try_emplace(aUpstream);
+  LimitState& state = it->second;
   if (!inserted && aObservedAt <= state.mObservedAt) {
     return;
   }
@@ -93,28 +93,28 @@
 std::optional<double>
 UpstreamLimits::Of(const UpstreamId& aUpstream) const
 {
-  const auto place = mStates.find(aUpstream);
-  return place == mStates.end() ? std::nullopt : place->second.mPerSecond;
+  const auto it = mStates.find(aUpstream);
+  return it == mStates.end() ? std::nullopt : it->second.mPerSecond;
 }
 
 LimitReport
 UpstreamLimits::ReportOf(const UpstreamId& aUpstream, Millis aNow) const
 {
-  const auto place = mStates.find(aUpstream);
-  if (place == mStates.end()) {
+  const auto it = mStates.find(aUpstream);
+  if (it == mStates.end()) {
     return { .mUpstream = aUpstream };
   }
   return { .mUpstream = aUpstream,
-           .mPerSecond = place->second.mPerSecond,
-           .mAge = aNow - place->second.mObservedAt };
+           .mPerSecond = it->second.mPerSecond,
+           .mAge = aNow - it->second.mObservedAt };
 }
 
 std::optional<Millis>
 UpstreamLimits::LimitedSince(const UpstreamId& aUpstream) const
 {
-  const auto place = mStates.find(aUpstream);
-  const bool limited = place != mStates.end() && place->second.mPerSecond;
-  return limited ? std::optional(place->second.mSince) : std::nullopt;
+  const auto it = mStates.find(aUpstream);
+  const bool limited = it != mStates.end() && it->second.mPerSecond;
+  return limited ? std::optional(it->second.mSince) : std::nullopt;
 }
 
 size_t
--- a/src/libtrefoilarch/upstreamwork.h
+++ b/src/libtrefoilarch/upstreamwork.h
@@ -53,7 +53,8 @@
   const PendingPrefill& Pending() const { return mPending; }
   /** Attempts of all entries that are running or waiting there. */
   double Busy(Millis aNow) const;
-  /** Age of the report behind Busy(), apart from changes received since. */
+  /** Age of the report on which Busy() is based, regardless of changes
+   * since. */
   Millis ReportAge(Millis aNow) const;
   /** Time since anything was received while a response is due. */
   Millis Silence(Millis aNow) const;
--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -76,8 +76,8 @@
   return { .mStore = { .mMinOutage = minOutage } };
 }
 
-/** Number of entries that share the fleet's retries until peers are listed: an
- * entry without peers has the whole slack. */
+/** Number of entries that share the fleet's retries until peers are listed:
+ * an entry without peers has all of them. */
 size_t
 InitialEntryCount(const GateSettings& aSettings)
 {
--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -370,7 +370,7 @@
   cr_expect(EncodePeerUpdate(update).size() < 2000);
 }
 
-/** One upstream's report must not make others drop an entry's whole update. */
+/** One upstream's report must not make others drop an entry's entire update. */
 Test(adapter, an_invalid_load_report_is_left_out)
 {
   const PeerUpdate update{
--- a/tests/platform/operationstest.cpp
+++ b/tests/platform/operationstest.cpp
@@ -118,7 +118,7 @@
   cr_expect(attempt.at("outcome") == "broken");
   cr_expect(attempt.at("upstream") == "i-0");
   cr_expect(attempt.at("started") == true);
-  // As the page says, a crashed upstream leaves the list.
+  // As documented for operators, a crashed upstream leaves the list.
   fleet.Unlist("i-0");
   cr_expect(Await([&] {
     const auto lines = fleet.LogOf(0, "upstream_unlisted");
--- a/tests/unit/enginemodeltest.cpp
+++ b/tests/unit/enginemodeltest.cpp
@@ -93,7 +93,8 @@
   }
 }
 
-/** An engine that stalled for three seconds tells nothing about the rate. */
+/** An engine that stalled for three seconds gives no information about the
+ * rate. */
 Test(enginemodel, a_single_stall_does_not_change_the_rate)
 {
   EngineModel model;
--- a/tests/unit/pauserecordtest.cpp
+++ b/tests/unit/pauserecordtest.cpp
@@ -74,7 +74,7 @@
 }
 
 /** Engines that prefill in short chunks delay nobody and take any request.
- * Engines that prefill in long ones are divided. */
+ * Engines that prefill in long ones are divided into pools. */
 Test(dedicatedpools, engines_are_divided_only_if_pauses_are_long)
 {
   for (const int64_t pause : { 80, 300 }) {
--- a/tests/unit/policyfleet.h
+++ b/tests/unit/policyfleet.h
@@ -37,7 +37,7 @@
   PolicyLogAction mAction;
   bool mSlow = false;
   bool mExecuted = false;
-  bool mTimedOut = false; /**< the process was already told of a timeout */
+  bool mTimedOut = false; /**< a timeout was already reported to the process */
   std::optional<std::vector<LogRow>> mRows;
   InsertOutcome mInsert = InsertOutcome::Unknown;
   SnapshotReadResult mSnapshot;
--- a/tests/unit/quarantinetest.cpp
+++ b/tests/unit/quarantinetest.cpp
@@ -33,8 +33,9 @@
 }
 
 /** Each poison request keeps the bound on late retries in every run, and few
- * upstreams crash in total. Of entries that know nothing and have no store to
- * read (aIsolatedEntries), each may lose three of its own. */
+ * upstreams crash in total. Each entry that receives no updates and has no
+ * store to read (aIsolatedEntries) may lose kMaxCrashes more to each request.
+ */
 void
 ExpectBounded(FleetOptions aOptions, size_t aIsolatedEntries = 0)
 {
--- a/tests/unit/sharedtierstest.cpp
+++ b/tests/unit/sharedtierstest.cpp
@@ -12,7 +12,7 @@
  * while the other two, which had half the load, accepted less urgent ones for
  * the same engines. Each entry judges by its own requests: the three began to
  * reject 1.5 s after their own last less urgent request, the time for which an
- * entry counts as accepting such. The two rejected none.
+ * entry counts as accepting such requests. The other two rejected none.
  */
 namespace {
 
