--- a/tests/unit/quarantinetest.cpp
+++ b/tests/unit/quarantinetest.cpp
@@ -33,9 +33,9 @@
 }
 
 /** Each poison request keeps the bound on late retries in every run, and few
- * upstreams crash in total. Each entry that receives no updates and has no
- * store to read (aIsolatedEntries) may lose kMaxCrashes more to each request.
- */
+ * upstreams crash in total. Each entry that starts without any information and
+ * has no store to read (aIsolatedEntries) may lose kMaxCrashes more to each
+ * request. */
 void
 ExpectBounded(FleetOptions aOptions, size_t aIsolatedEntries = 0)
 {
