--- a/src/libtrefoilarch/permitrequester.h
+++ b/src/libtrefoilarch/permitrequester.h
@@ -56,8 +56,8 @@
   PermitState StateOf(const UpstreamId& aUpstream,
                       uint8_t aUrgency,
                       Millis aNow);
-  /** A request was routed elsewhere because a permit request was pending. The
-   * next permit request asks for one more. */
+  /** A request was routed elsewhere because a permit request was pending.
+   * The next permit request is for one more permit. */
   void CountMissed(const UpstreamId& aUpstream);
   /** Returns a request to be sent to the given entry, possibly this one. */
   AddressedPermitRequest MakeRequest(const LimitReport& aLimit,
@@ -68,7 +68,7 @@
   void Use(const UpstreamId& aUpstream);
   void Forget(const UpstreamId& aUpstream) { mUpstreams.erase(aUpstream); }
 
-  /** How long requests of that urgency need not ask for a permit. */
+  /** How long no permit needs to be requested for that urgency. */
   Millis WaitFor(const UpstreamId& aUpstream,
                  uint8_t aUrgency,
                  Millis aNow) const;
--- a/src/libtrefoilarch/quarantine.cpp
+++ b/src/libtrefoilarch/quarantine.cpp
@@ -27,11 +27,11 @@
                   Millis aWaited,
                   Millis aNow)
 {
-  const auto held = mHeld.find(aRequest);
-  if (held != mHeld.end()) {
-    held->second.mLastSent = aNow;
-    return StartsProbe(held->second, aNow) ? QuarantineVerdict::Run
-                                           : QuarantineVerdict::Refuse;
+  const auto quarantined = mQuarantinedRequests.find(aRequest);
+  if (quarantined != mQuarantinedRequests.end()) {
+    quarantined->second.mLastSent = aNow;
+    return StartsProbe(quarantined->second, aNow) ? QuarantineVerdict::Run
+                                                  : QuarantineVerdict::Refuse;
   }
   const size_t crashes = AttributedCrashes(aRequest);
   if (crashes == 0) {
@@ -47,16 +47,16 @@
 }
 
 bool
-Quarantine::StartsProbe(QuarantinedRequest& aHeld, Millis aNow) const
+Quarantine::StartsProbe(QuarantinedRequest& aQuarantined, Millis aNow) const
 {
-  if (aNow < aHeld.mProbeAt ||
+  if (aNow < aQuarantined.mProbeAt ||
       aNow - mLastCrashAt < mOptions.mCrashFreeInterval) {
     return false;
   }
-  aHeld.mProbeAt = Millis::Never();
-  const size_t own =
-    mEvidence.UnexplainedCrashes(aHeld.mRequest, [this](const auto& aOther) {
-      return mHeld.contains(aOther);
+  aQuarantined.mProbeAt = Millis::Never();
+  const size_t own = mEvidence.UnexplainedCrashes(
+    aQuarantined.mRequest, [this](const auto& aOther) {
+      return mQuarantinedRequests.contains(aOther);
     });
   return own + 1 < mOptions.mCrashThreshold;
 }
@@ -105,7 +105,8 @@
     return;
   }
   mAnswers.Record(aRequest, aNow, aNow);
-  const bool suspected = IsWorthReporting(aRequest) || mHeld.contains(aRequest);
+  const bool suspected =
+    IsWorthReporting(aRequest) || mQuarantinedRequests.contains(aRequest);
   Clear(aRequest, aNow, "answered");
   if (suspected) {
     mPendingUpdate.mCleared.push_back({ .mRequest = aRequest });
@@ -151,7 +152,7 @@
 void
 Quarantine::OnStoreRelease(const RequestFingerprint& aRequest, Millis aNow)
 {
-  if (mHeld.contains(aRequest)) {
+  if (mQuarantinedRequests.contains(aRequest)) {
     Clear(aRequest, aNow, "let go in the store");
   }
 }
@@ -166,8 +167,8 @@
 Quarantine::Requests() const
 {
   std::vector<RequestFingerprint> requests;
-  requests.reserve(mHeld.size());
-  for (const auto& [request, held] : mHeld) {
+  requests.reserve(mQuarantinedRequests.size());
+  for (const auto& [request, quarantined] : mQuarantinedRequests) {
     requests.push_back(request);
   }
   return requests;
@@ -194,10 +195,11 @@
     if (mOpenAttempts.contains(each) && IsWorthReporting(each)) {
       mPendingUpdate.mProbes.push_back(each);
     }
-    const auto held = mHeld.find(each);
-    if (held != mHeld.end()) {
+    const auto quarantined = mQuarantinedRequests.find(each);
+    if (quarantined != mQuarantinedRequests.end()) {
       // An entry that still sends it missed the quarantine.
-      mPendingUpdate.mQuarantined.push_back(ReportOf(held->second, aNow));
+      mPendingUpdate.mQuarantined.push_back(
+        ReportOf(quarantined->second, aNow));
     } else if (IsCulprit(each)) {
       mSettling[each] = aNow;
     }
@@ -212,33 +214,37 @@
   mEvidence.Clear(aRequest, aAt);
   mSettling.erase(aRequest);
   mProbes.erase(aRequest);
-  if (mHeld.erase(aRequest) > 0) {
+  if (mQuarantinedRequests.erase(aRequest) > 0) {
     mCleared[aRequest] = aAt;
     mChanges.push_back({ .mRequest = aRequest, .mReason = aReason });
   }
 }
 
 void
-Quarantine::AddToQuarantine(const QuarantinedRequest& aHeld,
+Quarantine::AddToQuarantine(const QuarantinedRequest& aQuarantined,
                             const char* aReason)
 {
-  mSettling.erase(aHeld.mRequest);
-  const auto [held, inserted] = mHeld.try_emplace(aHeld.mRequest, aHeld);
+  mSettling.erase(aQuarantined.mRequest);
+  const auto [quarantined, inserted] =
+    mQuarantinedRequests.try_emplace(aQuarantined.mRequest, aQuarantined);
   if (!inserted) {
     return;
   }
-  held->second.mCrashes = mEvidence.IncarnationsOf(aHeld.mRequest);
-  mChanges.push_back({ .mRequest = aHeld.mRequest,
+  quarantined->second.mCrashes =
+    mEvidence.IncarnationsOf(aQuarantined.mRequest);
+  mChanges.push_back({ .mRequest = aQuarantined.mRequest,
                        .mHeld = true,
                        .mReason = aReason,
-                       .mCrashes = held->second.mCrashes });
-  if (mHeld.size() > mOptions.mMaxHeld) {
-    const auto oldest = std::min_element(
-      mHeld.begin(), mHeld.end(), [](const auto& aOne, const auto& aTwo) {
-        return aOne.second.mLastSent < aTwo.second.mLastSent;
-      });
+                       .mCrashes = quarantined->second.mCrashes });
+  if (mQuarantinedRequests.size() > mOptions.mMaxHeld) {
+    const auto oldest =
+      std::min_element(mQuarantinedRequests.begin(),
+                       mQuarantinedRequests.end(),
+                       [](const auto& aOne, const auto& aTwo) {
+                         return aOne.second.mLastSent < aTwo.second.mLastSent;
+                       });
     const RequestFingerprint request = oldest->first;
-    Clear(request, aHeld.mLastSent, "too many are held back");
+    Clear(request, aQuarantined.mLastSent, "too many are held back");
   }
 }
 
@@ -249,14 +255,14 @@
     if (!IsCulprit(each)) {
       continue;
     }
-    const QuarantinedRequest held{ .mRequest = each,
-                                   .mSuspectSince =
-                                     mEvidence.FirstCrashAt(each),
-                                   .mLastSent = aNow,
-                                   .mProbeAt =
-                                     aNow + mOptions.mUncertainProbeDelay };
-    AddToQuarantine(held, "crashes");
-    mPendingUpdate.mQuarantined.push_back(ReportOf(held, aNow));
+    const QuarantinedRequest quarantined{
+      .mRequest = each,
+      .mSuspectSince = mEvidence.FirstCrashAt(each),
+      .mLastSent = aNow,
+      .mProbeAt = aNow + mOptions.mUncertainProbeDelay
+    };
+    AddToQuarantine(quarantined, "crashes");
+    mPendingUpdate.mQuarantined.push_back(ReportOf(quarantined, aNow));
   }
   std::erase_if(mProbes, [&](const auto& aEntry) {
     return aNow - aEntry.second > mOptions.mProbeTimeout;
@@ -295,8 +301,8 @@
 Quarantine::ReleaseIdle(Millis aNow)
 {
   std::vector<RequestFingerprint> idle;
-  for (const auto& [request, held] : mHeld) {
-    if (aNow - held.mLastSent > mOptions.mIdleTimeout) {
+  for (const auto& [request, quarantined] : mQuarantinedRequests) {
+    if (aNow - quarantined.mLastSent > mOptions.mIdleTimeout) {
       idle.push_back(request);
     }
   }
@@ -309,8 +315,8 @@
 Quarantine::Quarantined() const
 {
   std::vector<QuarantinedRequest> all;
-  for (const auto& [request, held] : mHeld) {
-    all.push_back(held);
+  for (const auto& [request, quarantined] : mQuarantinedRequests) {
+    all.push_back(quarantined);
   }
   return all;
 }
@@ -340,7 +346,8 @@
   const size_t total = mEvidence.TotalCrashes(aRequest);
   return mEvidence.UnexplainedCrashes(
     aRequest, [&](const RequestFingerprint& aOther) {
-      return mHeld.contains(aOther) || mEvidence.TotalCrashes(aOther) > total;
+      return mQuarantinedRequests.contains(aOther) ||
+             mEvidence.TotalCrashes(aOther) > total;
     });
 }
 
@@ -350,7 +357,8 @@
   const size_t total = mEvidence.TotalCrashes(aRequest);
   return mEvidence.UnexplainedCrashes(
     aRequest, [&](const RequestFingerprint& aOther) {
-      return mHeld.contains(aOther) || mEvidence.TotalCrashes(aOther) >= total;
+      return mQuarantinedRequests.contains(aOther) ||
+             mEvidence.TotalCrashes(aOther) >= total;
     });
 }
 
--- a/src/libtrefoilarch/quarantine.h
+++ b/src/libtrefoilarch/quarantine.h
@@ -126,7 +126,7 @@
 
   bool IsQuarantined(const RequestFingerprint& aRequest) const
   {
-    return mHeld.contains(aRequest);
+    return mQuarantinedRequests.contains(aRequest);
   }
   /** Whether it was quarantined or suspected and has been cleared since. */
   bool IsReleased(const RequestFingerprint& aRequest) const;
@@ -171,16 +171,18 @@
   void TakeReport(const CrashReport& aReport, Millis aNow);
   void TakeCleared(const AgedRequest& aCleared, Millis aNow);
   void TakeProbe(const RequestFingerprint& aRequest, Millis aNow);
-  void TakeQuarantined(const QuarantineReport& aHeld, Millis aNow);
+  void TakeQuarantined(const QuarantineReport& aQuarantined, Millis aNow);
   /** Whether this entry probes a quarantined request now. */
-  bool StartsProbe(QuarantinedRequest& aHeld, Millis aNow) const;
+  bool StartsProbe(QuarantinedRequest& aQuarantined, Millis aNow) const;
   bool IsProbeRunning(const RequestFingerprint& aRequest, Millis aNow) const;
-  QuarantineReport ReportOf(const QuarantinedRequest& aHeld, Millis aNow) const;
+  QuarantineReport ReportOf(const QuarantinedRequest& aQuarantined,
+                            Millis aNow) const;
   void Clear(const RequestFingerprint& aRequest,
              Millis aAt,
              const char* aReason);
   /** The times are those of the report if it is another entry's. */
-  void AddToQuarantine(const QuarantinedRequest& aHeld, const char* aReason);
+  void AddToQuarantine(const QuarantinedRequest& aQuarantined,
+                       const char* aReason);
   /** Culprits whose reports have arrived, the most certain first. */
   std::vector<RequestFingerprint> TakeSettled(Millis aNow);
   void ReleaseIdle(Millis aNow);
@@ -194,7 +196,7 @@
   std::unordered_map<RequestFingerprint, Millis> mProbes;
   /** Culprits, and when their last crash was reported. */
   std::map<RequestFingerprint, Millis> mSettling;
-  std::map<RequestFingerprint, QuarantinedRequest> mHeld;
+  std::map<RequestFingerprint, QuarantinedRequest> mQuarantinedRequests;
   CrashUpdate mPendingUpdate;
   /** Reports of this entry that peers may have missed. */
   std::vector<SentReport> mRecentReports;
--- a/src/libtrefoilarch/quarantineupdates.cpp
+++ b/src/libtrefoilarch/quarantineupdates.cpp
@@ -66,16 +66,18 @@
     return;
   }
   mQuarantineReportedAt = aNow;
-  std::vector<QuarantineReport> held;
-  for (const auto& [request, each] : mHeld) {
-    held.push_back(ReportOf(each, aNow));
-  }
-  std::sort(held.begin(), held.end(), [](const auto& aOne, const auto& aTwo) {
-    return aOne.mIdleFor < aTwo.mIdleFor;
-  });
-  held.resize(std::min(held.size(), kMaxReportedRequests));
+  std::vector<QuarantineReport> quarantined;
+  for (const auto& [request, each] : mQuarantinedRequests) {
+    quarantined.push_back(ReportOf(each, aNow));
+  }
+  std::sort(quarantined.begin(),
+            quarantined.end(),
+            [](const auto& aOne, const auto& aTwo) {
+              return aOne.mIdleFor < aTwo.mIdleFor;
+            });
+  quarantined.resize(std::min(quarantined.size(), kMaxReportedRequests));
   mPendingUpdate.mQuarantined.insert(
-    mPendingUpdate.mQuarantined.end(), held.begin(), held.end());
+    mPendingUpdate.mQuarantined.end(), quarantined.begin(), quarantined.end());
 }
 
 void
@@ -99,17 +101,19 @@
 Quarantine::TakeCleared(const AgedRequest& aCleared, Millis aNow)
 {
   const Millis at = aNow - aCleared.mAge;
-  const auto held = mHeld.find(aCleared.mRequest);
-  if (held != mHeld.end() && held->second.mSuspectSince >= at) {
+  const auto quarantined = mQuarantinedRequests.find(aCleared.mRequest);
+  if (quarantined != mQuarantinedRequests.end() &&
+      quarantined->second.mSuspectSince >= at) {
     return;
   }
-  const bool isNew = at > LastClearedAt(aCleared.mRequest) &&
-                     (held != mHeld.end() || IsSuspect(aCleared.mRequest));
+  const bool isNew =
+    at > LastClearedAt(aCleared.mRequest) &&
+    (quarantined != mQuarantinedRequests.end() || IsSuspect(aCleared.mRequest));
   if (!isNew) {
     return;
   }
-  const bool relays =
-    mRelays && (held != mHeld.end() || IsWorthReporting(aCleared.mRequest));
+  const bool relays = mRelays && (quarantined != mQuarantinedRequests.end() ||
+                                  IsWorthReporting(aCleared.mRequest));
   mAnswers.Record(aCleared.mRequest, at, aNow);
   Clear(aCleared.mRequest, at, "let go by another entry");
   if (relays) {
@@ -130,10 +134,10 @@
   if (mRelays && IsWorthReporting(aRequest)) {
     mPendingUpdate.mProbes.push_back(aRequest);
   }
-  const auto held = mHeld.find(aRequest);
-  if (held != mHeld.end()) {
-    held->second.mProbeAt = Millis::Never();
-    mPendingUpdate.mQuarantined.push_back(ReportOf(held->second, aNow));
+  const auto quarantined = mQuarantinedRequests.find(aRequest);
+  if (quarantined != mQuarantinedRequests.end()) {
+    quarantined->second.mProbeAt = Millis::Never();
+    mPendingUpdate.mQuarantined.push_back(ReportOf(quarantined->second, aNow));
   }
 }
 
@@ -180,38 +184,40 @@
 }
 
 void
-Quarantine::TakeQuarantined(const QuarantineReport& aHeld, Millis aNow)
+Quarantine::TakeQuarantined(const QuarantineReport& aQuarantined, Millis aNow)
 {
-  const Millis since = aNow - aHeld.mSuspectFor;
-  const Millis lastSent = aNow - aHeld.mIdleFor;
-  if (since <= LastClearedAt(aHeld.mRequest)) {
-    ReportCleared(aHeld.mRequest, aNow);
+  const Millis since = aNow - aQuarantined.mSuspectFor;
+  const Millis lastSent = aNow - aQuarantined.mIdleFor;
+  if (since <= LastClearedAt(aQuarantined.mRequest)) {
+    ReportCleared(aQuarantined.mRequest, aNow);
     return;
   }
-  const auto held = mHeld.find(aHeld.mRequest);
-  if (held != mHeld.end()) {
-    held->second.mSuspectSince = std::min(held->second.mSuspectSince, since);
-    held->second.mLastSent = std::max(held->second.mLastSent, lastSent);
+  const auto quarantined = mQuarantinedRequests.find(aQuarantined.mRequest);
+  if (quarantined != mQuarantinedRequests.end()) {
+    quarantined->second.mSuspectSince =
+      std::min(quarantined->second.mSuspectSince, since);
+    quarantined->second.mLastSent =
+      std::max(quarantined->second.mLastSent, lastSent);
     return;
   }
-  if (aHeld.mIdleFor > mOptions.mIdleTimeout) {
+  if (aQuarantined.mIdleFor > mOptions.mIdleTimeout) {
     return;
   }
-  AddToQuarantine({ .mRequest = aHeld.mRequest,
+  AddToQuarantine({ .mRequest = aQuarantined.mRequest,
                     .mSuspectSince = since,
                     .mLastSent = lastSent },
                   "told by another entry");
   if (mRelays) {
-    mPendingUpdate.mQuarantined.push_back(aHeld);
+    mPendingUpdate.mQuarantined.push_back(aQuarantined);
   }
 }
 
 QuarantineReport
-Quarantine::ReportOf(const QuarantinedRequest& aHeld, Millis aNow) const
+Quarantine::ReportOf(const QuarantinedRequest& aQuarantined, Millis aNow) const
 {
-  return { .mRequest = aHeld.mRequest,
-           .mSuspectFor = aNow - aHeld.mSuspectSince,
-           .mIdleFor = aNow - aHeld.mLastSent };
+  return { .mRequest = aQuarantined.mRequest,
+           .mSuspectFor = aNow - aQuarantined.mSuspectSince,
+           .mIdleFor = aNow - aQuarantined.mLastSent };
 }
 
 } // namespace trefoilarch
--- a/src/libtrefoilarch/workplacement.cpp
+++ b/src/libtrefoilarch/workplacement.cpp
@@ -104,7 +104,8 @@
     best.mWaitMs = WaitMs(*chosen.mCandidate, aUrgency, aInfo, aNow);
   }
   if (engine != nullptr && aInfo.mPeersReporting && best.mHolder.empty()) {
-    // Tokens that no engine is known to have cached are prefilled anywhere.
+    // Tokens that no engine is known to have cached have to be prefilled at any
+    // engine.
     best.mWork.mPrefill =
       aPrompt.mPromptTokens - std::min(bestCached, aPrompt.mPromptTokens);
   }
--- a/src/libtrefoilgate/exchange.cpp
+++ b/src/libtrefoilgate/exchange.cpp
@@ -135,7 +135,8 @@
     return;
   }
   if (!mPlan.MaySend(now)) {
-    // The upstream began to leave while the connection was established.
+    // The upstream began to leave, or the key was revoked, while the connection
+    // was being established.
     mContext.mPool.Release(mAttempt->mUpstream, aConnection);
     LogAttempt("not_sent",
                "the upstream is leaving or the key is no longer accepted");
--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -515,7 +515,7 @@
   cr_expect(events.Events() == 2);
 }
 
-Test(eventtracker, a_next_run_neither_repeats_nor_skips_events)
+Test(eventtracker, the_next_run_neither_repeats_nor_skips_events)
 {
   EventTracker events;
   events.Add("id: 1\n\nid: 2\n\nid: 3\nhalf");
--- a/tests/platform/operationstest.cpp
+++ b/tests/platform/operationstest.cpp
@@ -186,7 +186,7 @@
   cr_expect(fleet.Gate(0).LinesWith("private story").empty());
 }
 
-Test(operations, a_log_that_nobody_reads_holds_up_no_answer)
+Test(operations, a_log_that_nobody_reads_delays_no_answer)
 {
   PlatformFleet fleet;
   fleet.Call({ .mId = "before" });
@@ -250,7 +250,7 @@
   }));
 }
 
-Test(operations, the_tool_explains_a_request_and_what_was_near_it)
+Test(operations, the_tool_explains_a_request_with_the_events_around_it)
 {
   PlatformFleet fleet({ .mWorkers = 1 });
   fleet.Call({ .mId = "lost",
--- a/tests/platform/reloadtest.cpp
+++ b/tests/platform/reloadtest.cpp
@@ -53,9 +53,7 @@
 
 } // namespace
 
-Test(reload,
-     a_hangup_applies_changed_limits_without_interruption,
-     .timeout = 30)
+Test(reload, sighup_applies_changed_limits_without_interruption, .timeout = 30)
 {
   const SettingsFileFixture settings;
   PlatformFleet fleet({ .mSettingsFromFile = true });
--- a/tests/unit/upstreamcapacitytest.cpp
+++ b/tests/unit/upstreamcapacitytest.cpp
@@ -37,7 +37,7 @@
  * Whatever is measured, the limit neither drops to zero nor exceeds its bound,
  * and what has been released is free again.
  */
-Test(capacity, never_closes)
+Test(capacity, the_limit_stays_above_zero_and_within_its_bound)
 {
   const bool holds = rc::check([] {
     UpstreamCapacity capacity(kOptions);
--- a/tests/unit/virtualfleet.h
+++ b/tests/unit/virtualfleet.h
@@ -131,7 +131,7 @@
     });
   }
 
-  /** The present connection drops bytes without either end noticing. */
+  /** The current connection drops bytes without either end noticing. */
   void Silence(const UpstreamId& aName, bool aUp, bool aDown)
   {
     Host& host = mHosts.at(aName);
