--- a/src/libtrefoilarch/directplacing.cpp
+++ b/src/libtrefoilarch/directplacing.cpp
@@ -34,7 +34,7 @@
 /** Callers obey Retry-After if it is within a third of their timeout. */
 constexpr int64_t kRetryAfterDivisor = 3;
 
-/** Load of one pool of distance, in open attempts, when a copy is placed. */
+/** Added load per pool of distance when a copy is placed, in open attempts. */
 constexpr double kPoolDistanceLoad = 20;
 
 } // namespace
--- a/src/libtrefoilarch/directrouter.cpp
+++ b/src/libtrefoilarch/directrouter.cpp
@@ -23,8 +23,8 @@
                   .mMessage = std::move(aMessage) };
 }
 
-/** Prompts kept for the next update to peers, which at worst prefill others
- * again. */
+/** Maximum number of prompts kept for the next update to peers. Peers that
+ * miss one may prefill its prefix again. */
 constexpr size_t kMaxSentPrompts = 64;
 
 } // namespace
--- a/src/libtrefoilarch/requestplan.cpp
+++ b/src/libtrefoilarch/requestplan.cpp
@@ -17,19 +17,22 @@
 /** Unreachable upstreams that are tried before a rejection. */
 constexpr uint32_t kMaxUnreachable = 4;
 
-/** The outcome of a similar request is known soon, or not in time. */
+/** A request is held until the outcome of the same request elsewhere is
+ * known. That is checked at this interval, and awaited for at most kMaxHold. */
 constexpr Millis kHoldInterval{ 30 };
 constexpr Millis kMaxHold{ 2000 };
 
-/** Whether the upstream that broke the connection has crashed is known within a
- * round trip: before the next is chosen, as this request may be the cause. */
+/** Whether an upstream that broke a connection has crashed is known within a
+ * round trip. The next upstream is chosen only then, as this request may be the
+ * cause. */
 constexpr Millis kSuspicionPollInterval{ 3 };
 constexpr Millis kMaxSuspicionHold{ 30 };
 
 /** A request is held for at most the remaining time divided by this. */
 constexpr int64_t kHoldDivisor = 2;
 
-/** Retry delay if the outcome of a similar request is not known in time. */
+/** Retry delay if the outcome of the same request elsewhere is not known in
+ * time. */
 constexpr Millis kHoldRetryAfter{ 1000 };
 
 /** Interval at which the reply to a permit request is polled. */
@@ -178,7 +181,8 @@
       mHeldSince.reset();
       return std::nullopt;
     case QuarantineVerdict::Refuse:
-      // Ends after an hour without the request; an earlier retry can't succeed.
+      // The quarantine ends after an hour without the request, so an earlier
+      // retry can't succeed.
       return Refuse(
         ErrorKind::Quarantined, mRouter.CrashQuarantine().IdleTimeout(), aNow);
     case QuarantineVerdict::Wait:
--- a/src/libtrefoilarch/sidecarcalls.cpp
+++ b/src/libtrefoilarch/sidecarcalls.cpp
@@ -25,7 +25,7 @@
 
 /**
  * A response that exceeds its estimate is assumed to grow by this fraction of
- * its present length.
+ * its current length.
  */
 constexpr uint64_t kGrowthDivisor = 2;
 constexpr uint64_t kMinGrowth = 16;
--- a/tests/platform/costtest.cpp
+++ b/tests/platform/costtest.cpp
@@ -118,8 +118,8 @@
   }
   const double took = ProcessorMicros(fleet.Gate(0).Id()) - before;
   const double each = took / (kStreams * kEvents);
-  // 0.19 of a core for the 800 events per second of the current peak leaves
-  // 237.
+  // 0.19 of a core for the current peak of 800 events per second allows 237
+  // microseconds per event.
   cr_expect(each < 120, "%.1f microseconds an event", each);
 }
 
--- a/tests/platform/entriestest.cpp
+++ b/tests/platform/entriestest.cpp
@@ -35,7 +35,7 @@
 } // namespace
 
 /** A crashed worker restarts under the same id at the same address: kept
- * connections are stale, and the fate of its requests is unknown. */
+ * connections are stale, and the outcome of its requests is unknown. */
 Test(entries, a_restarted_worker_serves_at_once)
 {
   PlatformFleet fleet({ .mWorkers = 2 });
@@ -114,8 +114,8 @@
   cr_expect(Await([&] { return PeersOf(fleet, 0) == 2; }));
 }
 
-/** A gate sends a session's next request to the engine that another gate used
- * for the session, in a service with many. */
+/** A gate sends a session's next request to the engine that another gate
+ * used for the session, in a service with many engines. */
 Test(entries, a_session_is_known_to_other_gates)
 {
   PlatformFleet fleet({ .mWorkers = 6, .mGates = 2, .mPeers = true });
--- a/tests/platform/loopcosttest.cpp
+++ b/tests/platform/loopcosttest.cpp
@@ -113,7 +113,8 @@
          aPlan + "\r\n\r\n";
 }
 
-/** The difference of two counts, divided by the number of things. */
+/** The difference of two counts, divided by the number of events or
+ * requests. */
 double
 PerItem(uint64_t aBefore, uint64_t aAfter, int aCount)
 {
--- a/tests/platform/operationstest.cpp
+++ b/tests/platform/operationstest.cpp
@@ -142,7 +142,8 @@
   }));
 }
 
-/** Distinguishes an outdated list from ignoring that an upstream leaves. */
+/** Distinguishes a gate with an outdated list from one that ignores that an
+ * upstream is leaving. */
 Test(operations, how_old_the_list_was_when_a_request_was_sent)
 {
   PlatformFleet fleet;
--- a/tests/platform/poisonrequesttest.cpp
+++ b/tests/platform/poisonrequesttest.cpp
@@ -22,10 +22,10 @@
  * identical requests came again and again, with the same path, caller and body,
  * and each crashed the engine that ran it, so that all drafts and answers
  * failed for a third of a minute at a time. Requests were not recognised as
- * identical, so that no arrival at any entry learned from earlier ones. Each
- * crash broke all connections to an engine at once, at all entries, and its
- * address refused connections from then on; the crashes went on at two or three
- * per second during such a wave, and at the rate of the requests in this test.
+ * identical, so no entry learned from earlier crashes. Each crash broke all
+ * connections to an engine at once, at all entries, and its address refused
+ * connections from then on; the crashes went on at two or three per second
+ * during such a wave, and at the rate of the requests in this test.
  */
 namespace {
 
--- a/tests/unit/enginemodeltest.cpp
+++ b/tests/unit/enginemodeltest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Engines that prefill so many tokens in a millisecond, with waits that vary
+/** Engines that prefill aPerMs tokens per millisecond, with waits that vary
  * by a fifth, and 20 ms until a response starts. */
 class Engines
 {
--- a/tests/unit/requestplantest.cpp
+++ b/tests/unit/requestplantest.cpp
@@ -118,7 +118,7 @@
   }
 }
 
-/** The key must still belong to the workspace that the upstream is sent. */
+/** The key must still belong to the workspace that is named to the upstream. */
 Test(directrouter, a_key_that_changes_workspace_invalidates_waiting_requests)
 {
   DirectRouter router = MakeRouter(2);
--- a/tests/unit/sharedtierstest.cpp
+++ b/tests/unit/sharedtierstest.cpp
@@ -8,7 +8,7 @@
 using namespace trefoilarch;
 
 /**
- * Guards against 429 for requests of a medium urgency at three of five entries
+ * Guards against 429 for requests of medium urgency at three of five entries
  * while the other two, which had half the load, accepted less urgent ones for
  * the same engines. Each entry judges by its own requests: the three began to
  * reject 1.5 s after their own last less urgent request, the time for which an
