--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -69,8 +69,8 @@
 DirectoryOptionsOf(const GateSettings& aSettings)
 {
   const Millis bound = TableWatchOptions::MaxAgeFor(aSettings.mMaxDrainDelay);
-  // An entry lapses after three heartbeats of silence, one of which may pass
-  // before the outage and one after it.
+  // A list entry expires after three heartbeats of silence, one of which may
+  // pass before the outage and one after it.
   const Millis minOutage =
     std::max(aSettings.mHeartbeatInterval, bound + bound / kUsualGapDivisor);
   return { .mStore = { .mMinOutage = minOutage } };
--- a/tests/unit/upstreamcapacitytest.cpp
+++ b/tests/unit/upstreamcapacitytest.cpp
@@ -15,7 +15,8 @@
                                             .mMaxRunning = 64 };
 constexpr Millis kWindow{ 250 };
 
-/** Adds windows of equal measurements while requests are kept out. */
+/** Adds windows of equal measurements, in each of which the limit blocks a
+ * request. */
 void
 MeasureWindows(UpstreamCapacity& aCapacity,
                double aBetween,
