--- a/tests/unit/claimstest.cpp
+++ b/tests/unit/claimstest.cpp
@@ -119,7 +119,7 @@
     }
   }
 
-  /** A key none of whose requests ran lets the next one run. */
+  /** If none of a key's requests ran, the next one may run. */
   void CheckKeysAreFree()
   {
     for (const std::string& key : mUsedKeys) {
--- a/tests/unit/upstreamdirectorytest.cpp
+++ b/tests/unit/upstreamdirectorytest.cpp
@@ -32,7 +32,7 @@
 
 namespace {
 
-/** The store's time at that time. */
+/** The time of the store's clock at this local time. */
 Millis
 StoreTimeAt(Millis aNow)
 {
