--- a/src/libtrefoilarch/dedicatedpools.h
+++ b/src/libtrefoilarch/dedicatedpools.h
@@ -25,8 +25,8 @@
   /** A route may get a pool of its own beside a stricter one if its prompts are
    * at least this many times as long. */
   double mPromptFactor = 2;
-  /** Share of the stricter route's streams with a late pause beside it from
-   * which it gets one. */
+  /** It gets one if at least this share of the stricter route's streams
+   * would have a late pause beside it. */
   double mSplitLateShare = 0.25;
   /** Share below which it loses its own pool. */
   double mMergeLateShare = 0.12;
@@ -70,8 +70,8 @@
   double mPrefillPerMs = 0;
   /** Requests that an engine runs concurrently; 0 if unknown. */
   uint32_t mSlots = 0;
-  /** Factor from the known to the total demand: entries per entry whose demand
-   * is known here. */
+  /** Factor from the known to the total demand: the number of entries
+   * divided by that of the entries whose demand is known here. */
   double mDemandScale = 1;
 };
 
@@ -103,8 +103,8 @@
   void OnPeerDemands(const std::string& aFrom,
                      const std::vector<RouteDemand>& aDemands,
                      Millis aNow);
-  /** Whether recent updates of peers show enough less urgent requests at the
-   * service's upstreams to reject first. */
+  /** Whether recent updates of peers show that the service's upstreams have
+   * enough less urgent requests, which can be rejected first. */
   bool PeersSendLessUrgent(const std::string& aService,
                            uint8_t aUrgency,
                            Millis aNow) const;
