--- a/src/libtrefoilarch/requestplan.cpp
+++ b/src/libtrefoilarch/requestplan.cpp
@@ -17,8 +17,8 @@
 /** Unreachable upstreams that are tried before a rejection. */
 constexpr uint32_t kMaxUnreachable = 4;
 
-/** A request is held until the outcome of the same request elsewhere is
- * known. That is checked at this interval, and awaited for at most kMaxHold. */
+/** A request is held until the outcome of an identical request is known.
+ * That is checked at this interval, and awaited for at most kMaxHold. */
 constexpr Millis kHoldInterval{ 30 };
 constexpr Millis kMaxHold{ 2000 };
 
@@ -31,8 +31,7 @@
 /** A request is held for at most the remaining time divided by this. */
 constexpr int64_t kHoldDivisor = 2;
 
-/** Retry delay if the outcome of the same request elsewhere is not known in
- * time. */
+/** Retry delay if the outcome of an identical request is not known in time. */
 constexpr Millis kHoldRetryAfter{ 1000 };
 
 /** Interval at which the reply to a permit request is polled. */
--- a/src/libtrefoilarch/requestplan.h
+++ b/src/libtrefoilarch/requestplan.h
@@ -15,7 +15,7 @@
   PlacedAttempt mAttempt;
 };
 
-/** Waits for mDelay, then calls OnHoldElapsed(): the outcome of a similar
+/** Waits for mDelay, then calls OnHoldElapsed(): the outcome of an identical
  * request or the reply to a permit request is pending. */
 struct HoldRequest
 {
