--- a/src/libtrefoilgate/gateway.cpp
+++ b/src/libtrefoilgate/gateway.cpp
@@ -69,15 +69,15 @@
 DirectoryOptionsOf(const GateSettings& aSettings)
 {
   const Millis bound = TableWatchOptions::MaxAgeFor(aSettings.mMaxDrainDelay);
-  // An entry lapses after three heartbeats of silence, one of which may pass
-  // before the outage and one after it.
+  // A list entry expires after three heartbeats of silence, one of which may
+  // pass before the outage and one after it.
   const Millis minOutage =
     std::max(aSettings.mHeartbeatInterval, bound + bound / kUsualGapDivisor);
   return { .mStore = { .mMinOutage = minOutage } };
 }
 
-/** Number of entries that share the fleet's retries until peers are listed: an
- * entry without peers has the whole slack. */
+/** Number of entries that share the fleet's retries until peers are listed:
+ * an entry without peers has all of them. */
 size_t
 InitialEntryCount(const GateSettings& aSettings)
 {
@@ -370,13 +370,12 @@
     return;
   }
   if (mBodyBytes + aRequest.mBody->size() > mOptions.mSettings.mMaxBodyBytes) {
-    RefuseRequest(
-      aCaller,
-      aRequest,
-      id,
-      Refusal{ .mKind = ErrorKind::TooManyOpen,
-               .mRetryAfter = kMemoryRetryAfter,
-               .mMessage = "request bodies exceed the memory limit" });
+    RefuseRequest(aCaller,
+                  aRequest,
+                  id,
+                  Refusal{ .mKind = ErrorKind::TooManyOpen,
+                           .mRetryAfter = kMemoryRetryAfter,
+                           .mMessage = "bodies fill the memory" });
     return;
   }
   const RequestAttributes attributes =
--- a/tests/platform/adaptertest.cpp
+++ b/tests/platform/adaptertest.cpp
@@ -370,7 +370,7 @@
   cr_expect(EncodePeerUpdate(update).size() < 2000);
 }
 
-/** One upstream's report must not make others drop an entry's whole update. */
+/** One upstream's report must not make others drop an entry's entire update. */
 Test(adapter, an_invalid_load_report_is_left_out)
 {
   const PeerUpdate update{
@@ -515,7 +515,7 @@
   cr_expect(events.Events() == 2);
 }
 
-Test(eventtracker, a_next_run_neither_repeats_nor_skips_events)
+Test(eventtracker, the_next_run_neither_repeats_nor_skips_events)
 {
   EventTracker events;
   events.Add("id: 1\n\nid: 2\n\nid: 3\nhalf");
--- a/tests/platform/operationstest.cpp
+++ b/tests/platform/operationstest.cpp
@@ -118,7 +118,7 @@
   cr_expect(attempt.at("outcome") == "broken");
   cr_expect(attempt.at("upstream") == "i-0");
   cr_expect(attempt.at("started") == true);
-  // As the page says, a crashed upstream leaves the list.
+  // As documented for operators, a crashed upstream leaves the list.
   fleet.Unlist("i-0");
   cr_expect(Await([&] {
     const auto lines = fleet.LogOf(0, "upstream_unlisted");
@@ -142,7 +142,8 @@
   }));
 }
 
-/** Distinguishes an outdated list from ignoring that an upstream leaves. */
+/** Distinguishes a gate with an outdated list from one that ignores that an
+ * upstream is leaving. */
 Test(operations, how_old_the_list_was_when_a_request_was_sent)
 {
   PlatformFleet fleet;
@@ -186,7 +187,7 @@
   cr_expect(fleet.Gate(0).LinesWith("private story").empty());
 }
 
-Test(operations, a_log_that_nobody_reads_holds_up_no_answer)
+Test(operations, a_log_that_nobody_reads_delays_no_answer)
 {
   PlatformFleet fleet;
   fleet.Call({ .mId = "before" });
@@ -250,7 +251,7 @@
   }));
 }
 
-Test(operations, the_tool_explains_a_request_and_what_was_near_it)
+Test(operations, the_tool_explains_a_request_with_the_events_around_it)
 {
   PlatformFleet fleet({ .mWorkers = 1 });
   fleet.Call({ .mId = "lost",
--- a/tests/unit/enginemodeltest.cpp
+++ b/tests/unit/enginemodeltest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Engines that prefill so many tokens in a millisecond, with waits that vary
+/** Engines that prefill aPerMs tokens per millisecond, with waits that vary
  * by a fifth, and 20 ms until a response starts. */
 class Engines
 {
@@ -93,7 +93,8 @@
   }
 }
 
-/** An engine that stalled for three seconds tells nothing about the rate. */
+/** An engine that stalled for three seconds gives no information about the
+ * rate. */
 Test(enginemodel, a_single_stall_does_not_change_the_rate)
 {
   EngineModel model;
--- a/tests/unit/upstreamcapacitytest.cpp
+++ b/tests/unit/upstreamcapacitytest.cpp
@@ -15,7 +15,8 @@
                                             .mMaxRunning = 64 };
 constexpr Millis kWindow{ 250 };
 
-/** Adds windows of equal measurements while requests are kept out. */
+/** Adds windows of equal measurements, in each of which the limit blocks a
+ * request. */
 void
 MeasureWindows(UpstreamCapacity& aCapacity,
                double aBetween,
@@ -37,7 +38,7 @@
  * Whatever is measured, the limit neither drops to zero nor exceeds its bound,
  * and what has been released is free again.
  */
-Test(capacity, never_closes)
+Test(capacity, the_limit_stays_above_zero_and_within_its_bound)
 {
   const bool holds = rc::check([] {
     UpstreamCapacity capacity(kOptions);
