--- a/tests/standins/engine/batchmodel.cpp
+++ b/tests/standins/engine/batchmodel.cpp
@@ -22,19 +22,19 @@
 BatchModel::Add(Sequence aSequence)
 {
   Member member{ .mSequence = std::move(aSequence), .mOrder = mNextOrder++ };
-  const auto place =
+  const auto position =
     std::upper_bound(mWaiting.begin(), mWaiting.end(), member, MoreUrgent);
-  mWaiting.insert(place, std::move(member));
+  mWaiting.insert(position, std::move(member));
 }
 
 void
 BatchModel::Remove(uint64_t aId)
 {
-  const auto isIt = [aId](const Member& aMember) {
+  const auto hasId = [aId](const Member& aMember) {
     return aMember.mSequence.mId == aId;
   };
-  mRunning.remove_if(isIt);
-  mWaiting.remove_if(isIt);
+  mRunning.remove_if(hasId);
+  mWaiting.remove_if(hasId);
 }
 
 BatchStep
@@ -46,7 +46,7 @@
                  mOptions.mSequenceMillis * static_cast<double>(Running());
   step.mMillis += Prefill();
   Decode(step);
-  MakeRoom();
+  PreemptUntilFits();
   return step;
 }
 
@@ -68,7 +68,7 @@
 void
 BatchModel::EnterBatch(Member aMember)
 {
-  const size_t hits = mCache.Take(aMember.mSequence.mBlocks);
+  const size_t hits = mCache.LookUpAndInsert(aMember.mSequence.mBlocks);
   const size_t cached = std::min(hits * kBlockTokens, aMember.Tokens());
   aMember.mToPrefill = std::max<size_t>(aMember.Tokens() - cached, 1);
   mRunning.push_back(std::move(aMember));
@@ -79,11 +79,11 @@
 {
   size_t budget = mOptions.mPrefillBudget;
   for (Member& member : mRunning) {
-    const size_t piece = std::min(member.mToPrefill, budget);
-    member.mToPrefill -= piece;
-    budget -= piece;
+    const size_t chunk = std::min(member.mToPrefill, budget);
+    member.mToPrefill -= chunk;
+    budget -= chunk;
   }
-  mPrefilled += mOptions.mPrefillBudget - budget;
+  mPrefilledTokens += mOptions.mPrefillBudget - budget;
   return mOptions.mPrefillMillis *
          static_cast<double>(mOptions.mPrefillBudget - budget);
 }
@@ -93,26 +93,26 @@
 {
   for (auto member = mRunning.begin(); member != mRunning.end();) {
     if (member->mToPrefill == 0) {
-      ++member->mDone;
+      ++member->mGenerated;
       aStep.mTokens.push_back(member->mSequence.mId);
     }
-    const bool over = member->mDone >= member->mSequence.mOutputTokens;
-    member = over ? mRunning.erase(member) : std::next(member);
+    const bool finished = member->mGenerated >= member->mSequence.mOutputTokens;
+    member = finished ? mRunning.erase(member) : std::next(member);
   }
 }
 
 void
-BatchModel::MakeRoom()
+BatchModel::PreemptUntilFits()
 {
   while (TokensInUse() > mOptions.mMemoryTokens && mRunning.size() > 1) {
-    const auto last =
+    const auto leastUrgent =
       std::max_element(mRunning.begin(), mRunning.end(), MoreUrgent);
-    Member member = std::move(*last);
-    mRunning.erase(last);
+    Member member = std::move(*leastUrgent);
+    mRunning.erase(leastUrgent);
     mPreempted++;
-    const auto place =
+    const auto position =
       std::upper_bound(mWaiting.begin(), mWaiting.end(), member, MoreUrgent);
-    mWaiting.insert(place, std::move(member));
+    mWaiting.insert(position, std::move(member));
   }
 }
 
--- a/tests/standins/engine/batchmodel.h
+++ b/tests/standins/engine/batchmodel.h
@@ -9,19 +9,19 @@
 
 namespace standin {
 
-/** The size and speed of the engine that a BatchModel stands for. */
+/** The capacity and speed of the engine that a BatchModel simulates. */
 struct BatchOptions
 {
   size_t mMaxRunning = 32;
-  size_t mMemoryTokens = 32768; /**< key-value memory of all that runs */
+  size_t mMemoryTokens = 32768; /**< key-value memory of the running batch */
   size_t mCacheBlocks = 4096;   /**< prefix cache, in blocks */
-  size_t mPrefillBudget = 2048; /**< prompt tokens in one step at the most */
-  double mStepMillis = 4;       /**< of an empty step */
+  size_t mPrefillBudget = 2048; /**< max. prompt tokens in one step */
+  double mStepMillis = 4;       /**< duration of an empty step */
   double mSequenceMillis = 0.15;
-  double mPrefillMillis = 0.02; /**< each prompt token that is not cached */
+  double mPrefillMillis = 0.02; /**< per uncached prompt token */
 };
 
-/** One request as the batch sees it. */
+/** A request in the form that the batch schedules. */
 struct Sequence
 {
   uint64_t mId = 0;
@@ -31,19 +31,20 @@
   size_t mOutputTokens = 0;
 };
 
-/** What one step of the batch took and brought. */
+/** The duration and the output of one step of the batch. */
 struct BatchStep
 {
   double mMillis = 0;
-  std::vector<uint64_t> mTokens; /**< sequences that got their next token */
+  std::vector<uint64_t>
+    mTokens; /**< ids of sequences that got their next token */
 };
 
 /**
- * Continuous batching, in the manner of the published engines: the most
- * urgent waiting request enters whenever there is room, prompts are prefilled
- * in pieces beside the decoding ones, and a step takes longer the more it
- * holds. Where memory runs out, the least urgent request goes back to the
- * queue and is computed anew. No clock: the caller lets the time pass.
+ * Simulates continuous batching as published engines do it: the most urgent
+ * waiting request is admitted whenever capacity is free, prompts are prefilled
+ * in chunks while other sequences decode, and larger batches take longer
+ * steps. If memory runs out, the least urgent request is preempted: it returns
+ * to the queue and is recomputed. Reads no clock: the caller advances time.
  */
 class BatchModel
 {
@@ -51,27 +52,27 @@
   explicit BatchModel(BatchOptions aOptions);
 
   void Add(Sequence aSequence);
-  /** Takes a cancelled request out at once. */
+  /** Removes a cancelled request at once. */
   void Remove(uint64_t aId);
   BatchStep Step();
 
-  /** Leading blocks of a prompt that need not be read. */
+  /** Returns the number of leading prompt blocks that are cached. */
   size_t CachedBlocks(const std::vector<uint64_t>& aBlocks) const
   {
     return mCache.CachedBlocks(aBlocks);
   }
-  /** Puts blocks that another engine has read into the cache. */
+  /** Adds blocks that another engine has prefilled to the cache. */
   void AddToCache(const std::vector<uint64_t>& aBlocks)
   {
-    mCache.Take(aBlocks);
+    mCache.LookUpAndInsert(aBlocks);
   }
 
   bool Idle() const { return mRunning.empty() && mWaiting.empty(); }
   size_t Running() const { return mRunning.size(); }
   size_t Waiting() const { return mWaiting.size(); }
-  /** Prompt tokens read since the start, not counting cached ones. */
-  uint64_t PrefilledTokens() const { return mPrefilled; }
-  /** Requests that went back to the queue since the start. */
+  /** Prompt tokens prefilled since the start, without cached ones. */
+  uint64_t PrefilledTokens() const { return mPrefilledTokens; }
+  /** Number of preemptions since the start. */
   uint64_t Preempted() const { return mPreempted; }
   /** Share of the key-value memory in use, 0 to 1. */
   double MemoryUsage() const;
@@ -82,17 +83,17 @@
     Sequence mSequence;
     uint64_t mOrder = 0;
     size_t mToPrefill = 0;
-    size_t mDone = 0; /**< output tokens so far */
-    size_t Tokens() const { return mSequence.mPromptTokens + mDone; }
+    size_t mGenerated = 0; /**< output tokens generated */
+    size_t Tokens() const { return mSequence.mPromptTokens + mGenerated; }
   };
 
   static bool MoreUrgent(const Member& aLeft, const Member& aRight);
   void Admit();
   void EnterBatch(Member aMember);
-  /** Time that the prefill of this step takes. */
+  /** Prefills within the budget; returns the milliseconds it takes. */
   double Prefill();
   void Decode(BatchStep& aStep);
-  void MakeRoom();
+  void PreemptUntilFits();
   size_t TokensInUse() const;
 
   BatchOptions mOptions;
@@ -100,7 +101,7 @@
   std::list<Member> mRunning;
   std::list<Member> mWaiting; /**< most urgent first */
   uint64_t mNextOrder = 0;
-  uint64_t mPrefilled = 0;
+  uint64_t mPrefilledTokens = 0;
   uint64_t mPreempted = 0;
 };
 
--- a/tests/standins/engine/engine.cpp
+++ b/tests/standins/engine/engine.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/** How often a waiting request looks whether its client has left. */
-constexpr milliseconds kLookInterval(20);
+/** How often a waiting request checks that its client is connected. */
+constexpr milliseconds kPollInterval(20);
 
 json
 ErrorBody(const std::string& aMessage, const std::string& aType)
@@ -27,9 +27,9 @@
                { "param", nullptr } } } };
 }
 
-/** The text between `[[name=` and `]]` in a prompt; else empty. */
+/** Returns the text between `[[name=` and `]]` in a prompt, or "". */
 std::string
-Marker(const std::string& aPrompt, const std::string& aName)
+MarkerValue(const std::string& aPrompt, const std::string& aName)
 {
   const std::string opening = "[[" + aName + "=";
   const size_t start = aPrompt.find(opening);
@@ -42,7 +42,7 @@
 
 } // namespace
 
-/** One completion while it is being answered. */
+/** A completion whose response is in progress. */
 struct Engine::Completion
 {
   Exchange& mExchange;
@@ -51,11 +51,11 @@
   bool mWithUsage = false;
   uint64_t mId = 0;
   size_t mExecution = 0;
-  size_t mSent = 0;
+  size_t mSentTokens = 0;
 
-  bool WriteToken(size_t aPlace) const
+  bool WriteToken(size_t aIndex) const
   {
-    return mExchange.Write(EventOf(mText.TokenData(aPlace)));
+    return mExchange.Write(EventOf(mText.TokenData(aIndex)));
   }
 
   void WriteEnd() const
@@ -82,19 +82,19 @@
 void
 Engine::RunBatch()
 {
-  auto due = std::chrono::steady_clock::now();
+  auto stepEndTime = std::chrono::steady_clock::now();
   std::unique_lock lock(mMutex);
   while (true) {
     if (mStalled || mBatch.Idle()) {
-      mChanged.wait_for(lock, kLookInterval);
-      due = std::chrono::steady_clock::now();
+      mChanged.wait_for(lock, kPollInterval);
+      stepEndTime = std::chrono::steady_clock::now();
       continue;
     }
     const BatchStep step = mBatch.Step();
-    due += std::chrono::microseconds(
-      static_cast<int64_t>(step.mMillis * mSlow * 1000));
+    stepEndTime += std::chrono::microseconds(
+      static_cast<int64_t>(step.mMillis * mSlowdown * 1000));
     lock.unlock();
-    std::this_thread::sleep_until(due);
+    std::this_thread::sleep_until(stepEndTime);
     lock.lock();
     Deliver(step);
   }
@@ -106,11 +106,11 @@
   for (const uint64_t id : aStep.mTokens) {
     const auto pending = mPending.find(id);
     if (pending != mPending.end()) {
-      ++pending->second.mReady;
+      ++pending->second.mReadyTokens;
       mExecutions.CountToken(pending->second.mExecution);
     }
   }
-  mReports.Add({ .mAt = MonotonicMillis(),
+  mReports.Add({ .mTime = MonotonicMillis(),
                  .mRunning = mBatch.Running(),
                  .mWaiting = mBatch.Waiting(),
                  .mCacheUsage = mBatch.MemoryUsage() });
@@ -146,7 +146,7 @@
 void
 Engine::HandleCompletion(Exchange& aExchange)
 {
-  if (const int status = mRefuse; status != 0) {
+  if (const int status = mRejectStatus; status != 0) {
     aExchange.Send(status,
                    ErrorBody("told to refuse", "ServiceUnavailable").dump());
     return;
@@ -177,7 +177,7 @@
   completion.mExecution =
     mExecutions.Begin({ .mId = aExchange.Header("X-Request-Id"),
                         .mBodyHash = HashOf(aExchange.Body()),
-                        .mMark = Marker(prompt, "mark") });
+                        .mMark = MarkerValue(prompt, "mark") });
   {
     const std::lock_guard lock(mMutex);
     completion.mId = mNextId++;
@@ -189,9 +189,9 @@
                  .mOutputTokens = completion.mText.Tokens() });
   }
   mChanged.notify_all();
-  const bool whole = SendTokens(completion);
-  Forget(completion.mId);
-  if (!whole) {
+  const bool complete = SendTokens(completion);
+  RemoveRequest(completion.mId);
+  if (!complete) {
     return;
   }
   mExecutions.Finish(completion.mExecution);
@@ -205,20 +205,20 @@
 bool
 Engine::SendTokens(Completion& aCompletion)
 {
-  if (!AwaitUnstalled(aCompletion)) {
+  if (!AwaitStallEnd(aCompletion)) {
     mExecutions.Cancel(aCompletion.mExecution);
     return false;
   }
   if (aCompletion.mStream) {
     aCompletion.mExchange.StartStream(200, "text/event-stream");
   }
-  while (aCompletion.mSent < aCompletion.mText.Tokens()) {
-    const size_t ready = AwaitTokens(aCompletion.mId, aCompletion.mSent);
+  while (aCompletion.mSentTokens < aCompletion.mText.Tokens()) {
+    const size_t ready = AwaitTokens(aCompletion.mId, aCompletion.mSentTokens);
     if (aCompletion.mExchange.ClientLeft() || !SendReady(aCompletion, ready)) {
       mExecutions.Cancel(aCompletion.mExecution);
       return false;
     }
-    if (TakeCrash(aCompletion.mSent)) {
+    if (ConsumeCrash(aCompletion.mSentTokens)) {
       mExecutions.Crash(aCompletion.mExecution);
       aCompletion.mExchange.Cut();
       return false;
@@ -228,11 +228,11 @@
 }
 
 bool
-Engine::AwaitUnstalled(const Completion& aCompletion)
+Engine::AwaitStallEnd(const Completion& aCompletion)
 {
   std::unique_lock lock(mMutex);
   while (mStalled && !aCompletion.mExchange.ClientLeft()) {
-    mChanged.wait_for(lock, kLookInterval);
+    mChanged.wait_for(lock, kPollInterval);
   }
   return !aCompletion.mExchange.ClientLeft();
 }
@@ -240,38 +240,39 @@
 bool
 Engine::SendReady(Completion& aCompletion, size_t aReady)
 {
-  while (aCompletion.mSent < aReady) {
-    if (aCompletion.mStream && !aCompletion.WriteToken(aCompletion.mSent)) {
+  while (aCompletion.mSentTokens < aReady) {
+    if (aCompletion.mStream &&
+        !aCompletion.WriteToken(aCompletion.mSentTokens)) {
       return false;
     }
-    ++aCompletion.mSent;
+    ++aCompletion.mSentTokens;
   }
   return true;
 }
 
 size_t
-Engine::AwaitTokens(uint64_t aId, size_t aSeen)
+Engine::AwaitTokens(uint64_t aId, size_t aSentTokens)
 {
   std::unique_lock lock(mMutex);
   const Pending& pending = mPending[aId];
   mChanged.wait_for(
-    lock, kLookInterval, [&] { return pending.mReady > aSeen; });
-  return pending.mReady;
+    lock, kPollInterval, [&] { return pending.mReadyTokens > aSentTokens; });
+  return pending.mReadyTokens;
 }
 
 bool
-Engine::TakeCrash(size_t aTokens)
+Engine::ConsumeCrash(size_t aTokens)
 {
   const std::lock_guard lock(mMutex);
-  if (mCrashAfter == 0 || aTokens < mCrashAfter) {
+  if (mCrashAfterTokens == 0 || aTokens < mCrashAfterTokens) {
     return false;
   }
-  mCrashAfter = 0;
+  mCrashAfterTokens = 0;
   return true;
 }
 
 void
-Engine::Forget(uint64_t aId)
+Engine::RemoveRequest(uint64_t aId)
 {
   const std::lock_guard lock(mMutex);
   mBatch.Remove(aId);
@@ -291,7 +292,7 @@
   const uint64_t fencing =
     std::strtoull(aExchange.Header("X-Fencing-Number").c_str(), nullptr, 10);
   std::this_thread::sleep_for(milliseconds(mOptions.mOrderMillis));
-  if (mOrders.Obey(aOrder, subject, fencing) == OrderOutcome::Refused) {
+  if (mOrders.Execute(aOrder, subject, fencing) == OrderOutcome::Refused) {
     aExchange.Send(409, ErrorBody("old fencing number", "Conflict").dump());
     return;
   }
@@ -301,23 +302,23 @@
 void
 Engine::HandleControl(Exchange& aExchange)
 {
-  const json order = json::parse(aExchange.Body(), nullptr, false);
-  if (!order.is_object()) {
+  const json command = json::parse(aExchange.Body(), nullptr, false);
+  if (!command.is_object()) {
     aExchange.Send(400, ErrorBody("not JSON", "BadRequestError").dump());
     return;
   }
-  if (order.value("exit", false)) {
+  if (command.value("exit", false)) {
     std::_Exit(1);
   }
-  mRefuse = order.value("refuse", mRefuse.load());
-  if (order.contains("lag_ms")) {
-    mReports.SetLag(order["lag_ms"].get<int64_t>());
+  mRejectStatus = command.value("refuse", mRejectStatus.load());
+  if (command.contains("lag_ms")) {
+    mReports.SetLag(command["lag_ms"].get<int64_t>());
   }
   {
     const std::lock_guard lock(mMutex);
-    mSlow = order.value("slow", mSlow);
-    mStalled = order.value("stall", mStalled);
-    mCrashAfter = order.value("crash_after_tokens", mCrashAfter);
+    mSlowdown = command.value("slow", mSlowdown);
+    mStalled = command.value("stall", mStalled);
+    mCrashAfterTokens = command.value("crash_after_tokens", mCrashAfterTokens);
   }
   mChanged.notify_all();
   aExchange.Send(200, "{}");
--- a/tests/standins/engine/engine.h
+++ b/tests/standins/engine/engine.h
@@ -17,20 +17,20 @@
 
 namespace standin {
 
-/** What an engine stand-in is told at its start. */
+/** Command-line options of the engine stand-in. */
 struct EngineOptions
 {
   std::string mModel = "base";
-  std::string mRecordFile; /**< of ExecutionLog */
+  std::string mRecordFile; /**< file that ExecutionLog appends to */
   bool mRefusesOldFencing = true;
   int64_t mReportLag = 0;   /**< milliseconds */
-  int64_t mOrderMillis = 0; /**< how long an order takes */
+  int64_t mOrderMillis = 0; /**< duration of each order */
   BatchOptions mBatch;
 };
 
 /**
- * An OpenAI-compatible model engine that makes up its answers: timing by
- * BatchModel, text by AnswerTo(). One thread steps the batch; each request
+ * An OpenAI-compatible model engine with synthetic responses: BatchModel gives
+ * the timing, AnswerTo() the text. One thread steps the batch; each request
  * waits for its tokens on its connection's thread.
  */
 class Engine
@@ -38,7 +38,7 @@
 public:
   explicit Engine(EngineOptions aOptions);
 
-  /** Answers one request; called on the connection's thread. */
+  /** Serves one request; called on the connection's thread. */
   void Handle(Exchange& aExchange);
 
 private:
@@ -46,7 +46,7 @@
   struct Pending
   {
     size_t mExecution = 0;
-    size_t mReady = 0; /**< tokens generated so far */
+    size_t mReadyTokens = 0; /**< tokens generated so far */
   };
   struct Completion;
 
@@ -55,15 +55,17 @@
 
   void HandleCompletion(Exchange& aExchange);
   void Generate(Exchange& aExchange, const nlohmann::json& aBody);
-  /** A stalled engine says nothing, not even a head; false: client left. */
-  bool AwaitUnstalled(const Completion& aCompletion);
-  /** False where the client left or the engine was told to crash. */
+  /** Waits while the engine is stalled, before any response header is sent;
+   * returns false if the client disconnected. */
+  bool AwaitStallEnd(const Completion& aCompletion);
+  /** Returns false if the client disconnected or a crash was ordered. */
   bool SendTokens(Completion& aCompletion);
   bool SendReady(Completion& aCompletion, size_t aReady);
-  /** Waits for a token or a moment; the tokens that are ready. */
-  size_t AwaitTokens(uint64_t aId, size_t aSeen);
-  bool TakeCrash(size_t aTokens);
-  void Forget(uint64_t aId);
+  /** Waits for a new token or a poll interval; returns the number of tokens
+   * that are ready. */
+  size_t AwaitTokens(uint64_t aId, size_t aSentTokens);
+  bool ConsumeCrash(size_t aTokens);
+  void RemoveRequest(uint64_t aId);
 
   void HandleOrder(Exchange& aExchange, const std::string& aOrder);
   void HandleControl(Exchange& aExchange);
@@ -78,10 +80,10 @@
   BatchModel mBatch;
   std::unordered_map<uint64_t, Pending> mPending;
   uint64_t mNextId = 1;
-  double mSlow = 1;
+  double mSlowdown = 1;
   bool mStalled = false;
-  size_t mCrashAfter = 0;       /**< tokens; 0: no crash is ordered */
-  std::atomic<int> mRefuse = 0; /**< status for new requests; 0: none */
+  size_t mCrashAfterTokens = 0;       /**< tokens; 0: no crash */
+  std::atomic<int> mRejectStatus = 0; /**< status for new requests; 0: serve */
 };
 
 } // namespace standin
--- a/tests/standins/engine/loadreports.h
+++ b/tests/standins/engine/loadreports.h
@@ -11,19 +11,19 @@
 /** An engine's load at one moment. */
 struct LoadReport
 {
-  int64_t mAt = 0; /**< monotonic milliseconds */
+  int64_t mTime = 0; /**< monotonic milliseconds */
   size_t mRunning = 0;
   size_t mWaiting = 0;
   double mCacheUsage = 0;
 };
 
-/** The engine's load as it publishes it: late by a settable lag. */
+/** The load that the engine publishes, delayed by a configurable lag. */
 class LoadReports
 {
 public:
   void SetLag(int64_t aMillis);
   void Add(LoadReport aReport);
-  /** In the Prometheus text format, under the names that vLLM publishes. */
+  /** Returns the Prometheus text format with the metric names of vLLM. */
   std::string Text(int64_t aNow);
 
 private:
--- a/tests/standins/engine/main.cpp
+++ b/tests/standins/engine/main.cpp
@@ -33,26 +33,26 @@
     "", "lag-ms", "lag of the load reports", false, 0, "MS", aLine);
   TCLAP::ValueArg<int64_t> orders(
     "", "order-ms", "how long an order takes", false, 0, "MS", aLine);
-  const BatchOptions standard;
+  const BatchOptions defaults;
   TCLAP::ValueArg<size_t> batch("",
                                 "max-running",
                                 "requests in the batch",
                                 false,
-                                standard.mMaxRunning,
+                                defaults.mMaxRunning,
                                 "N",
                                 aLine);
   TCLAP::ValueArg<size_t> memory("",
                                  "memory-tokens",
                                  "key-value memory",
                                  false,
-                                 standard.mMemoryTokens,
+                                 defaults.mMemoryTokens,
                                  "N",
                                  aLine);
   TCLAP::ValueArg<double> step("",
                                "step-ms",
                                "time of an empty step",
                                false,
-                               standard.mStepMillis,
+                               defaults.mStepMillis,
                                "MS",
                                aLine);
   aLine.parse(aCount, aArguments);
@@ -63,7 +63,7 @@
                          .mRefusesOldFencing = fencing.getValue() != "ignore",
                          .mReportLag = lag.getValue(),
                          .mOrderMillis = orders.getValue(),
-                         .mBatch = standard };
+                         .mBatch = defaults };
   options.mBatch.mMaxRunning = batch.getValue();
   options.mBatch.mMemoryTokens = memory.getValue();
   options.mBatch.mStepMillis = step.getValue();
--- a/tests/standins/engine/orders.cpp
+++ b/tests/standins/engine/orders.cpp
@@ -14,19 +14,19 @@
 }
 
 OrderOutcome
-Orders::Obey(const std::string& aOrder,
-             const std::string& aSubject,
-             uint64_t aFencing)
+Orders::Execute(const std::string& aOrder,
+                const std::string& aSubject,
+                uint64_t aFencing)
 {
   const std::lock_guard lock(mMutex);
-  const bool old = aFencing != 0 && aFencing < mHighest;
-  const bool done = !(old && mRefuses);
-  mHighest = std::max(mHighest, aFencing);
+  const bool outdated = aFencing != 0 && aFencing < mHighestFencing;
+  const bool done = !(outdated && mRefuses);
+  mHighestFencing = std::max(mHighestFencing, aFencing);
   mRecords.push_back({ .mOrder = aOrder,
                        .mSubject = aSubject,
                        .mFencing = aFencing,
                        .mDone = done,
-                       .mAt = MonotonicMillis() });
+                       .mTime = MonotonicMillis() });
   if (!done) {
     return OrderOutcome::Refused;
   }
@@ -79,7 +79,7 @@
                      { "subject", record.mSubject },
                      { "fencing", record.mFencing },
                      { "done", record.mDone },
-                     { "at_ms", record.mAt } });
+                     { "at_ms", record.mTime } });
   }
   return { { "role", mRole }, { "orders", list } };
 }
--- a/tests/standins/engine/orders.h
+++ b/tests/standins/engine/orders.h
@@ -9,29 +9,30 @@
 
 namespace standin {
 
-/** What came of an order. */
+/** The result of an order. */
 enum class OrderOutcome
 {
   Done,
   Refused, /**< its fencing number is lower than one seen before */
 };
 
-/** The orders an engine was given, and what they have made of it. */
+/** The orders that an engine received and the state they led to. */
 class Orders
 {
 public:
-  /** aRefuses: whether old fencing numbers are refused or ignored. */
+  /** aRefuses: whether orders with an old fencing number are refused; if
+   * false, the number is ignored. */
   Orders(std::string aModel, bool aRefuses);
 
-  /** aFencing is 0 where the order carried none. */
-  OrderOutcome Obey(const std::string& aOrder,
-                    const std::string& aSubject,
-                    uint64_t aFencing);
+  /** aFencing is 0 if the order has no fencing number. */
+  OrderOutcome Execute(const std::string& aOrder,
+                       const std::string& aSubject,
+                       uint64_t aFencing);
   /** Whether requests for the model or adapter are served. */
   bool Serves(const std::string& aModel) const;
-  /** In the published form of `GET /v1/models`. */
+  /** Returns the response body of `GET /v1/models`. */
   nlohmann::json Models() const;
-  /** Every order in its sequence, with its number and outcome. */
+  /** Returns all orders in sequence with fencing number and outcome. */
   nlohmann::json Dump() const;
 
 private:
@@ -41,14 +42,14 @@
     std::string mSubject;
     uint64_t mFencing = 0;
     bool mDone = false;
-    int64_t mAt = 0;
+    int64_t mTime = 0;
   };
 
   void Apply(const std::string& aOrder, const std::string& aSubject);
 
   mutable std::mutex mMutex;
   bool mRefuses;
-  uint64_t mHighest = 0;
+  uint64_t mHighestFencing = 0;
   std::string mModel;
   std::string mRole = "both";
   std::set<std::string> mAdapters;
--- a/tests/standins/engine/prefixcache.cpp
+++ b/tests/standins/engine/prefixcache.cpp
@@ -6,8 +6,8 @@
 
 namespace standin {
 
-PrefixCache::PrefixCache(size_t aMostBlocks)
-  : mMostBlocks(aMostBlocks)
+PrefixCache::PrefixCache(size_t aMaxBlocks)
+  : mMaxBlocks(aMaxBlocks)
 {
 }
 
@@ -15,14 +15,14 @@
 PrefixCache::CachedBlocks(const std::vector<uint64_t>& aBlocks) const
 {
   size_t hits = 0;
-  while (hits < aBlocks.size() && mPlaces.contains(aBlocks[hits])) {
+  while (hits < aBlocks.size() && mPositions.contains(aBlocks[hits])) {
     ++hits;
   }
   return hits;
 }
 
 size_t
-PrefixCache::Take(const std::vector<uint64_t>& aBlocks)
+PrefixCache::LookUpAndInsert(const std::vector<uint64_t>& aBlocks)
 {
   const size_t hits = CachedBlocks(aBlocks);
   for (const uint64_t block : aBlocks) {
@@ -34,15 +34,17 @@
 void
 PrefixCache::Touch(uint64_t aBlock)
 {
-  if (const auto place = mPlaces.find(aBlock); place != mPlaces.end()) {
-    mByUse.splice(mByUse.begin(), mByUse, place->second);
+  if (const auto position = mPositions.find(aBlock);
+      position != mPositions.end()) {
+    mRecentlyUsed.splice(
+      mRecentlyUsed.begin(), mRecentlyUsed, position->second);
     return;
   }
-  mByUse.push_front(aBlock);
-  mPlaces[aBlock] = mByUse.begin();
-  if (mByUse.size() > mMostBlocks) {
-    mPlaces.erase(mByUse.back());
-    mByUse.pop_back();
+  mRecentlyUsed.push_front(aBlock);
+  mPositions[aBlock] = mRecentlyUsed.begin();
+  if (mRecentlyUsed.size() > mMaxBlocks) {
+    mPositions.erase(mRecentlyUsed.back());
+    mRecentlyUsed.pop_back();
   }
 }
 
@@ -51,10 +53,11 @@
 {
   constexpr size_t kBlockBytes = kBlockTokens * kBytesPerToken;
   std::vector<uint64_t> blocks;
-  uint64_t chain = 0;
-  for (size_t at = 0; at + kBlockBytes <= aPrompt.size(); at += kBlockBytes) {
-    chain = XXH64(aPrompt.data() + at, kBlockBytes, chain);
-    blocks.push_back(chain);
+  uint64_t hash = 0;
+  for (size_t offset = 0; offset + kBlockBytes <= aPrompt.size();
+       offset += kBlockBytes) {
+    hash = XXH64(aPrompt.data() + offset, kBlockBytes, hash);
+    blocks.push_back(hash);
   }
   return blocks;
 }
--- a/tests/standins/engine/prefixcache.h
+++ b/tests/standins/engine/prefixcache.h
@@ -9,33 +9,34 @@
 
 namespace standin {
 
-/** An engine's cache of prompt prefixes: a limited number of blocks, LRU. */
+/** An engine's LRU cache of prompt prefixes, limited in blocks. */
 class PrefixCache
 {
 public:
-  explicit PrefixCache(size_t aMostBlocks);
+  explicit PrefixCache(size_t aMaxBlocks);
 
   /**
-   * How many of the leading blocks are cached; all of them are cached
-   * afterwards, the least recently used ones giving way.
+   * Returns how many leading blocks are cached, then caches all blocks and
+   * evicts the least recently used ones.
    */
-  size_t Take(const std::vector<uint64_t>& aBlocks);
+  size_t LookUpAndInsert(const std::vector<uint64_t>& aBlocks);
 
-  /** How many of the leading blocks are cached, without using them. */
+  /** Returns how many leading blocks are cached; the LRU order stays. */
   size_t CachedBlocks(const std::vector<uint64_t>& aBlocks) const;
 
 private:
   void Touch(uint64_t aBlock);
 
-  size_t mMostBlocks;
-  std::list<uint64_t> mByUse; /**< most recent first */
-  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> mPlaces;
+  size_t mMaxBlocks;
+  std::list<uint64_t> mRecentlyUsed; /**< most recent first */
+  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> mPositions;
 };
 
 /** Tokens in a block of the cache. */
 inline constexpr size_t kBlockTokens = 16;
 
-/** Hashes of a prompt's whole blocks, each covering all text before it. */
+/** Returns the hashes of a prompt's complete blocks. Each hash also covers
+ * all preceding text. */
 std::vector<uint64_t>
 PrefixBlocks(const std::string& aPrompt);
 
--- a/tests/standins/platform/hostlist.cpp
+++ b/tests/standins/platform/hostlist.cpp
@@ -15,7 +15,7 @@
 HostList::Replace(nlohmann::json aHosts)
 {
   const std::lock_guard lock(mMutex);
-  mVersions.emplace_back(MonotonicMillis(), std::move(aHosts));
+  mPendingVersions.emplace_back(MonotonicMillis(), std::move(aHosts));
 }
 
 std::string
@@ -23,11 +23,12 @@
 {
   const std::lock_guard lock(mMutex);
   const int64_t now = MonotonicMillis();
-  while (!mVersions.empty() && mVersions.front().first + mLag <= now) {
-    mShown = std::move(mVersions.front().second);
-    mVersions.pop_front();
+  while (!mPendingVersions.empty() &&
+         mPendingVersions.front().first + mLag <= now) {
+    mVisible = std::move(mPendingVersions.front().second);
+    mPendingVersions.pop_front();
   }
-  return mShown.dump();
+  return mVisible.dump();
 }
 
 } // namespace standin
--- a/tests/standins/platform/hostlist.h
+++ b/tests/standins/platform/hostlist.h
@@ -9,21 +9,21 @@
 
 namespace standin {
 
-/** The platform's list of hosts, which shows each change only after a lag. */
+/** The platform's host list; a change becomes visible after a lag. */
 class HostList
 {
 public:
   void SetLag(int64_t aMillis);
   void Replace(nlohmann::json aHosts);
-  /** In the published HTTP service discovery form of Prometheus. */
+  /** Returns the HTTP service discovery format of Prometheus. */
   std::string Text();
 
 private:
   std::mutex mMutex;
   int64_t mLag = 0;
-  nlohmann::json mShown = nlohmann::json::array();
-  /** Not yet shown, with the time of each change. */
-  std::deque<std::pair<int64_t, nlohmann::json>> mVersions;
+  nlohmann::json mVisible = nlohmann::json::array();
+  /** Versions that are not yet visible, with the time of each change. */
+  std::deque<std::pair<int64_t, nlohmann::json>> mPendingVersions;
 };
 
 } // namespace standin
--- a/tests/standins/platform/objectstore.cpp
+++ b/tests/standins/platform/objectstore.cpp
@@ -2,7 +2,7 @@
 
 namespace standin {
 
-GateReply
+ServiceReply
 ObjectStore::Put(const std::string& aKey, const std::string& aBytes)
 {
   const std::lock_guard lock(mMutex);
@@ -10,7 +10,7 @@
   return { .mStatus = 200, .mBody = "" };
 }
 
-GateReply
+ServiceReply
 ObjectStore::Get(const std::string& aKey) const
 {
   const std::lock_guard lock(mMutex);
@@ -23,7 +23,7 @@
   return { .mBody = object->second, .mType = "application/octet-stream" };
 }
 
-GateReply
+ServiceReply
 ObjectStore::Delete(const std::string& aKey)
 {
   const std::lock_guard lock(mMutex);
@@ -31,7 +31,7 @@
   return { .mStatus = 204, .mBody = "" };
 }
 
-GateReply
+ServiceReply
 ObjectStore::List(const std::string& aPrefix) const
 {
   const std::lock_guard lock(mMutex);
--- a/tests/standins/platform/objectstore.h
+++ b/tests/standins/platform/objectstore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "faultgate.h"
+#include "servicefaultinjector.h"
 
 #include <map>
 #include <mutex>
@@ -8,14 +8,14 @@
 
 namespace standin {
 
-/** Objects by flat ASCII keys, in path-style S3 form without signing. */
+/** Objects by flat ASCII keys, with path-style S3 responses, unsigned. */
 class ObjectStore
 {
 public:
-  GateReply Put(const std::string& aKey, const std::string& aBytes);
-  GateReply Get(const std::string& aKey) const;
-  GateReply Delete(const std::string& aKey);
-  GateReply List(const std::string& aPrefix) const;
+  ServiceReply Put(const std::string& aKey, const std::string& aBytes);
+  ServiceReply Get(const std::string& aKey) const;
+  ServiceReply Delete(const std::string& aKey);
+  ServiceReply List(const std::string& aPrefix) const;
 
 private:
   mutable std::mutex mMutex;
--- a/tests/standins/platform/platform.cpp
+++ b/tests/standins/platform/platform.cpp
@@ -25,11 +25,11 @@
   } else if (path.starts_with(kObjectPrefix)) {
     HandleObject(aExchange, path.substr(kObjectPrefix.size()));
   } else if (path == "/objects") {
-    mObjectGate.Pass(aExchange, false, [&] {
+    mObjectFaults.RunWithFaults(aExchange, false, [&] {
       return mObjects.List(aExchange.Parameter("prefix"));
     });
   } else if (path == "/hosts") {
-    mHostGate.Pass(aExchange, false, [&] {
+    mHostFaults.RunWithFaults(aExchange, false, [&] {
       return Hosts(aExchange.Header("If-None-Match"));
     });
   } else if (path == "/control") {
@@ -39,16 +39,16 @@
   }
 }
 
-GateReply
-Platform::Hosts(const std::string& aKnownTag)
+ServiceReply
+Platform::Hosts(const std::string& aIfNoneMatch)
 {
   std::string text = mHosts.Text();
-  std::string tag =
+  std::string etag =
     "\"" + std::to_string(XXH3_64bits(text.data(), text.size())) + "\"";
-  if (tag == aKnownTag) {
-    return GateReply{ .mStatus = 304, .mTag = std::move(tag) };
+  if (etag == aIfNoneMatch) {
+    return ServiceReply{ .mStatus = 304, .mETag = std::move(etag) };
   }
-  return GateReply{ .mBody = std::move(text), .mTag = std::move(tag) };
+  return ServiceReply{ .mBody = std::move(text), .mETag = std::move(etag) };
 }
 
 void
@@ -59,12 +59,12 @@
     aExchange.Send(400, R"({"error":"not JSON","code":3})");
     return;
   }
-  mTableGate.Pass(aExchange, IsWrite(aOperation, request), [&] {
+  mTableFaults.RunWithFaults(aExchange, IsWrite(aOperation, request), [&] {
     try {
-      return GateReply{ .mBody = mTable.Run(aOperation, request).dump() };
+      return ServiceReply{ .mBody = mTable.Run(aOperation, request).dump() };
     } catch (const std::exception& error) {
       const json body = { { "error", error.what() }, { "code", 3 } };
-      return GateReply{ .mStatus = 400, .mBody = body.dump() };
+      return ServiceReply{ .mStatus = 400, .mBody = body.dump() };
     }
   });
 }
@@ -74,12 +74,14 @@
 {
   const std::string& method = aExchange.Method();
   if (method == "PUT") {
-    mObjectGate.Pass(
+    mObjectFaults.RunWithFaults(
       aExchange, true, [&] { return mObjects.Put(aKey, aExchange.Body()); });
   } else if (method == "DELETE") {
-    mObjectGate.Pass(aExchange, true, [&] { return mObjects.Delete(aKey); });
+    mObjectFaults.RunWithFaults(
+      aExchange, true, [&] { return mObjects.Delete(aKey); });
   } else {
-    mObjectGate.Pass(aExchange, false, [&] { return mObjects.Get(aKey); });
+    mObjectFaults.RunWithFaults(
+      aExchange, false, [&] { return mObjects.Get(aKey); });
   }
 }
 
@@ -88,23 +90,23 @@
 {
   if (aExchange.Method() == "GET") {
     aExchange.Send(200,
-                   json({ { "table", mTableGate.Counts() },
-                          { "objects", mObjectGate.Counts() },
-                          { "hostlist", mHostGate.Counts() } })
+                   json({ { "table", mTableFaults.Counts() },
+                          { "objects", mObjectFaults.Counts() },
+                          { "hostlist", mHostFaults.Counts() } })
                      .dump());
     return;
   }
   try {
-    const json order = json::parse(aExchange.Body());
-    if (order.contains("host_lag_ms")) {
-      mHosts.SetLag(order["host_lag_ms"].get<int64_t>());
+    const json command = json::parse(aExchange.Body());
+    if (command.contains("host_lag_ms")) {
+      mHosts.SetLag(command["host_lag_ms"].get<int64_t>());
     }
-    if (order.contains("hosts")) {
-      mHosts.Replace(order["hosts"]);
+    if (command.contains("hosts")) {
+      mHosts.Replace(command["hosts"]);
     }
-    mTableGate.Set(order.value("table", json::object()));
-    mObjectGate.Set(order.value("objects", json::object()));
-    mHostGate.Set(order.value("hostlist", json::object()));
+    mTableFaults.Set(command.value("table", json::object()));
+    mObjectFaults.Set(command.value("objects", json::object()));
+    mHostFaults.Set(command.value("hostlist", json::object()));
     aExchange.Send(200, "{}");
   } catch (const std::exception& error) {
     aExchange.Send(400, json({ { "error", error.what() } }).dump());
--- a/tests/standins/platform/platform.h
+++ b/tests/standins/platform/platform.h
@@ -1,23 +1,23 @@
 #pragma once
 
-#include "faultgate.h"
 #include "hostlist.h"
 #include "objectstore.h"
+#include "servicefaultinjector.h"
 #include "table.h"
 
 #include "common/standinserver.h"
 
 namespace standin {
 
-/** The platform's three services behind one port, each with its faults. */
+/** The platform's three services on one port, each with its own faults. */
 class Platform
 {
 public:
   void Handle(Exchange& aExchange);
 
 private:
-  /** The list; without a body where the caller knows it by its tag. */
-  GateReply Hosts(const std::string& aKnownTag);
+  /** Returns the host list, or 304 if aIfNoneMatch is its current ETag. */
+  ServiceReply Hosts(const std::string& aIfNoneMatch);
   void HandleTable(Exchange& aExchange, const std::string& aOperation);
   void HandleObject(Exchange& aExchange, const std::string& aKey);
   void HandleControl(Exchange& aExchange);
@@ -25,9 +25,9 @@
   Table mTable;
   ObjectStore mObjects;
   HostList mHosts;
-  FaultGate mTableGate;
-  FaultGate mObjectGate;
-  FaultGate mHostGate;
+  ServiceFaultInjector mTableFaults;
+  ServiceFaultInjector mObjectFaults;
+  ServiceFaultInjector mHostFaults;
 };
 
 } // namespace standin
--- a/tests/standins/platform/faultgate.cpp
+++ b/tests/standins/platform/servicefaultinjector.cpp
@@ -1,4 +1,4 @@
-#include "faultgate.h"
+#include "servicefaultinjector.h"
 
 #include "common/standinserver.h"
 
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 void
-FaultGate::Set(const json& aOrder)
+ServiceFaultInjector::Set(const json& aCommand)
 {
   static const std::map<std::string, Mode> kModes = {
     { "up", Mode::Up },
@@ -22,39 +22,39 @@
     { "lose_answers", Mode::LoseAnswers },
   };
   const std::lock_guard lock(mMutex);
-  if (aOrder.contains("mode")) {
-    mMode = kModes.at(aOrder["mode"].get<std::string>());
+  if (aCommand.contains("mode")) {
+    mMode = kModes.at(aCommand["mode"].get<std::string>());
   }
-  mDelay = aOrder.value("delay_ms", mDelay);
-  mProbability = aOrder.value("probability", mProbability);
-  if (aOrder.contains("seed")) {
-    mGenerator.seed(aOrder["seed"].get<uint64_t>());
+  mDelay = aCommand.value("delay_ms", mDelay);
+  mProbability = aCommand.value("probability", mProbability);
+  if (aCommand.contains("seed")) {
+    mGenerator.seed(aCommand["seed"].get<uint64_t>());
   }
 }
 
 bool
-FaultGate::LosesThisOne()
+ServiceFaultInjector::DropsResponse()
 {
   const std::lock_guard lock(mMutex);
   if (mMode != Mode::LoseAnswers) {
     return false;
   }
-  const bool loses = std::bernoulli_distribution(mProbability)(mGenerator);
-  mLost += loses ? 1 : 0;
-  return loses;
+  const bool drops = std::bernoulli_distribution(mProbability)(mGenerator);
+  mDroppedResponses += drops ? 1 : 0;
+  return drops;
 }
 
 void
-FaultGate::Pass(Exchange& aExchange,
-                bool aWrite,
-                const std::function<GateReply()>& aWork)
+ServiceFaultInjector::RunWithFaults(Exchange& aExchange,
+                                    bool aWrite,
+                                    const std::function<ServiceReply()>& aWork)
 {
   Mode mode = Mode::Up;
-  std::chrono::milliseconds half(0);
+  std::chrono::milliseconds halfDelay(0);
   {
     const std::lock_guard lock(mMutex);
     mode = mMode;
-    half = std::chrono::milliseconds(mode == Mode::Slow ? mDelay / 2 : 0);
+    halfDelay = std::chrono::milliseconds(mode == Mode::Slow ? mDelay / 2 : 0);
     ++(aWrite ? mWrites : mReads);
     mRefused += mode == Mode::Down ? 1 : 0;
   }
@@ -62,24 +62,24 @@
     aExchange.Send(503, R"({"error":"down","code":14})");
     return;
   }
-  std::this_thread::sleep_for(half);
-  const GateReply reply = aWork();
-  std::this_thread::sleep_for(half);
-  if (LosesThisOne()) {
+  std::this_thread::sleep_for(halfDelay);
+  const ServiceReply reply = aWork();
+  std::this_thread::sleep_for(halfDelay);
+  if (DropsResponse()) {
     aExchange.Cut();
     return;
   }
-  aExchange.Send(reply.mStatus, reply.mBody, reply.mType, reply.mTag);
+  aExchange.Send(reply.mStatus, reply.mBody, reply.mType, reply.mETag);
 }
 
 json
-FaultGate::Counts() const
+ServiceFaultInjector::Counts() const
 {
   const std::lock_guard lock(mMutex);
   return { { "reads", mReads },
            { "writes", mWrites },
            { "refused", mRefused },
-           { "lost_answers", mLost } };
+           { "lost_answers", mDroppedResponses } };
 }
 
 } // namespace standin
--- a/tests/standins/platform/table.cpp
+++ b/tests/standins/platform/table.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 std::string
-Bytes(const json& aRequest, const char* aField)
+DecodeField(const json& aRequest, const char* aField)
 {
   return DecodeBase64(aRequest.value(aField, ""));
 }
 
-/** int64 fields are strings in this form, but numbers are taken too. */
+/** Reads an int64 field: a string in this format; numbers are accepted too. */
 int64_t
-Number(const json& aRequest, const char* aField)
+ReadInt64(const json& aRequest, const char* aField)
 {
   const auto field = aRequest.find(aField);
   if (field == aRequest.end()) {
@@ -29,13 +29,13 @@
                             : field->get<int64_t>();
 }
 
-/** First row and the one after the last of a range. */
+/** Returns the first row of a range and the one after the last. */
 template<typename Rows>
 auto
-RowsOf(Rows& aRows, const json& aRequest)
+FindRange(Rows& aRows, const json& aRequest)
 {
-  const std::string key = Bytes(aRequest, "key");
-  const std::string end = Bytes(aRequest, "range_end");
+  const std::string key = DecodeField(aRequest, "key");
+  const std::string end = DecodeField(aRequest, "range_end");
   auto first = aRows.lower_bound(key);
   if (end.empty()) {
     auto last = aRows.find(key);
@@ -90,8 +90,8 @@
 json
 Table::Range(const json& aRequest) const
 {
-  const auto [first, last] = RowsOf(mRows, aRequest);
-  const int64_t limit = Number(aRequest, "limit");
+  const auto [first, last] = FindRange(mRows, aRequest);
+  const int64_t limit = ReadInt64(aRequest, "limit");
   const bool keysOnly = aRequest.value("keys_only", false);
   json reply = json::object();
   int64_t count = 0;
@@ -101,8 +101,9 @@
       continue;
     }
     json found = { { "key", EncodeBase64(row->first) },
-                   { "create_revision", std::to_string(row->second.mCreated) },
-                   { "mod_revision", std::to_string(row->second.mModified) },
+                   { "create_revision",
+                     std::to_string(row->second.mCreateRevision) },
+                   { "mod_revision", std::to_string(row->second.mModRevision) },
                    { "version", std::to_string(row->second.mVersion) } };
     if (!keysOnly) {
       found["value"] = EncodeBase64(row->second.mValue);
@@ -118,14 +119,14 @@
 json
 Table::Put(const json& aRequest, int64_t aRevision)
 {
-  const std::string key = Bytes(aRequest, "key");
+  const std::string key = DecodeField(aRequest, "key");
   if (key.empty()) {
     throw std::invalid_argument("key is not provided");
   }
   Row& row = mRows[key];
-  row.mValue = Bytes(aRequest, "value");
-  row.mCreated = row.mVersion == 0 ? aRevision : row.mCreated;
-  row.mModified = aRevision;
+  row.mValue = DecodeField(aRequest, "value");
+  row.mCreateRevision = row.mVersion == 0 ? aRevision : row.mCreateRevision;
+  row.mModRevision = aRevision;
   ++row.mVersion;
   return json::object();
 }
@@ -133,7 +134,7 @@
 json
 Table::DeleteRange(const json& aRequest)
 {
-  const auto [first, last] = RowsOf(mRows, aRequest);
+  const auto [first, last] = FindRange(mRows, aRequest);
   const auto deleted = std::distance(first, last);
   mRows.erase(first, last);
   json reply = json::object();
@@ -144,20 +145,22 @@
 }
 
 bool
-Table::Holds(const json& aCompare) const
+Table::ConditionHolds(const json& aCompare) const
 {
-  const auto row = mRows.find(Bytes(aCompare, "key"));
+  const auto row = mRows.find(DecodeField(aCompare, "key"));
   const Row found = row == mRows.end() ? Row() : row->second;
   const std::string target = aCompare.value("target", "VERSION");
   const std::string result = aCompare.value("result", "EQUAL");
   if (target == "CREATE") {
-    return Compare(found.mCreated, result, Number(aCompare, "create_revision"));
+    return Compare(
+      found.mCreateRevision, result, ReadInt64(aCompare, "create_revision"));
   }
   if (target == "MOD") {
-    return Compare(found.mModified, result, Number(aCompare, "mod_revision"));
+    return Compare(
+      found.mModRevision, result, ReadInt64(aCompare, "mod_revision"));
   }
   if (target == "VERSION") {
-    return Compare(found.mVersion, result, Number(aCompare, "version"));
+    return Compare(found.mVersion, result, ReadInt64(aCompare, "version"));
   }
   throw std::invalid_argument("no such compare target");
 }
@@ -165,43 +168,43 @@
 json
 Table::Transaction(const json& aRequest)
 {
-  bool holds = true;
+  bool conditionsHold = true;
   for (const json& compare : aRequest.value("compare", json::array())) {
-    holds = holds && Holds(compare);
+    conditionsHold = conditionsHold && ConditionHolds(compare);
   }
-  const std::map<std::string, Row> before = mRows;
+  const std::map<std::string, Row> rowsBefore = mRows;
   json responses = json::array();
   bool wrote = false;
   try {
-    for (const json& part :
-         aRequest.value(holds ? "success" : "failure", json::array())) {
-      responses.push_back(RunPart(part, mRevision + 1));
+    for (const json& subrequest : aRequest.value(
+           conditionsHold ? "success" : "failure", json::array())) {
+      responses.push_back(RunSubrequest(subrequest, mRevision + 1));
       wrote = wrote || !responses.back().contains("response_range");
     }
   } catch (...) {
-    mRows = before;
+    mRows = rowsBefore;
     throw;
   }
   mRevision += wrote ? 1 : 0;
   json reply = { { "responses", responses } };
-  if (holds) {
+  if (conditionsHold) {
     reply["succeeded"] = true;
   }
   return reply;
 }
 
 json
-Table::RunPart(const json& aPart, int64_t aRevision)
+Table::RunSubrequest(const json& aSubrequest, int64_t aRevision)
 {
-  if (aPart.contains("request_put")) {
-    return { { "response_put", Put(aPart["request_put"], aRevision) } };
+  if (aSubrequest.contains("request_put")) {
+    return { { "response_put", Put(aSubrequest["request_put"], aRevision) } };
   }
-  if (aPart.contains("request_range")) {
-    return { { "response_range", Range(aPart["request_range"]) } };
+  if (aSubrequest.contains("request_range")) {
+    return { { "response_range", Range(aSubrequest["request_range"]) } };
   }
-  if (aPart.contains("request_delete_range")) {
+  if (aSubrequest.contains("request_delete_range")) {
     return { { "response_delete_range",
-               DeleteRange(aPart["request_delete_range"]) } };
+               DeleteRange(aSubrequest["request_delete_range"]) } };
   }
   throw std::invalid_argument("no such request in a transaction");
 }
@@ -223,8 +226,8 @@
     return aOperation != "range";
   }
   for (const char* branch : { "success", "failure" }) {
-    for (const json& part : aRequest.value(branch, json::array())) {
-      if (!part.contains("request_range")) {
+    for (const json& subrequest : aRequest.value(branch, json::array())) {
+      if (!subrequest.contains("request_range")) {
         return true;
       }
     }
--- a/tests/standins/platform/table.h
+++ b/tests/standins/platform/table.h
@@ -9,8 +9,9 @@
 namespace standin {
 
 /**
- * The transactional table, in the published JSON form of etcd's v3 key-value
- * interface (a subset): range, put, deleterange and txn. Serial and atomic.
+ * A transactional table with a subset of the JSON interface of etcd's v3
+ * key-value API: range, put, deleterange and txn. Calls are serialized and
+ * atomic.
  */
 class Table
 {
@@ -23,8 +24,8 @@
   struct Row
   {
     std::string mValue;
-    int64_t mCreated = 0;  /**< revision */
-    int64_t mModified = 0; /**< revision */
+    int64_t mCreateRevision = 0;
+    int64_t mModRevision = 0;
     int64_t mVersion = 0;
   };
 
@@ -32,8 +33,9 @@
   nlohmann::json Put(const nlohmann::json& aRequest, int64_t aRevision);
   nlohmann::json DeleteRange(const nlohmann::json& aRequest);
   nlohmann::json Transaction(const nlohmann::json& aRequest);
-  nlohmann::json RunPart(const nlohmann::json& aPart, int64_t aRevision);
-  bool Holds(const nlohmann::json& aCompare) const;
+  nlohmann::json RunSubrequest(const nlohmann::json& aSubrequest,
+                               int64_t aRevision);
+  bool ConditionHolds(const nlohmann::json& aCompare) const;
   nlohmann::json WithHeader(nlohmann::json aReply) const;
 
   std::mutex mMutex;
@@ -41,7 +43,7 @@
   int64_t mRevision = 1;
 };
 
-/** Whether an operation may write, for the counts. */
+/** Returns whether an operation may write; used for the call counts. */
 bool
 IsWrite(const std::string& aOperation, const nlohmann::json& aRequest);
 
--- a/tests/standins/service/plainservice.cpp
+++ b/tests/standins/service/plainservice.cpp
@@ -32,29 +32,29 @@
 void
 PlainService::SetControls(Exchange& aExchange)
 {
-  const json order = json::parse(aExchange.Body(), nullptr, false);
-  if (!order.is_object()) {
+  const json command = json::parse(aExchange.Body(), nullptr, false);
+  if (!command.is_object()) {
     aExchange.Send(400, R"({"error":"not JSON"})");
     return;
   }
-  mDelay = order.value("delay_ms", mDelay.load());
-  mFail = order.value("fail", mFail.load());
-  mCut = order.value("cut", mCut.load());
+  mDelay = command.value("delay_ms", mDelay.load());
+  mFailStatus = command.value("fail", mFailStatus.load());
+  mCut = command.value("cut", mCut.load());
   aExchange.Send(200, "{}");
 }
 
 bool
-PlainService::Work(const Exchange& aExchange) const
+PlainService::WaitForDelay(const Exchange& aExchange) const
 {
-  constexpr int64_t kLookInterval = 20;
+  constexpr int64_t kPollInterval = 20;
   const int64_t end = MonotonicMillis() + mDelay;
   while (MonotonicMillis() < end) {
     if (aExchange.ClientLeft()) {
       return false;
     }
-    const int64_t left = end - MonotonicMillis();
+    const int64_t remaining = end - MonotonicMillis();
     std::this_thread::sleep_for(
-      std::chrono::milliseconds(std::min(left, kLookInterval)));
+      std::chrono::milliseconds(std::min(remaining, kPollInterval)));
   }
   return true;
 }
@@ -68,7 +68,7 @@
                                             .mTokens = 1,
                                             .mBodyHash = HashOf(body),
                                             .mMark = aExchange.Path() });
-  if (!Work(aExchange)) {
+  if (!WaitForDelay(aExchange)) {
     mExecutions.Cancel(number);
     return;
   }
@@ -78,7 +78,7 @@
     return;
   }
   mExecutions.Finish(number);
-  if (const int status = mFail; status != 0) {
+  if (const int status = mFailStatus; status != 0) {
     aExchange.Send(status, R"({"error":"told to fail"})");
     return;
   }
--- a/tests/standins/service/plainservice.h
+++ b/tests/standins/service/plainservice.h
@@ -11,10 +11,10 @@
 
 /**
  * A plain service: echoes method, path, body hash and request id as JSON, after
- * a delay, and records each execution. Paths under `/_control/` are its
- * controls: `POST /_control/set` with `delay_ms`, `fail` (a status; the call
- * has run), `cut` (true: run the call and drop the connection) and
- * `GET /_control/executions`.
+ * a delay, and records each execution. It is controlled by `POST /_control/set`
+ * with `delay_ms`, `fail` (status to send after the call has run) and `cut`
+ * (true: run the call and reset the connection);
+ * `GET /_control/executions` returns the executions.
  */
 class PlainService
 {
@@ -26,12 +26,12 @@
 private:
   void Execute(Exchange& aExchange);
   void SetControls(Exchange& aExchange);
-  /** False where the client left in the meantime. */
-  bool Work(const Exchange& aExchange) const;
+  /** Waits for the delay; returns false if the client disconnected. */
+  bool WaitForDelay(const Exchange& aExchange) const;
 
   ExecutionLog mExecutions;
   std::atomic<int64_t> mDelay;
-  std::atomic<int> mFail = 0;
+  std::atomic<int> mFailStatus = 0;
   std::atomic<bool> mCut = false;
 };
 
