--- a/tests/standins/common/answertext.cpp
+++ b/tests/standins/common/answertext.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-constexpr std::string_view kMarker = "[[tokens=";
-constexpr size_t kMostTokens = 8192;
+constexpr std::string_view kLengthMarker = "[[tokens=";
+constexpr size_t kMaxTokens = 8192;
 
-/** Bytes of one, two and three in UTF-8, so that cuts inside one show. */
+/** Characters of one, two and three bytes in UTF-8, to reveal cuts inside one.
+ */
 constexpr std::array<std::string_view, 20> kSyllables = {
   "ri", "ga",  "stā", "ci", "ja",  "pe",  "ron", "vil", "cie", "nš",
   "la", "ska", "ņ",   "do", "tai", "wan", "車",  "場",  "回",  "收"
@@ -24,28 +25,28 @@
 size_t
 MarkedLength(const std::string& aPrompt)
 {
-  const size_t place = aPrompt.rfind(kMarker);
-  if (place == std::string::npos) {
+  const size_t position = aPrompt.rfind(kLengthMarker);
+  if (position == std::string::npos) {
     return 0;
   }
   size_t length = 0;
-  const char* first = aPrompt.data() + place + kMarker.size();
+  const char* first = aPrompt.data() + position + kLengthMarker.size();
   std::from_chars(first, aPrompt.data() + aPrompt.size(), length);
-  return std::min(length, kMostTokens);
+  return std::min(length, kMaxTokens);
 }
 
 size_t
-DrawnLength(std::mt19937_64& aGenerator)
+DrawLength(std::mt19937_64& aGenerator)
 {
   constexpr double kMedianLog = 3.7; // e^3.7 is about 40 tokens
   constexpr double kSpread = 0.8;
   std::lognormal_distribution<double> lengths(kMedianLog, kSpread);
   return std::clamp<size_t>(
-    static_cast<size_t>(lengths(aGenerator)), 1, kMostTokens);
+    static_cast<size_t>(lengths(aGenerator)), 1, kMaxTokens);
 }
 
 std::string
-DrawnToken(std::mt19937_64& aGenerator, bool aFirst)
+DrawToken(std::mt19937_64& aGenerator, bool aFirst)
 {
   std::string token = aFirst ? "" : " ";
   uint64_t bits = aGenerator();
@@ -105,16 +106,16 @@
   answer.mSeed = XXH64(seedText.data(), seedText.size(), 0);
   answer.mPromptTokens = prompt.size() / kBytesPerToken + 1;
   std::mt19937_64 generator(answer.mSeed);
-  size_t length = DrawnLength(generator);
+  size_t length = DrawLength(generator);
   if (const size_t marked = MarkedLength(prompt); marked != 0) {
     length = marked;
   }
-  const size_t most = aBody.value("max_tokens", kMostTokens);
-  answer.mStopped = length <= most;
-  length = std::min(length, most);
+  const size_t maxTokens = aBody.value("max_tokens", kMaxTokens);
+  answer.mStopped = length <= maxTokens;
+  length = std::min(length, maxTokens);
   answer.mTokens.reserve(length);
   for (size_t i = 0; i < length; ++i) {
-    answer.mTokens.push_back(DrawnToken(generator, i == 0));
+    answer.mTokens.push_back(DrawToken(generator, i == 0));
   }
   return answer;
 }
--- a/tests/standins/common/completiontext.cpp
+++ b/tests/standins/common/completiontext.cpp
@@ -45,10 +45,10 @@
 }
 
 std::string
-CompletionText::TokenData(size_t aPlace) const
+CompletionText::TokenData(size_t aIndex) const
 {
-  json delta = { { "content", mAnswer.mTokens[aPlace] } };
-  if (aPlace == 0) {
+  json delta = { { "content", mAnswer.mTokens[aIndex] } };
+  if (aIndex == 0) {
     delta["role"] = "assistant";
   }
   return Chunk(mAnswer, mModel, Choice(delta, nullptr)).dump();
--- a/tests/standins/common/completiontext.h
+++ b/tests/standins/common/completiontext.h
@@ -8,9 +8,9 @@
 namespace standin {
 
 /**
- * A chat completion in the published form, byte for byte as an engine
- * stand-in gives it, streamed and whole. It carries no time of day, so its
- * bytes depend on the request alone.
+ * The exact bytes of an engine stand-in's chat completion in the OpenAI
+ * format, streamed or as one body. Its creation time is fixed, so the bytes
+ * depend on the request alone.
  */
 class CompletionText
 {
@@ -21,12 +21,12 @@
   size_t Tokens() const { return mAnswer.mTokens.size(); }
 
   /** Data of the event that carries one token. */
-  std::string TokenData(size_t aPlace) const;
+  std::string TokenData(size_t aIndex) const;
   /** Data of the event that ends the choice. */
   std::string EndData() const;
-  /** Data of the event that `include_usage` asks for. */
+  /** Data of the event that `include_usage` requests. */
   std::string UsageData() const;
-  /** The body where no stream is asked for. */
+  /** The body of a response that is not streamed. */
   std::string WholeBody() const;
 
 private:
@@ -37,7 +37,7 @@
 /** Data of the last event of every stream. */
 inline constexpr const char* kDoneData = "[DONE]";
 
-/** One server-sent event. */
+/** Returns a server-sent event with aData. */
 std::string
 EventOf(const std::string& aData);
 
--- a/tests/standins/common/executionlog.cpp
+++ b/tests/standins/common/executionlog.cpp
@@ -26,7 +26,7 @@
   if (mFile.is_open()) {
     mFile << aExecution.mId + " " + aExecution.mMark + "\n" << std::flush;
   }
-  aExecution.mStarted = MonotonicMillis();
+  aExecution.mStartTime = MonotonicMillis();
   mExecutions.push_back(std::move(aExecution));
   return mExecutions.size() - 1;
 }
@@ -43,7 +43,7 @@
 {
   const std::lock_guard lock(mMutex);
   mExecutions[aNumber].mFinished = true;
-  mExecutions[aNumber].mEnded = MonotonicMillis();
+  mExecutions[aNumber].mEndTime = MonotonicMillis();
 }
 
 void
@@ -51,7 +51,7 @@
 {
   const std::lock_guard lock(mMutex);
   mExecutions[aNumber].mCancelled = true;
-  mExecutions[aNumber].mEnded = MonotonicMillis();
+  mExecutions[aNumber].mEndTime = MonotonicMillis();
 }
 
 void
@@ -59,7 +59,7 @@
 {
   const std::lock_guard lock(mMutex);
   mExecutions[aNumber].mCrashed = true;
-  mExecutions[aNumber].mEnded = MonotonicMillis();
+  mExecutions[aNumber].mEndTime = MonotonicMillis();
 }
 
 nlohmann::json
@@ -69,8 +69,8 @@
   nlohmann::json list = nlohmann::json::array();
   for (const Execution& execution : mExecutions) {
     list.push_back({ { "id", execution.mId },
-                     { "started_ms", execution.mStarted },
-                     { "ended_ms", execution.mEnded },
+                     { "started_ms", execution.mStartTime },
+                     { "ended_ms", execution.mEndTime },
                      { "tokens", execution.mTokens },
                      { "finished", execution.mFinished },
                      { "cancelled", execution.mCancelled },
--- a/tests/standins/common/executionlog.h
+++ b/tests/standins/common/executionlog.h
@@ -12,10 +12,10 @@
 /** One run of a request by an upstream stand-in. */
 struct Execution
 {
-  std::string mId;      /**< the X-Request-Id it came with */
-  int64_t mStarted = 0; /**< monotonic milliseconds of the machine */
-  int64_t mEnded = 0;   /**< 0 while it runs */
-  uint64_t mTokens = 0; /**< generated, whether received or not */
+  std::string mId;        /**< its X-Request-Id */
+  int64_t mStartTime = 0; /**< monotonic milliseconds of the host */
+  int64_t mEndTime = 0;   /**< 0 while it runs */
+  uint64_t mTokens = 0;   /**< generated, whether received or not */
   bool mFinished = false;
   bool mCancelled = false;
   bool mCrashed = false;
@@ -23,7 +23,7 @@
   std::string mMark; /**< `[[mark=...]]` of the prompt, or the path */
 };
 
-/** Every execution of an upstream, so that a test can count them. */
+/** Records every execution of an upstream, so that a test can count them. */
 class ExecutionLog
 {
 public:
@@ -33,7 +33,7 @@
    */
   explicit ExecutionLog(const std::string& aFile = "");
 
-  /** A number to refer to the execution by. */
+  /** Returns the number of the execution for the calls below. */
   size_t Begin(Execution aExecution);
   void CountToken(size_t aNumber);
   void Finish(size_t aNumber);
@@ -47,7 +47,7 @@
   std::deque<Execution> mExecutions;
 };
 
-/** The machine's monotonic clock in milliseconds. */
+/** Returns the host's monotonic clock in milliseconds. */
 int64_t
 MonotonicMillis();
 
--- a/tests/standins/common/servicetext.h
+++ b/tests/standins/common/servicetext.h
@@ -6,11 +6,11 @@
 
 namespace standin {
 
-/** Hash of a body, as the stand-ins record it. */
+/** Returns the hash of a body that the stand-ins record. */
 uint64_t
 HashOf(const std::string& aBody);
 
-/** What the plain service stand-in answers to a call. */
+/** Returns the plain service stand-in's response to a call. */
 nlohmann::json
 ServiceAnswer(const std::string& aMethod,
               const std::string& aPath,
--- a/tests/standins/common/standinserver.cpp
+++ b/tests/standins/common/standinserver.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr uint64_t kMostBody = 64 * 1024 * 1024;
+constexpr uint64_t kMaxBodyBytes = 64 * 1024 * 1024;
 
 Tcp::endpoint
 ParseEndpoint(const std::string& aText)
@@ -56,11 +56,11 @@
   {
   }
 
-  /** Reads one request; false where the connection is over. */
+  /** Reads one request; returns false if the connection has ended. */
   bool Read()
   {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(kMostBody);
+    parser.body_limit(kMaxBodyBytes);
     error_code error;
     http::read_header(mSocket, mBuffer, parser, error);
     if (!error && parser.get()[http::field::expect] == "100-continue") {
@@ -76,11 +76,14 @@
     }
     mRequest = parser.release();
     mMethod = std::string(mRequest.method_string());
-    mAnswered = false;
+    mResponseSent = false;
     return true;
   }
 
-  bool Usable() const { return mAnswered && !mBroken && mRequest.keep_alive(); }
+  bool Reusable() const
+  {
+    return mResponseSent && !mBroken && mRequest.keep_alive();
+  }
 
   void Cut()
   {
@@ -94,7 +97,7 @@
   boost::beast::flat_buffer mBuffer;
   http::request<http::string_body> mRequest;
   std::string mMethod;
-  bool mAnswered = false;
+  bool mResponseSent = false;
   bool mBroken = false;
 };
 
@@ -120,14 +123,14 @@
 Exchange::Parameter(const std::string& aName) const
 {
   const std::string target(mImpl.mRequest.target());
-  size_t place = target.find('?');
-  while (place != std::string::npos) {
-    const size_t end = target.find('&', place + 1);
-    const std::string pair = target.substr(place + 1, end - place - 1);
+  size_t position = target.find('?');
+  while (position != std::string::npos) {
+    const size_t end = target.find('&', position + 1);
+    const std::string pair = target.substr(position + 1, end - position - 1);
     if (pair.starts_with(aName + "=")) {
       return DecodePercent(pair.substr(aName.size() + 1));
     }
-    place = end;
+    position = end;
   }
   return "";
 }
@@ -148,13 +151,13 @@
 Exchange::Send(int aStatus,
                const std::string& aBody,
                const std::string& aType,
-               const std::string& aTag)
+               const std::string& aETag)
 {
   http::response<http::string_body> reply(static_cast<http::status>(aStatus),
                                           mImpl.mRequest.version());
   reply.set(http::field::content_type, aType);
-  if (!aTag.empty()) {
-    reply.set(http::field::etag, aTag);
+  if (!aETag.empty()) {
+    reply.set(http::field::etag, aETag);
   }
   reply.keep_alive(mImpl.mRequest.keep_alive());
   reply.body() = aBody;
@@ -165,7 +168,7 @@
   error_code error;
   http::write(mImpl.mSocket, reply, error);
   mImpl.mBroken = mImpl.mBroken || error.failed();
-  mImpl.mAnswered = true;
+  mImpl.mResponseSent = true;
 }
 
 void
@@ -203,7 +206,7 @@
   error_code error;
   net::write(mImpl.mSocket, http::make_chunk_last(), error);
   mImpl.mBroken = error.failed();
-  mImpl.mAnswered = true;
+  mImpl.mResponseSent = true;
 }
 
 void
@@ -219,9 +222,9 @@
     return true;
   }
   char byte = 0;
-  const ssize_t got =
+  const ssize_t peeked =
     recv(mImpl.mSocket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got == 0 || (got < 0 && errno != EAGAIN && errno != EINTR);
+  return peeked == 0 || (peeked < 0 && errno != EAGAIN && errno != EINTR);
 }
 
 struct StandinServer::Listener
@@ -258,7 +261,7 @@
     while (connection.Read()) {
       Exchange exchange(connection);
       mHandler(exchange);
-      if (!connection.Usable()) {
+      if (!connection.Reusable()) {
         break;
       }
     }
--- a/tests/standins/common/standinserver.h
+++ b/tests/standins/common/standinserver.h
@@ -9,12 +9,12 @@
 namespace standin {
 
 /**
- * One HTTP request and the connection it came on. The handler answers it by
- * Send(), or by StartStream(), Write() and EndStream(), or cuts it.
+ * One HTTP request and the connection it came on. The handler responds with
+ * Send() or with StartStream(), Write() and EndStream(), or calls Cut().
  *
- * Built on Boost.Beast and not on ulfius: a stand-in must notice at once that
- * its client has left while nothing is being written, say nothing at all for
- * as long as a test wants, and cut a connection at a chosen byte.
+ * Uses Boost.Beast instead of ulfius: a stand-in must detect at once that its
+ * client disconnected while nothing is written, send nothing for as long as a
+ * test requires, and reset a connection at a chosen byte.
  */
 class Exchange
 {
@@ -25,23 +25,23 @@
   const std::string& Method() const;
   /** Without the query string. */
   std::string Path() const;
-  /** A parameter of the query string, decoded; else empty. */
+  /** Returns a decoded parameter of the query string, or "". */
   std::string Parameter(const std::string& aName) const;
   std::string Header(const std::string& aName) const;
   const std::string& Body() const;
 
-  /** aTag: the body's ETag, where it has one. */
+  /** aETag: the body's ETag, or empty. */
   void Send(int aStatus,
             const std::string& aBody,
             const std::string& aType = "application/json",
-            const std::string& aTag = "");
+            const std::string& aETag = "");
   void StartStream(int aStatus, const std::string& aType);
-  /** False once the client has left. */
+  /** Returns false once the client has disconnected. */
   bool Write(const std::string& aData);
   void EndStream();
-  /** Resets the connection: the answer cannot look whole. */
+  /** Resets the connection, so that the response cannot look complete. */
   void Cut();
-  /** Whether the client has closed its end. */
+  /** Returns whether the client has disconnected. */
   bool ClientLeft() const;
 
 private:
@@ -49,18 +49,18 @@
 };
 
 /**
- * An HTTP/1.1 server with a thread for each connection. It listens at once
- * and lives until the process ends.
+ * An HTTP/1.1 server with a thread for each connection. It listens from its
+ * construction until the process ends.
  */
 class StandinServer
 {
 public:
   using Handler = std::function<void(Exchange&)>;
 
-  /** Throws boost::system::system_error where it cannot listen. */
+  /** Throws boost::system::system_error if it cannot listen. */
   StandinServer(const std::string& aEndpoint, Handler aHandler);
 
-  /** `ADDRESS:PORT` with the port that was given. */
+  /** Returns `ADDRESS:PORT` with the actual port. */
   std::string Endpoint() const;
 
 private:
@@ -78,7 +78,8 @@
 void
 WaitForStopSignal();
 
-/** Keeps the stop signals for WaitForStopSignal(), in threads made later. */
+/** Blocks the stop signals in this thread and in threads started later, so
+ * that WaitForStopSignal() receives them. */
 void
 BlockStopSignals();
 
--- a/tests/standins/common/streamedanswer.cpp
+++ b/tests/standins/common/streamedanswer.cpp
@@ -20,7 +20,7 @@
   size_t start = 0;
   size_t end = 0;
   while ((end = mBuffer.find("\n\n", start)) != std::string::npos) {
-    TakeEvent(std::string_view(mBuffer).substr(start, end - start));
+    HandleEvent(std::string_view(mBuffer).substr(start, end - start));
     start = end + 2;
   }
   mBuffer.erase(0, start);
@@ -28,7 +28,7 @@
 }
 
 void
-StreamedAnswer::TakeEvent(std::string_view aEvent)
+StreamedAnswer::HandleEvent(std::string_view aEvent)
 {
   std::string name;
   std::string data;
@@ -41,7 +41,7 @@
     } else if (line.starts_with("event: ")) {
       name = line.substr(7);
     } else if (!line.empty() && !line.starts_with(':')) {
-      mWrong = true;
+      mMismatch = true;
     }
     start = end + 1;
   }
@@ -49,36 +49,36 @@
     return;
   }
   if (name == "error") {
-    TakeError(data);
+    HandleError(data);
   } else {
-    TakeData(data);
+    HandleData(data);
   }
 }
 
 void
-StreamedAnswer::TakeData(const std::string& aData)
+StreamedAnswer::HandleData(const std::string& aData)
 {
   if (mDone || !mErrorKind.empty()) {
-    mWrong = true;
+    mMismatch = true;
   } else if (mTokens < mExpected.Tokens()) {
-    mWrong = mWrong || aData != mExpected.TokenData(mTokens);
+    mMismatch = mMismatch || aData != mExpected.TokenData(mTokens);
     ++mTokens;
-  } else if (!mEnded) {
-    mWrong = mWrong || aData != mExpected.EndData();
-    mEnded = true;
+  } else if (!mFinishReasonReceived) {
+    mMismatch = mMismatch || aData != mExpected.EndData();
+    mFinishReasonReceived = true;
   } else if (aData == kDoneData) {
     mDone = true;
   } else {
-    mWrong = mWrong || aData != mExpected.UsageData();
+    mMismatch = mMismatch || aData != mExpected.UsageData();
   }
 }
 
 void
-StreamedAnswer::TakeError(const std::string& aData)
+StreamedAnswer::HandleError(const std::string& aData)
 {
   const json event = json::parse(aData, nullptr, false);
   if (mDone || !event.is_object() || !event.contains("error")) {
-    mWrong = true;
+    mMismatch = true;
     return;
   }
   mErrorKind = event["error"].value("kind", "unnamed");
@@ -88,7 +88,7 @@
 bool
 StreamedAnswer::IsWhole() const
 {
-  return mDone && !mWrong && mErrorKind.empty() && mBuffer.empty();
+  return mDone && !mMismatch && mErrorKind.empty() && mBuffer.empty();
 }
 
 } // namespace standin
--- a/tests/standins/faultproxy/link.cpp
+++ b/tests/standins/faultproxy/link.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr size_t kMostHeld = 4 * 1024 * 1024;
+constexpr size_t kMaxBufferedBytes = 4 * 1024 * 1024;
 
 void
 Reset(UniqueFd& aSocket)
@@ -29,22 +29,24 @@
 }
 
 int
-Link::Socket(Way aReadsFor) const
+Link::Socket(Direction aReadDirection) const
 {
-  return Of(aReadsFor).mFrom.Value();
+  return FlowOf(aReadDirection).mFrom.Value();
 }
 
 short
-Link::Events(Way aReadsFor, const LinkFaults& aFaults, int64_t aNow) const
+Link::Events(Direction aReadDirection,
+             const LinkFaults& aFaults,
+             int64_t aNow) const
 {
-  const Flow& reads = Of(aReadsFor);
-  const Flow& writes = Of(Other(aReadsFor));
+  const Flow& readFlow = FlowOf(aReadDirection);
+  const Flow& writeFlow = FlowOf(Opposite(aReadDirection));
   short events = 0;
-  if (!reads.mEnded && reads.mHeld < kMostHeld) {
+  if (!readFlow.mEnded && readFlow.mBufferedBytes < kMaxBufferedBytes) {
     events |= POLLIN;
   }
   const bool due =
-    !writes.mPieces.empty() && writes.mPieces.front().mDue <= aNow;
+    !writeFlow.mChunks.empty() && writeFlow.mChunks.front().mDueTime <= aNow;
   if (due && aFaults.mThrottle == 0) {
     events |= POLLOUT;
   }
@@ -52,42 +54,43 @@
 }
 
 void
-Link::Move(Way aWay,
-           short aReady,
-           const LinkFaults& aFaults,
-           LinkCounts& aCounts,
-           int64_t aNow)
+Link::ReceiveIfReady(Direction aDirection,
+                     short aReady,
+                     const LinkFaults& aFaults,
+                     LinkCounts& aCounts,
+                     int64_t aNow)
 {
-  if ((aReady & (POLLIN | POLLHUP | POLLERR)) != 0 && !Of(aWay).mEnded) {
-    Receive(aWay, aFaults, aCounts, aNow);
+  if ((aReady & (POLLIN | POLLHUP | POLLERR)) != 0 &&
+      !FlowOf(aDirection).mEnded) {
+    Receive(aDirection, aFaults, aCounts, aNow);
   }
 }
 
 void
-Link::Receive(Way aWay,
+Link::Receive(Direction aDirection,
               const LinkFaults& aFaults,
               LinkCounts& aCounts,
               int64_t aNow)
 {
-  Flow& flow = Of(aWay);
+  Flow& flow = FlowOf(aDirection);
   std::array<char, 64 * 1024> bytes;
-  const ssize_t got =
+  const ssize_t received =
     recv(flow.mFrom.Value(), bytes.data(), bytes.size(), MSG_DONTWAIT);
-  if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+  if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
     return;
   }
-  if (got <= 0) {
+  if (received <= 0) {
     flow.mEnded = true;
     return;
   }
-  const size_t count = static_cast<size_t>(got);
-  if (flow.mSilent) {
-    aCounts.mSwallowed += count;
+  const size_t count = static_cast<size_t>(received);
+  if (flow.mDiscarding) {
+    aCounts.mDiscardedBytes += count;
     return;
   }
-  flow.mPieces.push_back({ .mDue = aNow + aFaults.mDelay,
+  flow.mChunks.push_back({ .mDueTime = aNow + aFaults.mDelay,
                            .mBytes = std::string(bytes.data(), count) });
-  flow.mHeld += count;
+  flow.mBufferedBytes += count;
 }
 
 size_t
@@ -98,74 +101,77 @@
   }
   constexpr double kMillisPerSecond = 1000;
   const double rate = static_cast<double>(aFaults.mThrottle);
-  const double since =
-    static_cast<double>(aFlow.mRefilled == 0 ? 0 : aNow - aFlow.mRefilled);
-  aFlow.mRefilled = aNow;
-  aFlow.mAllowance =
-    std::min(rate / 4 + 1, aFlow.mAllowance + rate * since / kMillisPerSecond);
+  const double elapsed =
+    static_cast<double>(aFlow.mRefillTime == 0 ? 0 : aNow - aFlow.mRefillTime);
+  aFlow.mRefillTime = aNow;
+  aFlow.mAllowance = std::min(
+    rate / 4 + 1, aFlow.mAllowance + rate * elapsed / kMillisPerSecond);
   return static_cast<size_t>(aFlow.mAllowance);
 }
 
 void
-Link::Flush(Way aWay,
+Link::Flush(Direction aDirection,
             const LinkFaults& aFaults,
             LinkCounts& aCounts,
             int64_t aNow)
 {
-  Flow& flow = Of(aWay);
-  const int to = Socket(Other(aWay));
+  Flow& flow = FlowOf(aDirection);
+  const int destination = Socket(Opposite(aDirection));
   size_t allowed = Allowed(flow, aFaults, aNow);
-  while (!mCut && to >= 0 && !flow.mPieces.empty() && allowed > 0 &&
-         flow.mPieces.front().mDue <= aNow) {
-    std::string& bytes = flow.mPieces.front().mBytes;
-    size_t most = std::min(bytes.size(), allowed);
-    const bool limited = aWay == Way::Down && aFaults.mCutAfter != 0;
+  while (!mCut && destination >= 0 && !flow.mChunks.empty() && allowed > 0 &&
+         flow.mChunks.front().mDueTime <= aNow) {
+    std::string& bytes = flow.mChunks.front().mBytes;
+    size_t maxBytes = std::min(bytes.size(), allowed);
+    const bool limited =
+      aDirection == Direction::Down && aFaults.mCutAfter != 0;
     const uint64_t limit = static_cast<uint64_t>(aFaults.mCutAfter);
     if (limited) {
-      most = std::min<size_t>(most, limit > mSentDown ? limit - mSentDown : 0);
+      maxBytes =
+        std::min<size_t>(maxBytes, limit > mSentDown ? limit - mSentDown : 0);
     }
     const ssize_t sent =
-      send(to, bytes.data(), most, MSG_DONTWAIT | MSG_NOSIGNAL);
+      send(destination, bytes.data(), maxBytes, MSG_DONTWAIT | MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno != EAGAIN && errno != EINTR) {
-        Of(Other(aWay)).mEnded = true;
-        flow.mPieces.clear();
-        flow.mHeld = 0;
+        FlowOf(Opposite(aDirection)).mEnded = true;
+        flow.mChunks.clear();
+        flow.mBufferedBytes = 0;
       }
       return;
     }
     const size_t count = static_cast<size_t>(sent);
     bytes.erase(0, count);
-    flow.mHeld -= count;
+    flow.mBufferedBytes -= count;
     allowed -= std::min(allowed, count);
     flow.mAllowance -= static_cast<double>(count);
-    (aWay == Way::Up ? aCounts.mBytesUp : aCounts.mBytesDown) += count;
-    mSentDown += aWay == Way::Down ? count : 0;
+    (aDirection == Direction::Up ? aCounts.mBytesUp : aCounts.mBytesDown) +=
+      count;
+    mSentDown += aDirection == Direction::Down ? count : 0;
     if (limited && mSentDown >= limit) {
       ++aCounts.mCuts;
       Cut();
       return;
     }
     if (bytes.empty()) {
-      flow.mPieces.pop_front();
+      flow.mChunks.pop_front();
     }
   }
-  if (flow.mEnded && flow.mPieces.empty()) {
-    PassEnd(aWay);
+  if (flow.mEnded && flow.mChunks.empty()) {
+    ForwardEnd(aDirection);
   }
 }
 
 void
-Link::PassEnd(Way aWay)
+Link::ForwardEnd(Direction aDirection)
 {
-  Flow& flow = Of(aWay);
-  const int to = Socket(Other(aWay));
-  if (flow.mPassedEnd || flow.mSilent) {
+  Flow& flow = FlowOf(aDirection);
+  const int destination = Socket(Opposite(aDirection));
+  if (flow.mEndForwarded || flow.mDiscarding) {
     return;
   }
-  flow.mPassedEnd = true;
-  if (to >= 0) {
-    shutdown(to, SHUT_WR);
+  flow.mEndForwarded = true;
+  if (destination >= 0) {
+    shutdown(destination, SHUT_WR);
   }
 }
 
@@ -174,28 +180,28 @@
 {
   int64_t due = std::numeric_limits<int64_t>::max();
   for (const Flow* flow : { &mUp, &mDown }) {
-    if (!flow->mPieces.empty()) {
-      due = std::min(due, flow->mPieces.front().mDue);
+    if (!flow->mChunks.empty()) {
+      due = std::min(due, flow->mChunks.front().mDueTime);
     }
   }
   return due;
 }
 
 void
-Link::Silence(Way aWay)
+Link::Silence(Direction aDirection)
 {
-  Flow& flow = Of(aWay);
-  flow.mSilent = true;
-  flow.mPieces.clear();
-  flow.mHeld = 0;
+  Flow& flow = FlowOf(aDirection);
+  flow.mDiscarding = true;
+  flow.mChunks.clear();
+  flow.mBufferedBytes = 0;
 }
 
 void
-Link::HalfOpen(Way aSide)
+Link::HalfOpen(Direction aSide)
 {
-  Silence(Way::Up);
-  Silence(Way::Down);
-  Flow& closed = Of(Other(aSide));
+  Silence(Direction::Up);
+  Silence(Direction::Down);
+  Flow& closed = FlowOf(Opposite(aSide));
   Reset(closed.mFrom);
   closed.mEnded = true;
 }
@@ -209,10 +215,10 @@
 }
 
 bool
-Link::Over() const
+Link::Finished() const
 {
-  const bool nothingHeld = mUp.mPieces.empty() && mDown.mPieces.empty();
-  return mCut || (mUp.mEnded && mDown.mEnded && nothingHeld);
+  const bool nothingBuffered = mUp.mChunks.empty() && mDown.mChunks.empty();
+  return mCut || (mUp.mEnded && mDown.mEnded && nothingBuffered);
 }
 
 } // namespace standin
--- a/tests/standins/faultproxy/link.h
+++ b/tests/standins/faultproxy/link.h
@@ -16,59 +16,70 @@
 public:
   Link(UniqueFd aClient, UniqueFd aTarget);
 
-  /** What to wait for on the client's and on the target's socket. */
-  short Events(Way aReadsFor, const LinkFaults& aFaults, int64_t aNow) const;
-  int Socket(Way aReadsFor) const;
-  /** Moves what can be moved after a poll; times are milliseconds. */
-  void Move(Way aWay,
-            short aReady,
-            const LinkFaults& aFaults,
-            LinkCounts& aCounts,
-            int64_t aNow);
-  /** Sends on what is due. */
-  void Flush(Way aWay,
+  /** Returns the poll events for the socket that this direction reads from. */
+  short Events(Direction aReadDirection,
+               const LinkFaults& aFaults,
+               int64_t aNow) const;
+  int Socket(Direction aReadDirection) const;
+  /** Receives after a poll if aReady allows; times are in milliseconds. */
+  void ReceiveIfReady(Direction aDirection,
+                      short aReady,
+                      const LinkFaults& aFaults,
+                      LinkCounts& aCounts,
+                      int64_t aNow);
+  /** Forwards the bytes that are due. */
+  void Flush(Direction aDirection,
              const LinkFaults& aFaults,
              LinkCounts& aCounts,
              int64_t aNow);
-  /** When the next held-back bytes are due; INT64_MAX: none. */
+  /** Returns when the next delayed bytes are due; INT64_MAX: none. */
   int64_t NextDue() const;
 
-  /** From now on the bytes of that way are swallowed and nothing is closed. */
-  void Silence(Way aWay);
-  /** Closes that side alone; the other one is left open and silent. */
-  void HalfOpen(Way aSide);
+  /** Discards all further bytes of that direction; closes nothing. */
+  void Silence(Direction aDirection);
+  /** Resets one socket; the other one stays open, without traffic. */
+  void HalfOpen(Direction aSide);
   /** Resets both sides. */
   void Cut();
-  bool Over() const;
+  bool Finished() const;
 
 private:
-  struct Piece
+  struct Chunk
   {
-    int64_t mDue = 0;
+    int64_t mDueTime = 0;
     std::string mBytes;
   };
   struct Flow
   {
-    UniqueFd mFrom; /**< the socket that this way reads from */
-    std::deque<Piece> mPieces;
-    size_t mHeld = 0; /**< bytes in mPieces */
-    bool mSilent = false;
+    UniqueFd mFrom; /**< socket that this direction reads from */
+    std::deque<Chunk> mChunks;
+    size_t mBufferedBytes = 0; /**< bytes in mChunks */
+    bool mDiscarding = false;
     bool mEnded = false; /**< the sender has closed */
-    bool mPassedEnd = false;
-    double mAllowance = 0; /**< bytes that the throttle lets through */
-    int64_t mRefilled = 0;
+    bool mEndForwarded = false;
+    double mAllowance = 0; /**< bytes that the throttle permits */
+    int64_t mRefillTime = 0;
   };
 
-  Flow& Of(Way aWay) { return aWay == Way::Up ? mUp : mDown; }
-  const Flow& Of(Way aWay) const { return aWay == Way::Up ? mUp : mDown; }
-  static Way Other(Way aWay) { return aWay == Way::Up ? Way::Down : Way::Up; }
-  void Receive(Way aWay,
+  Flow& FlowOf(Direction aDirection)
+  {
+    return aDirection == Direction::Up ? mUp : mDown;
+  }
+  const Flow& FlowOf(Direction aDirection) const
+  {
+    return aDirection == Direction::Up ? mUp : mDown;
+  }
+  static Direction Opposite(Direction aDirection)
+  {
+    return aDirection == Direction::Up ? Direction::Down : Direction::Up;
+  }
+  void Receive(Direction aDirection,
                const LinkFaults& aFaults,
                LinkCounts& aCounts,
                int64_t aNow);
-  /** Bytes that may go now. */
+  /** Returns how many bytes the throttle permits now. */
   size_t Allowed(Flow& aFlow, const LinkFaults& aFaults, int64_t aNow) const;
-  void PassEnd(Way aWay);
+  void ForwardEnd(Direction aDirection);
 
   Flow mUp;
   Flow mDown;
--- a/tests/standins/faultproxy/relay.cpp
+++ b/tests/standins/faultproxy/relay.cpp
@@ -40,18 +40,19 @@
 {
   UniqueFd socketFd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const sockaddr_in address = ParseAddress(aTarget);
-  const auto* raw = reinterpret_cast<const sockaddr*>(&address);
-  if (connect(socketFd.Value(), raw, sizeof(address)) != 0) {
+  const auto* socketAddress = reinterpret_cast<const sockaddr*>(&address);
+  if (connect(socketFd.Value(), socketAddress, sizeof(address)) != 0) {
     return UniqueFd();
   }
   return socketFd;
 }
 
 void
-SendAtOnce(const UniqueFd& aSocket)
+DisableNagle(const UniqueFd& aSocket)
 {
-  const int on = 1;
-  setsockopt(aSocket.Value(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
+  const int enabled = 1;
+  setsockopt(
+    aSocket.Value(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
 }
 
 } // namespace
@@ -60,20 +61,21 @@
   : mTarget(aTarget)
   , mListener(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 {
-  const int on = 1;
-  setsockopt(mListener.Value(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
+  const int enabled = 1;
+  setsockopt(
+    mListener.Value(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
   const sockaddr_in address = ParseAddress(aListen);
-  const auto* raw = reinterpret_cast<const sockaddr*>(&address);
-  if (bind(mListener.Value(), raw, sizeof(address)) != 0 ||
+  const auto* socketAddress = reinterpret_cast<const sockaddr*>(&address);
+  if (bind(mListener.Value(), socketAddress, sizeof(address)) != 0 ||
       listen(mListener.Value(), SOMAXCONN) != 0) {
     ThrowLastError("listen");
   }
-  std::array<int, 2> ends{};
-  if (pipe2(ends.data(), O_CLOEXEC | O_NONBLOCK) != 0) {
+  std::array<int, 2> pipeEnds{};
+  if (pipe2(pipeEnds.data(), O_CLOEXEC | O_NONBLOCK) != 0) {
     ThrowLastError("pipe");
   }
-  mWakeRead = UniqueFd(ends[0]);
-  mWakeWrite = UniqueFd(ends[1]);
+  mWakeRead = UniqueFd(pipeEnds[0]);
+  mWakeWrite = UniqueFd(pipeEnds[1]);
 }
 
 std::string
@@ -102,9 +104,9 @@
       const std::lock_guard lock(mMutex);
       const int64_t now = MonotonicMillis();
       for (const Link& link : mLinks) {
-        for (const Way way : { Way::Up, Way::Down }) {
-          const short events = link.Events(way, mFaults, now);
-          sockets.push_back({ .fd = events == 0 ? -1 : link.Socket(way),
+        for (const Direction direction : { Direction::Up, Direction::Down }) {
+          const short events = link.Events(direction, mFaults, now);
+          sockets.push_back({ .fd = events == 0 ? -1 : link.Socket(direction),
                               .events = events,
                               .revents = 0 });
         }
@@ -115,7 +117,7 @@
     std::array<char, 64> drained;
     while (read(mWakeRead.Value(), drained.data(), drained.size()) > 0) {
     }
-    MoveAll();
+    TransferAll();
     if ((sockets[0].revents & POLLIN) != 0) {
       Accept();
     }
@@ -125,9 +127,9 @@
 int
 Relay::WaitMillis(int64_t aNow) const
 {
-  constexpr int64_t kLongest = 1000;
-  constexpr int64_t kThrottled = 10;
-  int64_t wait = mFaults.mThrottle == 0 ? kLongest : kThrottled;
+  constexpr int64_t kMaxWait = 1000;
+  constexpr int64_t kThrottledWait = 10;
+  int64_t wait = mFaults.mThrottle == 0 ? kMaxWait : kThrottledWait;
   for (const Link& link : mLinks) {
     const int64_t due = link.NextDue();
     if (due > aNow) {
@@ -138,19 +140,19 @@
 }
 
 void
-Relay::MoveAll()
+Relay::TransferAll()
 {
   const std::lock_guard lock(mMutex);
   const int64_t now = MonotonicMillis();
   for (Link& link : mLinks) {
-    for (const Way way : { Way::Up, Way::Down }) {
-      link.Move(way, POLLIN, mFaults, mCounts, now);
+    for (const Direction direction : { Direction::Up, Direction::Down }) {
+      link.ReceiveIfReady(direction, POLLIN, mFaults, mCounts, now);
     }
-    for (const Way way : { Way::Up, Way::Down }) {
-      link.Flush(way, mFaults, mCounts, now);
+    for (const Direction direction : { Direction::Up, Direction::Down }) {
+      link.Flush(direction, mFaults, mCounts, now);
     }
   }
-  mLinks.remove_if([](const Link& aLink) { return aLink.Over(); });
+  mLinks.remove_if([](const Link& aLink) { return aLink.Finished(); });
 }
 
 void
@@ -168,12 +170,12 @@
     setsockopt(client.Value(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
     return;
   }
-  SendAtOnce(client);
-  SendAtOnce(target);
+  DisableNagle(client);
+  DisableNagle(target);
   mLinks.emplace_back(std::move(client), std::move(target));
   if (mFaults.mSilenceNew) {
-    mLinks.back().Silence(Way::Up);
-    mLinks.back().Silence(Way::Down);
+    mLinks.back().Silence(Direction::Up);
+    mLinks.back().Silence(Direction::Down);
   }
 }
 
--- a/tests/standins/faultproxy/relay.h
+++ b/tests/standins/faultproxy/relay.h
@@ -12,20 +12,20 @@
 
 namespace standin {
 
-/** A TCP relay to one target that makes faults on order. */
+/** A TCP relay to one target that injects configurable faults. */
 class Relay
 {
 public:
-  /** Listens at once; throws std::system_error where it cannot. */
+  /** Starts to listen; throws std::system_error on failure. */
   Relay(const std::string& aListen, const std::string& aTarget);
 
   std::string Endpoint() const;
   /** Relays until the process ends. */
   void Run();
 
-  /** Changes the faults that all connections are under. */
+  /** Changes the faults that apply to all connections. */
   void SetFaults(const std::function<void(LinkFaults&)>& aChange);
-  /** Does something to each connection that is open now. */
+  /** Calls aAction for each open connection. */
   void ForEachLink(const std::function<void(Link&)>& aAction);
   LinkCounts Counts() const;
 
@@ -33,7 +33,7 @@
   void Accept();
   void Wake() const;
   int WaitMillis(int64_t aNow) const;
-  void MoveAll();
+  void TransferAll();
 
   std::string mTarget;
   UniqueFd mListener;
--- a/tests/standins/faultproxy/relaycontrol.cpp
+++ b/tests/standins/faultproxy/relaycontrol.cpp
@@ -13,32 +13,32 @@
 namespace {
 
 void
-SetFaults(Relay& aRelay, const json& aOrder)
+SetFaults(Relay& aRelay, const json& aCommand)
 {
-  aRelay.SetFaults([&aOrder](LinkFaults& aFaults) {
-    aFaults.mDelay = aOrder.value("delay_ms", aFaults.mDelay);
-    aFaults.mThrottle = aOrder.value("throttle", aFaults.mThrottle);
-    aFaults.mCutAfter = aOrder.value("cut_after_bytes", aFaults.mCutAfter);
-    aFaults.mRefuseNew = aOrder.value("refuse_new", aFaults.mRefuseNew);
-    aFaults.mSilenceNew = aOrder.value("silence_new", aFaults.mSilenceNew);
+  aRelay.SetFaults([&aCommand](LinkFaults& aFaults) {
+    aFaults.mDelay = aCommand.value("delay_ms", aFaults.mDelay);
+    aFaults.mThrottle = aCommand.value("throttle", aFaults.mThrottle);
+    aFaults.mCutAfter = aCommand.value("cut_after_bytes", aFaults.mCutAfter);
+    aFaults.mRefuseNew = aCommand.value("refuse_new", aFaults.mRefuseNew);
+    aFaults.mSilenceNew = aCommand.value("silence_new", aFaults.mSilenceNew);
   });
 }
 
 void
-Strike(Relay& aRelay, const json& aOrder)
+ApplyOnce(Relay& aRelay, const json& aCommand)
 {
-  const std::string silence = aOrder.value("silence", "");
-  const std::string halfOpen = aOrder.value("half_open", "");
-  const bool cut = aOrder.value("cut", false);
+  const std::string silence = aCommand.value("silence", "");
+  const std::string halfOpen = aCommand.value("half_open", "");
+  const bool cut = aCommand.value("cut", false);
   aRelay.ForEachLink([&](Link& aLink) {
     if (silence == "up" || silence == "both") {
-      aLink.Silence(Way::Up);
+      aLink.Silence(Direction::Up);
     }
     if (silence == "down" || silence == "both") {
-      aLink.Silence(Way::Down);
+      aLink.Silence(Direction::Down);
     }
     if (!halfOpen.empty()) {
-      aLink.HalfOpen(halfOpen == "up" ? Way::Up : Way::Down);
+      aLink.HalfOpen(halfOpen == "up" ? Direction::Up : Direction::Down);
     }
     if (cut) {
       aLink.Cut();
@@ -50,11 +50,12 @@
 Counts(const Relay& aRelay)
 {
   const LinkCounts counts = aRelay.Counts();
-  return {
-    { "connections", counts.mConnections }, { "open", counts.mOpen },
-    { "bytes_up", counts.mBytesUp },        { "bytes_down", counts.mBytesDown },
-    { "swallowed", counts.mSwallowed },     { "cuts", counts.mCuts }
-  };
+  return { { "connections", counts.mConnections },
+           { "open", counts.mOpen },
+           { "bytes_up", counts.mBytesUp },
+           { "bytes_down", counts.mBytesDown },
+           { "swallowed", counts.mDiscardedBytes },
+           { "cuts", counts.mCuts } };
 }
 
 } // namespace
@@ -63,13 +64,13 @@
 HandleRelayControl(Relay& aRelay, Exchange& aExchange)
 {
   if (aExchange.Method() == "POST") {
-    const json order = json::parse(aExchange.Body(), nullptr, false);
-    if (!order.is_object()) {
+    const json command = json::parse(aExchange.Body(), nullptr, false);
+    if (!command.is_object()) {
       aExchange.Send(400, R"({"error":"not JSON"})");
       return;
     }
-    SetFaults(aRelay, order);
-    Strike(aRelay, order);
+    SetFaults(aRelay, command);
+    ApplyOnce(aRelay, command);
   }
   aExchange.Send(200, Counts(aRelay).dump());
 }
