--- a/tests/standins/rowstore/main.cpp
+++ b/tests/standins/rowstore/main.cpp
@@ -100,17 +100,17 @@
 void
 Control(RowTable& aRows, FaultInjector& aFaultInjector, Exchange& aExchange)
 {
-  const json order = json::parse(aExchange.Body(), nullptr, false);
-  if (order.contains("fault")) {
-    aFaultInjector.Set(order);
+  const json command = json::parse(aExchange.Body(), nullptr, false);
+  if (command.contains("fault")) {
+    aFaultInjector.Set(command);
   }
-  for (const json& row : order.value("put", json::array())) {
+  for (const json& row : command.value("put", json::array())) {
     aRows.Put(row.at("table"), row.at("key"), row.at("value").dump());
   }
-  for (const json& row : order.value("remove", json::array())) {
+  for (const json& row : command.value("remove", json::array())) {
     aRows.Remove(row.at("table"), row.at("key"));
   }
-  if (order.value("drop_history", false)) {
+  if (command.value("drop_history", false)) {
     aRows.DropHistory();
   }
   aExchange.Send(200, json{ { "calls", aFaultInjector.Calls() } }.dump());
@@ -119,9 +119,9 @@
 void
 Write(RowTable& aRows, const FaultInjector& aFaultInjector, Exchange& aExchange)
 {
-  const json order = json::parse(aExchange.Body(), nullptr, false);
+  const json transaction = json::parse(aExchange.Body(), nullptr, false);
   for (const char* list : { "setKeys", "remove" }) {
-    for (const json& row : order.value(list, json::array())) {
+    for (const json& row : transaction.value(list, json::array())) {
       const std::string table = row.value("table", "");
       if (table == "op" || table == "servers") {
         aExchange.Send(kForbidden, "{}");
@@ -129,7 +129,7 @@
       }
     }
   }
-  const TransactionResult result = aRows.Transact(order);
+  const TransactionResult result = aRows.Transact(transaction);
   if (aFaultInjector.Mode() == "lost") {
     aExchange.Cut();
     return;
