--- a/tests/standins/common/answertext.cpp
+++ b/tests/standins/common/answertext.cpp
@@ -15,8 +15,7 @@
 constexpr std::string_view kLengthMarker = "[[tokens=";
 constexpr size_t kMaxTokens = 8192;
 
-/** Characters of one, two and three bytes in UTF-8, to reveal cuts inside one.
- */
+/** Characters of one, two and three UTF-8 bytes: cuts inside one show. */
 constexpr std::array<std::string_view, 20> kSyllables = {
   "ri", "ga",  "stā", "ci", "ja",  "pe",  "ron", "vil", "cie", "nš",
   "la", "ska", "ņ",   "do", "tai", "wan", "車",  "場",  "回",  "收"
--- a/tests/standins/common/streamedanswer.h
+++ b/tests/standins/common/streamedanswer.h
@@ -41,7 +41,7 @@
   std::string mErrorKind;
   std::string mErrorRan;
   size_t mTokens = 0;
-  bool mFinishReasonReceived = false; /**< the finish reason was received */
+  bool mFinishReasonReceived = false;
   bool mDone = false;
   bool mMismatch = false;
 };
--- a/tests/standins/engine/batchmodel.h
+++ b/tests/standins/engine/batchmodel.h
@@ -35,8 +35,7 @@
 struct BatchStep
 {
   double mMillis = 0;
-  std::vector<uint64_t>
-    mTokens; /**< ids of sequences that got their next token */
+  std::vector<uint64_t> mTokens; /**< sequences that got a token */
 };
 
 /**
--- a/tests/standins/faultproxy/link.h
+++ b/tests/standins/faultproxy/link.h
@@ -53,7 +53,7 @@
   {
     UniqueFd mFrom; /**< socket that this direction reads from */
     std::deque<Chunk> mChunks;
-    size_t mBufferedBytes = 0; /**< bytes in mChunks */
+    size_t mBufferedBytes = 0; /**< total size of mChunks */
     bool mDiscarding = false;
     bool mEnded = false; /**< the sender has closed */
     bool mEndForwarded = false;
--- a/tests/standins/rowstore/main.cpp
+++ b/tests/standins/rowstore/main.cpp
@@ -44,8 +44,7 @@
     return mMode;
   }
 
-  /** Applies the current fault; returns false if the call must not be served.
-   */
+  /** Applies the fault mode; returns false if the call must not be served. */
   bool Admit(Exchange& aExchange)
   {
     std::unique_lock lock(mMutex);
