--- a/tests/integration/atmostoncetest.cpp
+++ b/tests/integration/atmostoncetest.cpp
@@ -16,15 +16,15 @@
 
 namespace {
 
-/** What hangs on a silent upstream ends by it. */
+/** Ends requests that hang on a silent upstream. */
 const trefoilio::HttpHeaders kDeadline = { { "X-Trefoilarch-Deadline-Ms",
                                              "8000" } };
 
 using Calls = std::vector<std::unique_ptr<OpenCall>>;
 
-/** Little room at each upstream, so that requests wait, start and run. */
+/** Low capacity of each upstream, so that requests wait, start and run. */
 FleetOptions
-Crowded()
+LowCapacity()
 {
   return { .mEngines = 2,
            .mEntries = 2,
@@ -33,7 +33,7 @@
            .mSidecarFlags = { "--most-running", "2" } };
 }
 
-/** Requests that may run once, from both entries, streamed and not. */
+/** Sends non-idempotent requests to both entries, streamed and not. */
 void
 SendWave(Fleet& aFleet, Calls& aCalls, size_t aCount)
 {
@@ -43,11 +43,11 @@
   }
 }
 
-/** How far the requests at the engines are when the fault strikes. */
-enum class Moment
+/** Progress of the requests at the engines when the fault is injected. */
+enum class Phase
 {
-  Started,   /**< sent to the engine, which has said nothing yet */
-  Answering, /**< some answers are under way, other requests wait */
+  Started,   /**< sent to the engine, which has sent nothing yet */
+  Answering, /**< some responses are streaming, other requests wait */
 };
 
 void
@@ -56,11 +56,11 @@
   aFleet.Upstream(aEngine).Control({ { "stall", aStalled } });
 }
 
-/** Sends the first wave, and waits until the moment has come. */
+/** Sends the first wave and waits until it has reached the phase. */
 void
-ReachMoment(Fleet& aFleet, Calls& aCalls, Moment aMoment)
+ReachPhase(Fleet& aFleet, Calls& aCalls, Phase aPhase)
 {
-  if (aMoment == Moment::Answering) {
+  if (aPhase == Phase::Answering) {
     SendWave(aFleet, aCalls, 10);
     cr_assert(aCalls.front()->AwaitBytes(300));
     return;
@@ -73,49 +73,49 @@
 }
 
 std::vector<std::string>
-BrokenPromises(const Fleet& aFleet, const Calls& aCalls, const Fault& aFault)
+FindViolations(const Fleet& aFleet, const Calls& aCalls, const Fault& aFault)
 {
-  std::vector<std::string> all;
+  std::vector<std::string> violations;
   for (size_t i = 0; i < aCalls.size(); ++i) {
-    const bool dies = aFault.mEntryDies && i % 2 == 0;
-    const std::string broken = FindViolation(
-      aFleet, *aCalls[i], { .mIdempotent = false, .mEntryMayDie = dies });
-    if (!broken.empty()) {
-      all.push_back(broken);
+    const bool entryDies = aFault.mEntryDies && i % 2 == 0;
+    const std::string violation = FindViolation(
+      aFleet, *aCalls[i], { .mIdempotent = false, .mEntryMayDie = entryDies });
+    if (!violation.empty()) {
+      violations.push_back(violation);
     }
   }
-  return all;
+  return violations;
 }
 
 /**
- * Strikes at the moment and sends more requests at once; heals after longer
- * than silence takes to be found.
+ * Injects the fault in the phase and sends more requests at once; undoes it
+ * after longer than the detection of silence takes.
  */
 void
-CheckAtMostOnce(const Fault& aFault, Moment aMoment)
+CheckAtMostOnce(const Fault& aFault, Phase aPhase)
 {
-  Fleet fleet(Crowded());
+  Fleet fleet(LowCapacity());
   Calls calls;
-  ReachMoment(fleet, calls, aMoment);
+  ReachPhase(fleet, calls, aPhase);
   aFault.mInject(fleet, 0);
   SendWave(fleet, calls, 4);
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
   aFault.mUndo(fleet, 0);
   SetStalled(fleet, 0, false);
-  for (const std::string& broken : BrokenPromises(fleet, calls, aFault)) {
-    cr_expect(false, "%s: %s", aFault.mName.c_str(), broken.c_str());
+  for (const std::string& violation : FindViolations(fleet, calls, aFault)) {
+    cr_expect(false, "%s: %s", aFault.mName.c_str(), violation.c_str());
   }
-  const bool anyWhole = std::ranges::any_of(calls, [](const auto& aCall) {
+  const bool anyComplete = std::ranges::any_of(calls, [](const auto& aCall) {
     return aCall->Record().mOutcome == CallOutcome::Complete;
   });
-  cr_assert(anyWhole, "%s: nothing was answered", aFault.mName.c_str());
+  cr_assert(anyComplete, "%s: no request was completed", aFault.mName.c_str());
 }
 
 void
 CheckAtMostOnce(const std::string& aFault)
 {
-  CheckAtMostOnce(FaultNamed(aFault), Moment::Started);
-  CheckAtMostOnce(FaultNamed(aFault), Moment::Answering);
+  CheckAtMostOnce(FindFault(aFault), Phase::Started);
+  CheckAtMostOnce(FindFault(aFault), Phase::Answering);
 }
 
 } // namespace
@@ -135,12 +135,12 @@
   CheckAtMostOnce("sidecar killed");
 }
 
-Test(atmostonce, sidecar_gone_for_good)
+Test(atmostonce, sidecar_killed_and_not_restarted)
 {
-  Fault fault = FaultNamed("sidecar killed");
+  Fault fault = FindFault("sidecar killed");
   fault.mUndo = [](Fleet&, size_t) {};
-  CheckAtMostOnce(fault, Moment::Started);
-  CheckAtMostOnce(fault, Moment::Answering);
+  CheckAtMostOnce(fault, Phase::Started);
+  CheckAtMostOnce(fault, Phase::Answering);
 }
 
 Test(atmostonce, sidecar_frozen)
--- a/tests/integration/await.h
+++ b/tests/integration/await.h
@@ -6,13 +6,12 @@
 
 namespace integration {
 
-/** Long enough for a busy machine; a test that passes never waits so long. */
-inline constexpr trefoilarch::Millis kGenerous{ 20000 };
+/** Allows for a busy machine; a passing test never waits that long. */
+inline constexpr trefoilarch::Millis kDefaultTimeout{ 20000 };
 
-/** Waits until the condition holds; false where it does not within the limit.
- */
+/** Waits until the condition holds; returns false on a timeout. */
 bool
 Await(const std::function<bool()>& aCondition,
-      trefoilarch::Millis aLimit = kGenerous);
+      trefoilarch::Millis aLimit = kDefaultTimeout);
 
 } // namespace integration
--- a/tests/integration/badinputtest.cpp
+++ b/tests/integration/badinputtest.cpp
@@ -15,7 +15,7 @@
                           "X-Trefoilarch-Workspace: public\r\n"
                           "Content-Type: application/json\r\n";
 
-/** Small limits, so that a test reaches them soon. */
+/** Small limits that a test reaches quickly. */
 FleetOptions
 TightLimits()
 {
@@ -55,7 +55,7 @@
             aAnswer.c_str());
 }
 
-/** The entry still answers others, and nothing has run but their calls. */
+/** The entry serves another request, and nothing else has run. */
 void
 ExpectUnharmed(Fleet& aFleet)
 {
@@ -65,9 +65,9 @@
   cr_assert(aFleet.Executions().size() == before + 1);
 }
 
-/** Sum of a counter over its labels that hold the text. */
+/** Sums the metric samples whose line contains the text. */
 double
-CounterAt(const Fleet& aFleet, const std::string& aText)
+SumCounter(const Fleet& aFleet, const std::string& aText)
 {
   const std::string metrics =
     CallHttp("GET", aFleet.OperatorUrl() + "/metrics").mBody;
@@ -101,7 +101,7 @@
   const std::string answer = chunked.ReadAll();
   cr_assert(
     answer.empty() || answer.starts_with("HTTP/1.1 413"), "%s", answer.c_str());
-  cr_assert(CounterAt(fleet, "kind=\"body_too_large\"") >= 1);
+  cr_assert(SumCounter(fleet, "kind=\"body_too_large\"") >= 1);
   cr_assert(fleet.Executions().empty());
   ExpectUnharmed(fleet);
 }
@@ -113,7 +113,7 @@
   caller.Send(kHead + "X-Long: " + std::string(12000, 'a') + "\r\n" +
               "Content-Length: 2\r\n\r\n{}");
   ExpectStatus(caller.ReadAll(), "431", "header_too_large");
-  cr_assert(CounterAt(fleet, "kind=\"header_too_large\"") >= 1);
+  cr_assert(SumCounter(fleet, "kind=\"header_too_large\"") >= 1);
   ExpectUnharmed(fleet);
 }
 
@@ -123,12 +123,12 @@
   const RawCaller caller(fleet.EntryUrl());
   caller.Send(WithLength("{\"model\":\"base\",\"messages\":[{]}"));
   ExpectStatus(caller.ReadAll(2000), "400", "invalid_request");
-  cr_assert(CounterAt(fleet, "kind=\"invalid_request\"") >= 1);
+  cr_assert(SumCounter(fleet, "kind=\"invalid_request\"") >= 1);
   cr_assert(fleet.Executions().empty());
   ExpectUnharmed(fleet);
 }
 
-Test(badinput, a_body_cut_off_never_runs)
+Test(badinput, a_truncated_body_never_runs)
 {
   Fleet fleet(TightLimits());
   for (int i = 0; i < 10; ++i) {
@@ -139,7 +139,7 @@
   cr_assert(fleet.Executions().size() == 1);
 }
 
-Test(badinput, a_slow_sender_is_given_up_and_costs_others_nothing)
+Test(badinput, a_slow_sender_times_out_and_delays_no_others)
 {
   Fleet fleet(TightLimits());
   std::vector<std::unique_ptr<RawCaller>> slow;
@@ -151,7 +151,7 @@
   for (const auto& caller : slow) {
     ExpectStatus(caller->ReadAll(), "408", "slow_sender");
   }
-  cr_assert(CounterAt(fleet, "kind=\"slow_sender\"") >= 20);
+  cr_assert(SumCounter(fleet, "kind=\"slow_sender\"") >= 20);
   cr_assert(fleet.Executions().size() == 1);
 }
 
@@ -166,7 +166,7 @@
                                 { "Authorization", "Bearer secret-of-agents" },
                                 { "X-Trefoilarch-Class", "booking" },
                                 { "X-Request-Id", "chosen-by-caller" } });
-  for (const SeenExecution& execution : fleet.Executions()) {
+  for (const ExecutionRecord& execution : fleet.Executions()) {
     cr_assert(execution.mId.starts_with(trefoilio::FindHeader(
                 reply.mHeaders, "X-Trefoilarch-Request-Id")),
               "%s",
--- a/tests/integration/cancellationtest.cpp
+++ b/tests/integration/cancellationtest.cpp
@@ -12,25 +12,25 @@
 
 namespace {
 
-/** The aim is a second; the rest is for a busy machine. */
-constexpr int64_t kStopsWithin = 2000;
+/** The target is one second; the rest allows for a busy machine. */
+constexpr int64_t kMaxStopDelay = 2000;
 
-SeenExecution
+ExecutionRecord
 OnlyExecution(const Fleet& aFleet, const std::string& aMark)
 {
   const auto all = aFleet.Executions(aMark);
-  return all.size() == 1 ? all.front() : SeenExecution();
+  return all.size() == 1 ? all.front() : ExecutionRecord();
 }
 
-/** Leaves and reports how long the upstream went on; milliseconds. */
+/** Disconnects; returns how long the upstream ran on, in milliseconds. */
 int64_t
-LeaveAndMeasure(const Fleet& aFleet, OpenCall& aCall)
+MeasureStopDelay(const Fleet& aFleet, OpenCall& aCall)
 {
-  const int64_t left = trefoilio::MonotonicNow().Count();
+  const int64_t leftAt = trefoilio::MonotonicNow().Count();
   aCall.Leave();
   cr_assert(
     Await([&] { return OnlyExecution(aFleet, aCall.Mark()).mCancelled; }));
-  return OnlyExecution(aFleet, aCall.Mark()).mEnded - left;
+  return OnlyExecution(aFleet, aCall.Mark()).mEndTime - leftAt;
 }
 
 } // namespace
@@ -42,20 +42,21 @@
     const auto call = fleet.Send(ChatRequest("mid-call", 5000, stream));
     cr_assert(
       Await([&] { return OnlyExecution(fleet, call->Mark()).mTokens > 20; }));
-    const int64_t span = LeaveAndMeasure(fleet, *call);
-    criterion_info("stream %d: stopped after %ld ms", stream, span);
-    cr_assert(span <= kStopsWithin, "stream %d: %ld ms", stream, span);
+    const int64_t stopDelay = MeasureStopDelay(fleet, *call);
+    criterion_info("stream %d: stopped after %ld ms", stream, stopDelay);
+    cr_assert(
+      stopDelay <= kMaxStopDelay, "stream %d: %ld ms", stream, stopDelay);
   }
 }
 
-Test(cancellation, a_silent_engine_is_left_too)
+Test(cancellation, a_silent_engine_is_cancelled_too)
 {
   Fleet fleet({});
   const auto call = fleet.Send(ChatRequest("mid-call", 5000));
   cr_assert(call->AwaitBytes(500));
   fleet.Upstream().Control({ { "slow", 1000.0 } });
-  const int64_t span = LeaveAndMeasure(fleet, *call);
-  cr_assert(span <= kStopsWithin, "%ld ms", span);
+  const int64_t stopDelay = MeasureStopDelay(fleet, *call);
+  cr_assert(stopDelay <= kMaxStopDelay, "%ld ms", stopDelay);
 }
 
 Test(cancellation, a_caller_that_leaves_the_queue_is_never_run)
@@ -83,7 +84,7 @@
   const auto record = call->AwaitEnd();
   cr_assert(record.mOutcome == CallOutcome::Failed);
   cr_assert(record.mKind == "deadline_exceeded", "%s", record.mKind.c_str());
-  cr_assert(record.mEnded - record.mSent <= 1500 + kStopsWithin);
+  cr_assert(record.mEnded - record.mSent <= 1500 + kMaxStopDelay);
   cr_assert(
     Await([&] { return OnlyExecution(fleet, call->Mark()).mCancelled; }));
 }
@@ -96,11 +97,11 @@
   request.mIdempotent = true;
   const auto call = fleet.Send(request);
   cr_assert(Await([&] { return fleet.RunsOf(call->Mark()) == 1; }));
-  const int64_t span = LeaveAndMeasure(fleet, *call);
-  cr_assert(span <= kStopsWithin, "%ld ms", span);
+  const int64_t stopDelay = MeasureStopDelay(fleet, *call);
+  cr_assert(stopDelay <= kMaxStopDelay, "%ld ms", stopDelay);
 }
 
-Test(cancellation, a_keyed_call_goes_on_for_its_repeat)
+Test(cancellation, a_keyed_call_continues_for_its_repeat)
 {
   Fleet fleet({ .mServices = 1 });
   fleet.Upstream(1).Control({ { "delay_ms", 1500 } });
--- a/tests/integration/childprocess.cpp
+++ b/tests/integration/childprocess.cpp
@@ -30,12 +30,12 @@
 }
 
 [[noreturn]] void
-Become(const std::vector<char*>& aArguments, int aOutput, int aLog)
+ExecuteProgram(const std::vector<char*>& aArguments, int aOutput, int aLog)
 {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  sigset_t none;
-  sigemptyset(&none);
-  sigprocmask(SIG_SETMASK, &none, nullptr);
+  sigset_t emptyMask;
+  sigemptyset(&emptyMask);
+  sigprocmask(SIG_SETMASK, &emptyMask, nullptr);
   dup2(aOutput, STDOUT_FILENO);
   dup2(aLog, STDERR_FILENO);
   execv(aArguments[0], aArguments.data());
@@ -48,8 +48,8 @@
                            std::vector<std::string> aArguments)
   : mProgram(std::move(aProgram))
 {
-  std::array<int, 2> ends{};
-  if (pipe2(ends.data(), O_CLOEXEC) != 0) {
+  std::array<int, 2> pipeEnds{};
+  if (pipe2(pipeEnds.data(), O_CLOEXEC) != 0) {
     throw std::system_error(errno, std::generic_category(), "pipe");
   }
   aArguments.insert(aArguments.begin(),
@@ -63,16 +63,16 @@
   const int log = OpenLog(mProgram);
   mId = fork();
   if (mId == 0) {
-    Become(arguments, ends[1], log);
+    ExecuteProgram(arguments, pipeEnds[1], log);
   }
-  close(ends[1]);
+  close(pipeEnds[1]);
   close(log);
-  mReader = std::thread(&ChildProcess::ReadOutput, this, ends[0]);
+  mReader = std::thread(&ChildProcess::ReadOutput, this, pipeEnds[0]);
 }
 
 ChildProcess::~ChildProcess()
 {
-  mHold = false;
+  mHoldOutput = false;
   Kill();
   mReader.join();
 }
@@ -82,16 +82,16 @@
 {
   std::array<char, 4096> bytes;
   std::string text;
-  ssize_t got = 0;
-  while ((got = read(aFd, bytes.data(), bytes.size())) > 0) {
-    text.append(bytes.data(), static_cast<size_t>(got));
+  ssize_t count = 0;
+  while ((count = read(aFd, bytes.data(), bytes.size())) > 0) {
+    text.append(bytes.data(), static_cast<size_t>(count));
     size_t end = 0;
     while ((end = text.find('\n')) != std::string::npos) {
       const std::lock_guard lock(mMutex);
       mLines.push_back(text.substr(0, end));
       text.erase(0, end + 1);
     }
-    while (mHold) {
+    while (mHoldOutput) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
   }
@@ -99,11 +99,11 @@
 }
 
 bool
-ChildProcess::HasSaid(const std::string& aStart) const
+ChildProcess::HasPrinted(const std::string& aPrefix) const
 {
   const std::lock_guard lock(mMutex);
   for (const std::string& line : mLines) {
-    if (line.starts_with(aStart)) {
+    if (line.starts_with(aPrefix)) {
       return true;
     }
   }
@@ -113,15 +113,16 @@
 std::string
 ChildProcess::Address(const std::string& aRole)
 {
-  const std::string start = "listening " + aRole + " ";
-  const bool said =
-    Await([&] { return HasSaid(start) || HasEnded(); }) && HasSaid(start);
-  if (!said) {
+  const std::string prefix = "listening " + aRole + " ";
+  const bool printed =
+    Await([&] { return HasPrinted(prefix) || HasEnded(); }) &&
+    HasPrinted(prefix);
+  if (!printed) {
     throw std::runtime_error(mProgram + " does not listen as " + aRole);
   }
   const std::lock_guard lock(mMutex);
   for (const std::string& line : mLines) {
-    if (line.starts_with(start)) {
+    if (line.starts_with(prefix)) {
       return line.substr(line.rfind(' ') + 1);
     }
   }
@@ -129,12 +130,12 @@
 }
 
 std::vector<std::string>
-ChildProcess::LinesWith(const std::string& aPart) const
+ChildProcess::LinesWith(const std::string& aText) const
 {
   const std::lock_guard lock(mMutex);
   std::vector<std::string> lines;
   for (const std::string& line : mLines) {
-    if (line.find(aPart) != std::string::npos) {
+    if (line.find(aText) != std::string::npos) {
       lines.push_back(line);
     }
   }
--- a/tests/integration/childprocess.h
+++ b/tests/integration/childprocess.h
@@ -11,9 +11,9 @@
 namespace integration {
 
 /**
- * A process that a test started: killed, by its id alone, when the object
- * goes. Its standard error goes where TREFOILARCH_TEST_LOGS names a folder,
- * else nowhere.
+ * A process that a test started; the destructor kills it by its id alone. Its
+ * standard error is logged in the folder that TREFOILARCH_TEST_LOGS names, or
+ * discarded if that is not set.
  */
 class ChildProcess
 {
@@ -25,22 +25,22 @@
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   /**
-   * The address of its `listening <role> ...` line, waiting for it; throws
-   * std::runtime_error where it does not come.
+   * Waits for the `listening <role> ...` line and returns its address; throws
+   * std::runtime_error if there is none.
    */
   std::string Address(const std::string& aRole);
-  /** Whether it has printed a line that begins so. */
-  bool HasSaid(const std::string& aStart) const;
-  /** All lines so far that hold the text. */
-  std::vector<std::string> LinesWith(const std::string& aPart) const;
+  /** Whether it has printed a line with the prefix. */
+  bool HasPrinted(const std::string& aPrefix) const;
+  /** Returns all lines so far that contain the text. */
+  std::vector<std::string> LinesWith(const std::string& aText) const;
 
-  /** While held, what it prints stays unread in its pipe. */
-  void HoldOutput(bool aHold) { mHold = aHold; }
+  /** While held, the output stays unread in the pipe. */
+  void HoldOutput(bool aHold) { mHoldOutput = aHold; }
 
   void Signal(int aSignal) const;
-  /** Ends it at once, as a crash would. */
+  /** Kills it without a clean shutdown, as a crash would. */
   void Kill();
-  /** Whether it has ended by itself; Status() is its wait status then. */
+  /** Whether it has exited by itself; Status() is then its wait status. */
   bool HasEnded();
   int Status() const { return mStatus; }
   pid_t Id() const { return mId; }
@@ -52,7 +52,7 @@
   pid_t mId = -1;
   int mStatus = 0;
   bool mReaped = false;
-  std::atomic<bool> mHold = false;
+  std::atomic<bool> mHoldOutput = false;
   mutable std::mutex mMutex;
   std::vector<std::string> mLines;
   std::thread mReader;
--- a/tests/integration/claimservicetest.cpp
+++ b/tests/integration/claimservicetest.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** The claim part of one entry, with its peer port. */
+/** The claim service of one entry, with its peer port. */
 class ClaimingEntry
 {
 public:
@@ -53,7 +53,7 @@
 };
 
 /** A platform stand-in and two entries. */
-struct Bench
+struct ClaimFixture
 {
   ChildProcess mPlatform{ "trefoilarch-platform", {} };
   std::string mUrl = "http://" + mPlatform.Address("platform");
@@ -72,19 +72,20 @@
   }
 };
 
-/** Many threads at both entries claim the same keys; how often each ran. */
+/** Threads at both entries claim the same keys; each may run at most once. */
 void
-CheckOneRunForEachKey(Bench& aBench, size_t aKeys, bool aSettled)
+CheckOneRunForEachKey(ClaimFixture& aFixture, size_t aKeys, bool aMustRun)
 {
-  constexpr size_t kTries = 4;
+  constexpr size_t kAttemptsPerKey = 4;
   std::vector<std::atomic<int>> runs(aKeys);
   std::vector<std::thread> callers;
-  for (size_t each = 0; each < aKeys * kTries; ++each) {
-    callers.emplace_back([&, each] {
-      auto& entry = each % 2 == 0 ? *aBench.mFirst : *aBench.mSecond;
-      const std::string key = "key-" + std::to_string(each / kTries);
-      if (entry.Claim(100 + each, key).mOutcome == ClaimOutcome::Run) {
-        ++runs[each / kTries];
+  for (size_t attempt = 0; attempt < aKeys * kAttemptsPerKey; ++attempt) {
+    callers.emplace_back([&, attempt] {
+      auto& entry = attempt % 2 == 0 ? *aFixture.mFirst : *aFixture.mSecond;
+      const std::string key =
+        "key-" + std::to_string(attempt / kAttemptsPerKey);
+      if (entry.Claim(100 + attempt, key).mOutcome == ClaimOutcome::Run) {
+        ++runs[attempt / kAttemptsPerKey];
       }
     });
   }
@@ -93,7 +94,7 @@
   }
   for (const std::atomic<int>& count : runs) {
     cr_assert(count <= 1);
-    cr_assert(count == 1 || !aSettled);
+    cr_assert(count == 1 || !aMustRun);
   }
 }
 
@@ -101,81 +102,82 @@
 
 Test(claimservice, a_repeat_gets_the_first_answer_at_either_entry)
 {
-  Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
-  cr_assert(bench.mFirst->Claim(2, "k").mOutcome == ClaimOutcome::InProgress);
-  cr_assert(bench.mSecond->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
-  cr_assert(bench.mSecond->Claim(4, "k", "other").mOutcome ==
+  ClaimFixture fixture;
+  cr_assert(fixture.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
+  cr_assert(fixture.mFirst->Claim(2, "k").mOutcome == ClaimOutcome::InProgress);
+  cr_assert(fixture.mSecond->Claim(3, "k").mOutcome ==
+            ClaimOutcome::InProgress);
+  cr_assert(fixture.mSecond->Claim(4, "k", "other").mOutcome ==
             ClaimOutcome::OtherIntent);
   {
-    ClaimTracker hold(bench.mFirst->Service(), { 1, 1 });
-    hold.OnHead(201, { { "content-type", "text/x" } });
-    hold.OnData("book");
-    hold.OnData("ed");
-    hold.OnEnd();
+    ClaimTracker tracker(fixture.mFirst->Service(), { 1, 1 });
+    tracker.OnHead(201, { { "content-type", "text/x" } });
+    tracker.OnData("book");
+    tracker.OnData("ed");
+    tracker.OnEnd();
   }
-  for (ClaimingEntry* entry : { bench.mFirst.get(), bench.mSecond.get() }) {
+  for (ClaimingEntry* entry : { fixture.mFirst.get(), fixture.mSecond.get() }) {
     const ClaimDecided repeat = entry->Claim(5, "k");
     cr_assert(repeat.mOutcome == ClaimOutcome::Finished);
     cr_assert(*repeat.mAnswer == (CachedAnswer{ 201, "text/x", "booked" }));
   }
 }
 
-Test(claimservice, what_did_not_run_may_run_elsewhere)
+Test(claimservice, a_request_not_run_may_run_at_another_entry)
 {
-  Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
-  ClaimTracker(bench.mFirst->Service(), { 1, 1 })
+  ClaimFixture fixture;
+  cr_assert(fixture.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
+  ClaimTracker(fixture.mFirst->Service(), { 1, 1 })
     .OnError({ ErrorKind::Shed, Ran::No, Millis(100), "" });
-  cr_assert(bench.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::Run);
-  cr_assert(bench.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
+  cr_assert(fixture.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::Run);
+  cr_assert(fixture.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
 }
 
 Test(claimservice, a_claim_whose_entry_is_gone_stays_taken)
 {
-  Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
-  bench.mFirst.reset();
-  cr_assert(bench.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::MaybeRan);
+  ClaimFixture fixture;
+  cr_assert(fixture.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
+  fixture.mFirst.reset();
+  cr_assert(fixture.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::MaybeRan);
 }
 
-Test(claimservice, a_hold_without_an_end_may_have_run)
+Test(claimservice, a_tracker_without_an_end_may_have_run)
 {
-  Bench bench;
-  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
+  ClaimFixture fixture;
+  cr_assert(fixture.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
   {
-    ClaimTracker hold(bench.mFirst->Service(), { 1, 1 });
+    ClaimTracker tracker(fixture.mFirst->Service(), { 1, 1 });
   }
-  cr_assert(bench.mFirst->Claim(2, "k").mOutcome == ClaimOutcome::MaybeRan);
-  cr_assert(bench.mSecond->Claim(3, "k").mOutcome == ClaimOutcome::MaybeRan);
+  cr_assert(fixture.mFirst->Claim(2, "k").mOutcome == ClaimOutcome::MaybeRan);
+  cr_assert(fixture.mSecond->Claim(3, "k").mOutcome == ClaimOutcome::MaybeRan);
 }
 
 Test(claimservice, at_the_same_moment_one_runs)
 {
-  Bench bench;
-  CheckOneRunForEachKey(bench, 20, true);
+  ClaimFixture fixture;
+  CheckOneRunForEachKey(fixture, 20, true);
 }
 
 Test(claimservice, at_the_same_moment_one_runs_where_the_table_is_slow)
 {
-  Bench bench;
-  bench.SetTable("slow");
-  CheckOneRunForEachKey(bench, 10, true);
+  ClaimFixture fixture;
+  fixture.SetTable("slow");
+  CheckOneRunForEachKey(fixture, 10, true);
 }
 
 Test(claimservice, at_the_same_moment_one_runs_where_answers_are_lost)
 {
-  Bench bench;
-  bench.SetTable("lose_answers", 0.4);
-  CheckOneRunForEachKey(bench, 10, false);
+  ClaimFixture fixture;
+  fixture.SetTable("lose_answers", 0.4);
+  CheckOneRunForEachKey(fixture, 10, false);
 }
 
 Test(claimservice, with_the_table_down_nothing_runs_until_it_is_back)
 {
-  Bench bench;
-  bench.SetTable("down");
-  cr_assert(bench.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Unsettled);
-  bench.SetTable("up");
-  cr_assert(bench.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::Run);
-  cr_assert(bench.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
+  ClaimFixture fixture;
+  fixture.SetTable("down");
+  cr_assert(fixture.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Unsettled);
+  fixture.SetTable("up");
+  cr_assert(fixture.mSecond->Claim(2, "k").mOutcome == ClaimOutcome::Run);
+  cr_assert(fixture.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
 }
--- a/tests/integration/ctltest.cpp
+++ b/tests/integration/ctltest.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 
-constexpr const char* kNobody = "http://127.0.0.1:1";
+constexpr const char* kUnreachableUrl = "http://127.0.0.1:1";
 
-/** Plays an entry's operator port and keeps what it was sent. */
+/** Serves as an entry's operator port and records the requests. */
 class FakeOperator
 {
 public:
@@ -33,7 +33,7 @@
         [this, handler = std::move(aHandler)](const HttpRequest& aRequest) {
           {
             std::lock_guard lock(mMutex);
-            mSeen.push_back(aRequest);
+            mReceived.push_back(aRequest);
           }
           return handler(aRequest);
         },
@@ -46,11 +46,11 @@
     return "http://127.0.0.1:" + std::to_string(mServer.Port());
   }
 
-  std::vector<HttpRequest> Seen(const std::string& aMethod)
+  std::vector<HttpRequest> Received(const std::string& aMethod)
   {
     std::lock_guard lock(mMutex);
     std::vector<HttpRequest> found;
-    for (const HttpRequest& request : mSeen) {
+    for (const HttpRequest& request : mReceived) {
       if (request.mMethod == aMethod) {
         found.push_back(request);
       }
@@ -60,20 +60,20 @@
 
 private:
   std::mutex mMutex;
-  std::vector<HttpRequest> mSeen;
+  std::vector<HttpRequest> mReceived;
   trefoilio::HttpServer mServer;
 };
 
-/** The connection ends before the answer is whole. */
+/** A reply whose connection is closed before the end of the body. */
 HttpReply
-Lost()
+AbortedReply()
 {
   return { .mStream = [](std::string&) {
     return trefoilio::StreamStep::Abort;
   } };
 }
 
-/** One finished run of the tool. */
+/** Runs the tool and waits for its exit. */
 struct Run
 {
   explicit Run(std::vector<std::string> aArguments)
@@ -81,34 +81,34 @@
   {
     const bool ended = Await([this] { return mProcess.HasEnded(); });
     cr_assert(ended);
-    mCode = WEXITSTATUS(mProcess.Status());
+    mExitCode = WEXITSTATUS(mProcess.Status());
   }
 
-  bool Says(const std::string& aStart)
+  bool AwaitOutput(const std::string& aPrefix)
   {
-    return Await([&] { return mProcess.HasSaid(aStart); });
+    return Await([&] { return mProcess.HasPrinted(aPrefix); });
   }
 
-  int mCode = -1;
+  int mExitCode = -1;
 
 private:
   ChildProcess mProcess;
 };
 
 int
-CodeFor(const HttpReply& aPost, const HttpReply& aGet)
+ExitCodeFor(const HttpReply& aPost, const HttpReply& aGet)
 {
   FakeOperator fake([&](const HttpRequest& aRequest) {
     return aRequest.mMethod == "POST" ? aPost : aGet;
   });
   const Run run({ "drain", "engine-1", "--operator", fake.Url() });
-  cr_assert(fake.Seen("POST").size() == 1);
-  return run.mCode;
+  cr_assert(fake.Received("POST").size() == 1);
+  return run.mExitCode;
 }
 
 } // namespace
 
-Test(ctl, exit_code_tells_how_a_change_ended)
+Test(ctl, exit_code_reports_the_outcome_of_a_change)
 {
   const HttpReply accepted{
     .mBody = R"({"status":"accepted","version":7,"warnings":[]})"
@@ -124,49 +124,58 @@
   const HttpReply outage{ .mStatus = 503,
                           .mBody =
                             R"({"error":{"kind":"platform_unavailable"}})" };
-  cr_assert(CodeFor(accepted, Lost()) == 0);
-  cr_assert(CodeFor(conflict, Lost()) == 3);
-  cr_assert(CodeFor(invalid, Lost()) == 4);
-  cr_assert(CodeFor(outage, Lost()) == 5);
-  cr_assert(CodeFor(unknown, unknown) == 6);
-  cr_assert(CodeFor(unknown, accepted) == 0);
-  cr_assert(CodeFor(Lost(), Lost()) == 6);
-  cr_assert(CodeFor(Lost(), outage) == 6);
-  cr_assert(CodeFor(Lost(), accepted) == 0);
-  cr_assert(CodeFor(Lost(), notAccepted) == 4);
-  cr_assert(CodeFor({ .mStatus = 500, .mBody = "oops" }, Lost()) == 6);
+  cr_assert(ExitCodeFor(accepted, AbortedReply()) == 0);
+  cr_assert(ExitCodeFor(conflict, AbortedReply()) == 3);
+  cr_assert(ExitCodeFor(invalid, AbortedReply()) == 4);
+  cr_assert(ExitCodeFor(outage, AbortedReply()) == 5);
+  cr_assert(ExitCodeFor(unknown, unknown) == 6);
+  cr_assert(ExitCodeFor(unknown, accepted) == 0);
+  cr_assert(ExitCodeFor(AbortedReply(), AbortedReply()) == 6);
+  cr_assert(ExitCodeFor(AbortedReply(), outage) == 6);
+  cr_assert(ExitCodeFor(AbortedReply(), accepted) == 0);
+  cr_assert(ExitCodeFor(AbortedReply(), notAccepted) == 4);
+  cr_assert(ExitCodeFor({ .mStatus = 500, .mBody = "oops" }, AbortedReply()) ==
+            6);
 }
 
-Test(ctl, lost_answer_is_asked_for_by_the_id_that_was_sent)
+Test(ctl, lost_answer_is_queried_by_the_sent_id)
 {
   FakeOperator fake([](const HttpRequest& aRequest) -> HttpReply {
     if (aRequest.mMethod == "POST") {
-      return Lost();
+      return AbortedReply();
     }
     return { .mBody = R"({"status":"accepted","version":12})" };
   });
-  Run run({ "--operator", kNobody, "undrain", "e", "--operator", fake.Url() });
-  cr_assert(run.mCode == 0);
-  cr_assert(run.Says("accepted as version 12"));
-  const json sent = json::parse(fake.Seen("POST").at(0).mBody);
+  Run run({ "--operator",
+            kUnreachableUrl,
+            "undrain",
+            "e",
+            "--operator",
+            fake.Url() });
+  cr_assert(run.mExitCode == 0);
+  cr_assert(run.AwaitOutput("accepted as version 12"));
+  const json sent = json::parse(fake.Received("POST").at(0).mBody);
   const std::string id = sent.at("id");
   cr_assert(id.size() == 32);
-  cr_assert(fake.Seen("GET").at(0).mTarget == "/v1/policy/changes/" + id);
+  cr_assert(fake.Received("GET").at(0).mTarget == "/v1/policy/changes/" + id);
 }
 
-Test(ctl, nobody_reached_and_bad_usage_have_their_own_codes)
+Test(ctl, unreachable_entry_and_bad_usage_have_their_own_codes)
 {
-  cr_assert(Run({ "drain", "e", "--operator", kNobody }).mCode == 5);
-  cr_assert(Run({ "class", "list", "--operator", kNobody }).mCode == 5);
-  cr_assert(Run({ "drain", "--operator", kNobody }).mCode == 2);
-  cr_assert(Run({ "drain", "e" }).mCode == 2);
-  cr_assert(Run({ "drian", "e", "--operator", kNobody }).mCode == 2);
-  cr_assert(
-    Run({ "policy", "edit", "/nowhere", "--operator", kNobody }).mCode == 2);
-  cr_assert(Run({ "policy", "--help" }).mCode == 0);
+  cr_assert(Run({ "drain", "e", "--operator", kUnreachableUrl }).mExitCode ==
+            5);
+  cr_assert(Run({ "class", "list", "--operator", kUnreachableUrl }).mExitCode ==
+            5);
+  cr_assert(Run({ "drain", "--operator", kUnreachableUrl }).mExitCode == 2);
+  cr_assert(Run({ "drain", "e" }).mExitCode == 2);
+  cr_assert(Run({ "drian", "e", "--operator", kUnreachableUrl }).mExitCode ==
+            2);
+  cr_assert(Run({ "policy", "edit", "/nowhere", "--operator", kUnreachableUrl })
+              .mExitCode == 2);
+  cr_assert(Run({ "policy", "--help" }).mExitCode == 0);
 }
 
-Test(ctl, set_keeps_what_was_not_given_and_names_its_base)
+Test(ctl, set_keeps_omitted_fields_and_sends_its_base)
 {
   FakeOperator fake([](const HttpRequest& aRequest) -> HttpReply {
     if (aRequest.mMethod == "POST") {
@@ -178,8 +187,8 @@
   const std::vector<std::string> common{ "--operator", fake.Url() };
   const auto run = [&](std::vector<std::string> aArguments) {
     aArguments.insert(aArguments.end(), common.begin(), common.end());
-    cr_assert(Run(aArguments).mCode == 0);
-    const json sent = json::parse(fake.Seen("POST").back().mBody);
+    cr_assert(Run(aArguments).mExitCode == 0);
+    const json sent = json::parse(fake.Received("POST").back().mBody);
     cr_assert(sent.at("base_version") == 5);
     return sent.at("operations").at(0);
   };
--- a/tests/integration/endtoendtest.cpp
+++ b/tests/integration/endtoendtest.cpp
@@ -14,16 +14,16 @@
 namespace {
 
 FleetOptions
-Small()
+SmallFleet()
 {
   return { .mEngines = 2, .mServices = 1, .mEntries = 2 };
 }
 
 } // namespace
 
-Test(endtoend, answers_are_whole_streamed_and_not)
+Test(endtoend, answers_are_complete_streamed_and_not)
 {
-  Fleet fleet(Small());
+  Fleet fleet(SmallFleet());
   for (size_t entry = 0; entry < 2; ++entry) {
     const auto streamed = fleet.Send(ChatRequest("mid-call", 40), entry);
     const auto whole = fleet.Send(ChatRequest("drafting", 60, false), entry);
@@ -43,7 +43,7 @@
 
 Test(endtoend, models_are_listed)
 {
-  Fleet fleet(Small());
+  Fleet fleet(SmallFleet());
   const auto reply = CallHttp("GET",
                               fleet.EntryUrl() + "/v1/models",
                               "",
@@ -55,7 +55,7 @@
 
 Test(endtoend, a_service_is_called_with_any_method)
 {
-  Fleet fleet(Small());
+  Fleet fleet(SmallFleet());
   for (const char* method : { "GET", "PUT", "DELETE", "PATCH" }) {
     const auto reply =
       CallHttp(method,
@@ -72,7 +72,7 @@
 
 Test(endtoend, many_at_once_each_get_their_own_answer)
 {
-  Fleet fleet(Small());
+  Fleet fleet(SmallFleet());
   std::vector<std::unique_ptr<OpenCall>> calls;
   for (size_t i = 0; i < 60; ++i) {
     const char* name = i % 3 == 0 ? "public-page" : "mid-call";
@@ -87,9 +87,9 @@
   }
 }
 
-Test(endtoend, an_empty_host_list_is_survived)
+Test(endtoend, requests_survive_an_empty_host_list)
 {
-  Fleet fleet(Small());
+  Fleet fleet(SmallFleet());
   constexpr size_t kRunning = 8;
   std::vector<std::unique_ptr<OpenCall>> running;
   running.reserve(kRunning);
--- a/tests/integration/faults.cpp
+++ b/tests/integration/faults.cpp
@@ -16,9 +16,9 @@
 {
   return { .mName = "entry killed",
            .mInject = [](Fleet& aFleet,
-                         size_t aWhich) { aFleet.Entry(aWhich).Kill(); },
+                         size_t aIndex) { aFleet.Entry(aIndex).Kill(); },
            .mUndo = [](Fleet& aFleet,
-                       size_t aWhich) { aFleet.RestartEntry(aWhich); },
+                       size_t aIndex) { aFleet.RestartEntry(aIndex); },
            .mTargetsEntry = true,
            .mEntryDies = true };
 }
@@ -29,8 +29,8 @@
   return {
     .mName = "sidecar killed",
     .mInject = [](Fleet& aFleet,
-                  size_t aWhich) { aFleet.Upstream(aWhich).mSidecar->Kill(); },
-    .mUndo = [](Fleet& aFleet, size_t aWhich) { aFleet.RestartSidecar(aWhich); }
+                  size_t aIndex) { aFleet.Upstream(aIndex).mSidecar->Kill(); },
+    .mUndo = [](Fleet& aFleet, size_t aIndex) { aFleet.RestartSidecar(aIndex); }
   };
 }
 
@@ -39,36 +39,40 @@
 {
   return { .mName = "engine killed",
            .mInject =
-             [](Fleet& aFleet, size_t aWhich) {
-               aFleet.Upstream(aWhich).mUpstream->Kill();
+             [](Fleet& aFleet, size_t aIndex) {
+               aFleet.Upstream(aIndex).mUpstream->Kill();
              },
            .mUndo = [](Fleet& aFleet,
-                       size_t aWhich) { aFleet.RestartUpstream(aWhich); } };
+                       size_t aIndex) { aFleet.RestartUpstream(aIndex); } };
 }
 
-using Chooser = std::function<ChildProcess&(Fleet&, size_t)>;
+using ProcessSelector = std::function<ChildProcess&(Fleet&, size_t)>;
 
 Fault
-Frozen(std::string aName, const Chooser& aWho, bool aEntry = false)
+ProcessFrozen(std::string aName,
+              const ProcessSelector& aSelect,
+              bool aEntry = false)
 {
-  return {
-    .mName = std::move(aName),
-    .mInject = [aWho](Fleet& aFleet,
-                      size_t aWhich) { aWho(aFleet, aWhich).Signal(SIGSTOP); },
-    .mUndo = [aWho](Fleet& aFleet,
-                    size_t aWhich) { aWho(aFleet, aWhich).Signal(SIGCONT); },
-    .mTargetsEntry = aEntry
-  };
+  return { .mName = std::move(aName),
+           .mInject =
+             [aSelect](Fleet& aFleet, size_t aIndex) {
+               aSelect(aFleet, aIndex).Signal(SIGSTOP);
+             },
+           .mUndo =
+             [aSelect](Fleet& aFleet, size_t aIndex) {
+               aSelect(aFleet, aIndex).Signal(SIGCONT);
+             },
+           .mTargetsEntry = aEntry };
 }
 
 Fault
-OnLink(std::string aName, bool aChannel, const json& aOrder)
+LinkFault(std::string aName, bool aChannel, const json& aOrder)
 {
   return {
     .mName = std::move(aName),
     .mInject =
-      [aChannel, aOrder](Fleet& aFleet, size_t aWhich) {
-        UpstreamHost& host = aFleet.Upstream(aWhich);
+      [aChannel, aOrder](Fleet& aFleet, size_t aIndex) {
+        UpstreamHost& host = aFleet.Upstream(aIndex);
         (aChannel ? host.mChannelProxy : host.mUpstreamProxy)->Order(aOrder);
       },
     .mUndo = [](Fleet&, size_t) {}
@@ -76,21 +80,21 @@
 }
 
 Fault
-EngineTold(std::string aName, const json& aOrder, const json& aEnd)
+EngineFault(std::string aName, const json& aOrder, const json& aUndoOrder)
 {
   return { .mName = std::move(aName),
            .mInject =
-             [aOrder](Fleet& aFleet, size_t aWhich) {
-               aFleet.Upstream(aWhich).Control(aOrder);
+             [aOrder](Fleet& aFleet, size_t aIndex) {
+               aFleet.Upstream(aIndex).Control(aOrder);
              },
            .mUndo =
-             [aEnd](Fleet& aFleet, size_t aWhich) {
-               aFleet.Upstream(aWhich).Control(aEnd);
+             [aUndoOrder](Fleet& aFleet, size_t aIndex) {
+               aFleet.Upstream(aIndex).Control(aUndoOrder);
              } };
 }
 
 Fault
-TableTold(std::string aName, const json& aFaults)
+TableFault(std::string aName, const json& aFaults)
 {
   return { .mName = std::move(aName),
            .mInject =
@@ -109,16 +113,17 @@
 OrderedFaults()
 {
   return {
-    EngineTold("engine slow", { { "slow", 5.0 } }, { { "slow", 1.0 } }),
-    EngineTold("engine stalled", { { "stall", true } }, { { "stall", false } }),
-    EngineTold("engine crashes mid-stream",
-               { { "crash_after_tokens", 5 } },
-               { { "crash_after_tokens", 0 } }),
-    EngineTold("engine refuses", { { "refuse", 503 } }, { { "refuse", 0 } }),
-    TableTold("table down", { { "mode", "down" } }),
-    TableTold("table slow", { { "mode", "slow" }, { "delay_ms", 1500 } }),
-    TableTold("table loses answers",
-              { { "mode", "lose_answers" }, { "probability", 0.5 } }),
+    EngineFault("engine slow", { { "slow", 5.0 } }, { { "slow", 1.0 } }),
+    EngineFault(
+      "engine stalled", { { "stall", true } }, { { "stall", false } }),
+    EngineFault("engine crashes mid-stream",
+                { { "crash_after_tokens", 5 } },
+                { { "crash_after_tokens", 0 } }),
+    EngineFault("engine refuses", { { "refuse", 503 } }, { { "refuse", 0 } }),
+    TableFault("table down", { { "mode", "down" } }),
+    TableFault("table slow", { { "mode", "slow" }, { "delay_ms", 1500 } }),
+    TableFault("table loses answers",
+               { { "mode", "lose_answers" }, { "probability", 0.5 } }),
   };
 }
 
@@ -129,30 +134,30 @@
     EntryKilled(),
     SidecarKilled(),
     EngineKilled(),
-    Frozen(
+    ProcessFrozen(
       "entry frozen",
-      [](Fleet& aFleet, size_t aWhich) -> ChildProcess& {
-        return aFleet.Entry(aWhich);
+      [](Fleet& aFleet, size_t aIndex) -> ChildProcess& {
+        return aFleet.Entry(aIndex);
       },
       true),
-    Frozen("sidecar frozen",
-           [](Fleet& aFleet, size_t aWhich) -> ChildProcess& {
-             return *aFleet.Upstream(aWhich).mSidecar;
-           }),
-    Frozen("engine frozen",
-           [](Fleet& aFleet, size_t aWhich) -> ChildProcess& {
-             return *aFleet.Upstream(aWhich).mUpstream;
-           }),
+    ProcessFrozen("sidecar frozen",
+                  [](Fleet& aFleet, size_t aIndex) -> ChildProcess& {
+                    return *aFleet.Upstream(aIndex).mSidecar;
+                  }),
+    ProcessFrozen("engine frozen",
+                  [](Fleet& aFleet, size_t aIndex) -> ChildProcess& {
+                    return *aFleet.Upstream(aIndex).mUpstream;
+                  }),
   };
   for (const bool channel : { true, false }) {
     const std::string link = channel ? "channel" : "upstream link";
-    faults.push_back(OnLink(link + " cut", channel, { { "cut", true } }));
-    for (const char* way : { "up", "down", "both" }) {
-      faults.push_back(
-        OnLink(link + " silent " + way, channel, { { "silence", way } }));
+    faults.push_back(LinkFault(link + " cut", channel, { { "cut", true } }));
+    for (const char* direction : { "up", "down", "both" }) {
+      faults.push_back(LinkFault(
+        link + " silent " + direction, channel, { { "silence", direction } }));
     }
     for (const char* side : { "up", "down" }) {
-      faults.push_back(OnLink(
+      faults.push_back(LinkFault(
         link + " half-open " + side, channel, { { "half_open", side } }));
     }
   }
@@ -160,7 +165,7 @@
 }
 
 Fault
-FaultNamed(const std::string& aName)
+FindFault(const std::string& aName)
 {
   for (const Fault& fault : AllFaults()) {
     if (fault.mName == aName) {
--- a/tests/integration/faults.h
+++ b/tests/integration/faults.h
@@ -9,36 +9,36 @@
 class Fleet;
 
 /**
- * A failure that can be brought about in a running fleet, and its repair; the
- * number says which entry or which upstream.
+ * A failure that can be injected into a running fleet, and its repair. The
+ * number is the index of an entry or of an upstream.
  */
 struct Fault
 {
   std::string mName;
   std::function<void(Fleet&, size_t)> mInject;
   std::function<void(Fleet&, size_t)> mUndo;
-  bool mTargetsEntry = false; /**< the number is an entry's */
-  /** Callers of that entry lose their connection without a word. */
+  bool mTargetsEntry = false; /**< the index is that of an entry */
+  /** Callers of that entry lose their connection without a response. */
   bool mEntryDies = false;
 };
 
 /**
- * Kills, freezes, cuts, silences and half-opened connections of an entry and
- * of everything about an upstream. The fleet needs proxies on channels and
- * upstreams.
+ * Killed and frozen processes (entry, sidecar, engine); cut, silent and
+ * half-open connections (channel, upstream link). The fleet needs proxies on
+ * channels and upstreams.
  */
 std::vector<Fault>
 AllFaults();
 
 /**
- * What an engine and the platform may be told to do: slow down, stall, crash
- * in an answer, refuse; be down, be slow, lose answers.
+ * Faults that the stand-ins inject on command. Engine: slow, stalled, crash
+ * in a response, reject requests. Platform table: down, slow, lost responses.
  */
 std::vector<Fault>
 OrderedFaults();
 
-/** The fault of that name; throws std::out_of_range. */
+/** Returns the fault in AllFaults() of that name; throws std::out_of_range. */
 Fault
-FaultNamed(const std::string& aName);
+FindFault(const std::string& aName);
 
 } // namespace integration
--- a/tests/integration/fleet.cpp
+++ b/tests/integration/fleet.cpp
@@ -16,10 +16,11 @@
 namespace {
 
 std::vector<std::string>
-Joined(std::vector<std::string> aFirst, const std::vector<std::string>& aMore)
+Concatenate(std::vector<std::string> aItems,
+            const std::vector<std::string>& aAdded)
 {
-  aFirst.insert(aFirst.end(), aMore.begin(), aMore.end());
-  return aFirst;
+  aItems.insert(aItems.end(), aAdded.begin(), aAdded.end());
+  return aItems;
 }
 
 json
@@ -148,7 +149,7 @@
                                            "--record", aHost.mRecordFile };
   return std::make_unique<ChildProcess>(
     aHost.mEngine ? "trefoilarch-engine" : "trefoilarch-service",
-    aHost.mEngine ? Joined(flags, mOptions.mEngineFlags) : flags);
+    aHost.mEngine ? Concatenate(flags, mOptions.mEngineFlags) : flags);
 }
 
 void
@@ -170,23 +171,23 @@
                                  : aHost.UpstreamUrl();
   return std::make_unique<ChildProcess>(
     "trefoilarchd",
-    Joined({ "--role",
-             "sidecar",
-             "--name",
-             "sidecar-" + aHost.mName,
-             "--data-centre",
-             "riga-1",
-             "--platform",
-             PlatformForDaemons(),
-             "--upstream-name",
-             aHost.mName,
-             "--upstream-url",
-             upstream,
-             "--upstream-kind",
-             aHost.mEngine ? "engine" : "service",
-             "--labels",
-             aHost.mEngine ? "model=base" : "service=booking" },
-           mOptions.mSidecarFlags));
+    Concatenate({ "--role",
+                  "sidecar",
+                  "--name",
+                  "sidecar-" + aHost.mName,
+                  "--data-centre",
+                  "riga-1",
+                  "--platform",
+                  PlatformUrlForDaemons(),
+                  "--upstream-name",
+                  aHost.mName,
+                  "--upstream-url",
+                  upstream,
+                  "--upstream-kind",
+                  aHost.mEngine ? "engine" : "service",
+                  "--labels",
+                  aHost.mEngine ? "model=base" : "service=booking" },
+                mOptions.mSidecarFlags));
 }
 
 std::unique_ptr<ChildProcess>
@@ -194,15 +195,15 @@
 {
   return std::make_unique<ChildProcess>(
     "trefoilarchd",
-    Joined({ "--role",
-             "entry",
-             "--name",
-             "entry-" + std::to_string(aNumber + 1),
-             "--data-centre",
-             "riga-1",
-             "--platform",
-             PlatformForDaemons() },
-           mOptions.mEntryFlags));
+    Concatenate({ "--role",
+                  "entry",
+                  "--name",
+                  "entry-" + std::to_string(aNumber + 1),
+                  "--data-centre",
+                  "riga-1",
+                  "--platform",
+                  PlatformUrlForDaemons() },
+                mOptions.mEntryFlags));
 }
 
 std::string
@@ -212,7 +213,7 @@
 }
 
 std::string
-Fleet::PlatformForDaemons() const
+Fleet::PlatformUrlForDaemons() const
 {
   return mPlatformProxy ? "http://" + mPlatformProxy->Address() : PlatformUrl();
 }
@@ -293,7 +294,7 @@
                     std::optional<uint64_t> aBase)
 {
   const json base = aBase ? json(*aBase) : json();
-  const std::string id = "change-" + std::to_string(++mChanges) + "-" +
+  const std::string id = "change-" + std::to_string(++mChangeCount) + "-" +
                          std::to_string(mPlatform->Id());
   return PostJson(OperatorUrl(aEntry) + "/v1/policy/changes",
                   { { "id", id },
@@ -312,20 +313,21 @@
 std::unique_ptr<OpenCall>
 Fleet::Send(const TraceRequest& aRequest,
             size_t aEntry,
-            const trefoilio::HttpHeaders& aMore)
+            const trefoilio::HttpHeaders& aExtraHeaders)
 {
-  return SendMarked(aRequest, "call" + std::to_string(++mSent), aEntry, aMore);
+  return SendMarked(
+    aRequest, "call" + std::to_string(++mSentCount), aEntry, aExtraHeaders);
 }
 
 std::unique_ptr<OpenCall>
 Fleet::SendMarked(const TraceRequest& aRequest,
                   const std::string& aMark,
                   size_t aEntry,
-                  const trefoilio::HttpHeaders& aMore)
+                  const trefoilio::HttpHeaders& aExtraHeaders)
 {
   trefoilio::HttpRequest sent = trefoilload::BuildRequest(
     aRequest, aMark, EntryUrl(aEntry), { { "agents", "secret-of-agents" } });
-  for (const auto& header : aMore) {
+  for (const auto& header : aExtraHeaders) {
     std::erase_if(sent.mHeaders, [&](const auto& aOther) {
       return aOther.first == header.first;
     });
@@ -334,10 +336,10 @@
   return std::make_unique<OpenCall>(*mRunner, aRequest, sent, aMark);
 }
 
-std::vector<SeenExecution>
+std::vector<ExecutionRecord>
 Fleet::Executions(const std::string& aMark) const
 {
-  std::vector<SeenExecution> seen;
+  std::vector<ExecutionRecord> executions;
   for (const auto& host : mUpstreams) {
     const json list =
       GetJson(host->UpstreamUrl() +
@@ -347,17 +349,17 @@
       if (!aMark.empty() && mark.substr(mark.rfind('/') + 1) != aMark) {
         continue;
       }
-      seen.push_back({ .mUpstream = host->mName,
-                       .mId = item.value("id", ""),
-                       .mMark = mark,
-                       .mStarted = item.value("started_ms", int64_t(0)),
-                       .mEnded = item.value("ended_ms", int64_t(0)),
-                       .mTokens = item.value("tokens", uint64_t(0)),
-                       .mFinished = item.value("finished", false),
-                       .mCancelled = item.value("cancelled", false) });
+      executions.push_back({ .mUpstream = host->mName,
+                             .mId = item.value("id", ""),
+                             .mMark = mark,
+                             .mStartTime = item.value("started_ms", int64_t(0)),
+                             .mEndTime = item.value("ended_ms", int64_t(0)),
+                             .mTokens = item.value("tokens", uint64_t(0)),
+                             .mFinished = item.value("finished", false),
+                             .mCancelled = item.value("cancelled", false) });
     }
   }
-  return seen;
+  return executions;
 }
 
 size_t
--- a/tests/integration/fleet.h
+++ b/tests/integration/fleet.h
@@ -15,7 +15,7 @@
 
 namespace integration {
 
-/** What a Fleet is made of. */
+/** The processes of a Fleet and their flags. */
 struct FleetOptions
 {
   size_t mEngines = 1;
@@ -29,14 +29,14 @@
   std::vector<std::string> mEntryFlags;
 };
 
-/** A TCP relay between two processes, and its control. */
+/** A TCP proxy between two processes that injects network faults. */
 class Proxy
 {
 public:
   explicit Proxy(const std::string& aTarget);
 
   const std::string& Address() const { return mAddress; }
-  /** Gives it an order; its counts. */
+  /** Sends a command to the proxy; returns its counters. */
   nlohmann::json Order(const nlohmann::json& aOrder) const;
   nlohmann::json Counts() const;
 
@@ -55,33 +55,33 @@
   std::unique_ptr<Proxy> mUpstreamProxy;
   std::unique_ptr<ChildProcess> mSidecar;
   std::unique_ptr<Proxy> mChannelProxy;
-  std::string mState = "live"; /**< on the platform's list */
-  std::string mRecordFile;     /**< executions, also of killed stand-ins */
+  std::string mState = "live"; /**< in the platform's host list */
+  std::string mRecordFile;     /**< its executions; outlives a killed process */
 
   std::string UpstreamUrl() const;
   std::string OperatorUrl() const;
-  /** Where entries reach the sidecar. */
+  /** The address at which entries connect to the sidecar. */
   std::string ChannelAddress() const;
-  /** Sends an order to the upstream stand-in's control. */
+  /** Sends a command to the control endpoint of the upstream stand-in. */
   void Control(const nlohmann::json& aOrder) const;
 };
 
-/** An execution as an upstream stand-in recorded it. */
-struct SeenExecution
+/** One execution of a request, as recorded by an upstream stand-in. */
+struct ExecutionRecord
 {
   std::string mUpstream;
   std::string mId;
   std::string mMark;
-  int64_t mStarted = 0; /**< monotonic milliseconds */
-  int64_t mEnded = 0;
+  int64_t mStartTime = 0; /**< monotonic milliseconds */
+  int64_t mEndTime = 0;
   uint64_t mTokens = 0;
   bool mFinished = false;
   bool mCancelled = false;
 };
 
 /**
- * The whole system as real processes on loopback: started, made known to the
- * platform, given a policy and ready when the constructor returns.
+ * The complete system as real processes on loopback. When the constructor
+ * returns, they run, are in the host list, have a policy and are ready.
  */
 class Fleet
 {
@@ -100,38 +100,39 @@
   Proxy& PlatformProxy() { return *mPlatformProxy; }
   void PlatformControl(const nlohmann::json& aOrder) const;
 
-  /** Tells the platform the hosts as they are now. */
+  /** Sends the current host list to the platform. */
   void PublishHosts() const;
-  /** Starts an upstream stand-in anew, on the same port. */
+  /** Restarts an upstream stand-in on the same port. */
   void RestartUpstream(size_t aUpstream);
-  /** Starts a sidecar anew beside its upstream, in place of the old one. */
+  /** Replaces the sidecar of an upstream by a new process. */
   void RestartSidecar(size_t aUpstream);
-  /** Starts an entry anew in place of the old one; does not await it. */
+  /** Replaces an entry by a new process; does not wait for readiness. */
   void RestartEntry(size_t aEntry);
-  /** Starts one entry more; does not await it. */
+  /** Starts another entry; does not wait for readiness. */
   void AddEntry();
   bool AwaitReady(size_t aEntry) const;
 
-  /** Changes the policy through an entry; the answer and its status. */
+  /** Changes the policy through an entry; returns status and body. */
   nlohmann::json ChangePolicy(const nlohmann::json& aOperations,
                               size_t aEntry = 0,
                               std::optional<uint64_t> aBase = std::nullopt);
   uint64_t PolicyVersion(size_t aEntry = 0) const;
 
-  /** Sends a request to an entry. A key makes it repeatable. */
-  std::unique_ptr<OpenCall> Send(const trefoilload::TraceRequest& aRequest,
-                                 size_t aEntry = 0,
-                                 const trefoilio::HttpHeaders& aMore = {});
-  /** The same, with a mark of the caller's own. */
+  /** Sends a request to an entry. An idempotency key makes it repeatable. */
+  std::unique_ptr<OpenCall> Send(
+    const trefoilload::TraceRequest& aRequest,
+    size_t aEntry = 0,
+    const trefoilio::HttpHeaders& aExtraHeaders = {});
+  /** Sends a request with the given mark. */
   std::unique_ptr<OpenCall> SendMarked(
     const trefoilload::TraceRequest& aRequest,
     const std::string& aMark,
     size_t aEntry = 0,
-    const trefoilio::HttpHeaders& aMore = {});
+    const trefoilio::HttpHeaders& aExtraHeaders = {});
 
   /** All executions, or those of one mark. */
-  std::vector<SeenExecution> Executions(const std::string& aMark = "") const;
-  /** How often upstreams ran it, those that were killed since included. */
+  std::vector<ExecutionRecord> Executions(const std::string& aMark = "") const;
+  /** Counts executions, also by upstreams that were killed since. */
   size_t RunsOf(const std::string& aMark) const;
 
 private:
@@ -140,8 +141,8 @@
                                              const std::string& aListen) const;
   std::unique_ptr<ChildProcess> MakeSidecar(const UpstreamHost& aHost) const;
   std::unique_ptr<ChildProcess> MakeEntry(size_t aNumber) const;
-  /** Where the daemons reach the platform. */
-  std::string PlatformForDaemons() const;
+  /** The platform URL given to the daemons: the proxy's, if there is one. */
+  std::string PlatformUrlForDaemons() const;
 
   FleetOptions mOptions;
   TemporaryFolder mFolder;
@@ -150,23 +151,23 @@
   std::vector<std::unique_ptr<UpstreamHost>> mUpstreams;
   std::vector<std::unique_ptr<ChildProcess>> mEntries;
   std::unique_ptr<trefoilio::CallRunner> mRunner;
-  size_t mSent = 0;
-  size_t mChanges = 0;
+  size_t mSentCount = 0;
+  size_t mChangeCount = 0;
 };
 
-/** The policy that every fleet begins with. */
+/** The initial policy of every fleet. */
 nlohmann::json
 TestPolicy();
 
-/** A streamed completion of the class, of that many tokens. */
+/** A chat completion request of the class with that many output tokens. */
 trefoilload::TraceRequest
 ChatRequest(const std::string& aClass, size_t aTokens, bool aStream = true);
 
-/** The same, not idempotent. */
+/** A chat completion request that is not idempotent. */
 trefoilload::TraceRequest
 OnceRequest(const std::string& aClass, size_t aTokens, bool aStream = true);
 
-/** A call to the booking service that may not be repeated. */
+/** A call to the booking service that is not idempotent. */
 trefoilload::TraceRequest
 BookingRequest();
 
--- a/tests/integration/httpcall.cpp
+++ b/tests/integration/httpcall.cpp
@@ -21,9 +21,9 @@
   if (reply) {
     return *reply;
   }
-  trefoilio::HttpReply none;
-  none.mStatus = 0;
-  return none;
+  trefoilio::HttpReply noReply;
+  noReply.mStatus = 0;
+  return noReply;
 }
 
 json
--- a/tests/integration/httpcall.h
+++ b/tests/integration/httpcall.h
@@ -7,18 +7,18 @@
 
 namespace integration {
 
-/** Sends and waits; status 0 where there was no answer. */
+/** Sends a request and waits for the reply; status 0 without one. */
 trefoilio::HttpReply
 CallHttp(const std::string& aMethod,
          const std::string& aUrl,
          const std::string& aBody = "",
          const trefoilio::HttpHeaders& aHeaders = {});
 
-/** The answer of a GET as JSON; null where it is none. */
+/** Returns the JSON reply to a GET; a discarded value if it is not JSON. */
 nlohmann::json
 GetJson(const std::string& aUrl);
 
-/** POSTs JSON; the answer with its status, `{"status":N,"body":...}`. */
+/** POSTs JSON; returns status and body as `{"status":N,"body":...}`. */
 nlohmann::json
 PostJson(const std::string& aUrl, const nlohmann::json& aBody);
 
--- a/tests/integration/opencall.cpp
+++ b/tests/integration/opencall.cpp
@@ -21,16 +21,17 @@
 
 OpenCall::OpenCall(trefoilio::CallRunner& aRunner,
                    trefoilload::TraceRequest aRequest,
-                   trefoilio::HttpRequest aSent,
+                   trefoilio::HttpRequest aHttpRequest,
                    std::string aMark)
   : mRunner(aRunner)
   , mMark(std::move(aMark))
-  , mState(std::make_shared<State>(std::move(aRequest), std::move(aSent)))
+  , mState(
+      std::make_shared<State>(std::move(aRequest), std::move(aHttpRequest)))
 {
   mState->mChecker.Record().mSent = Now();
   mState->mChecker.Record().mMark = mMark;
   const auto state = mState;
-  mCall = mRunner.Start(
+  mCallId = mRunner.Start(
     mState->mSent,
     { .mOnHead =
         [state](int aStatus, const trefoilio::HttpHeaders& aHeaders) {
@@ -66,7 +67,7 @@
 CallRecord
 OpenCall::AwaitEnd() const
 {
-  Await([&] { return HasEnded(); }, kGenerous * 2);
+  Await([&] { return HasEnded(); }, kDefaultTimeout * 2);
   return Record();
 }
 
@@ -100,7 +101,7 @@
 void
 OpenCall::Leave()
 {
-  mRunner.Cancel(mCall);
+  mRunner.Cancel(mCallId);
 }
 
 } // namespace integration
--- a/tests/integration/opencall.h
+++ b/tests/integration/opencall.h
@@ -10,40 +10,41 @@
 
 namespace integration {
 
-/** A caller's request under way, judged byte for byte by the load tool. */
+/** A request in flight; the load tool checks its response byte for byte. */
 class OpenCall
 {
 public:
-  /** Sends it; the runner must outlive the call. */
+  /** Sends the request; the runner must outlive the call. */
   OpenCall(trefoilio::CallRunner& aRunner,
            trefoilload::TraceRequest aRequest,
-           trefoilio::HttpRequest aSent,
+           trefoilio::HttpRequest aHttpRequest,
            std::string aMark);
-  /** Leaves, if it is still open. */
+  /** Closes the connection if it is still open. */
   ~OpenCall();
   OpenCall(const OpenCall&) = delete;
   OpenCall& operator=(const OpenCall&) = delete;
 
-  /** Waits until that many bytes of body have come, or it has ended. */
+  /** Waits for that many bytes of the body or the end of the call. */
   bool AwaitBytes(size_t aCount) const;
-  /** Waits for the end; the record as it is then. */
+  /** Waits for the end of the call; returns its record. */
   trefoilload::CallRecord AwaitEnd() const;
   bool HasEnded() const;
   trefoilload::CallRecord Record() const;
-  /** All bytes of the body so far. */
+  /** The body received so far. */
   std::string Body() const;
   std::string Header(const std::string& aName) const;
   const std::string& Mark() const { return mMark; }
-  /** Closes the connection, as a caller that leaves does. */
+  /** Closes the connection, as a caller that cancels does. */
   void Leave();
 
 private:
-  /** What the runner's hooks write to; outlives the call if need be. */
+  /** Written by the runner's hooks, which may outlive the call. */
   struct State
   {
-    State(trefoilload::TraceRequest aRequest, trefoilio::HttpRequest aSent)
+    State(trefoilload::TraceRequest aRequest,
+          trefoilio::HttpRequest aHttpRequest)
       : mRequest(std::move(aRequest))
-      , mSent(std::move(aSent))
+      , mSent(std::move(aHttpRequest))
       , mChecker(mRequest, mSent)
     {
     }
@@ -59,7 +60,7 @@
   trefoilio::CallRunner& mRunner;
   std::string mMark;
   std::shared_ptr<State> mState;
-  uint64_t mCall = 0;
+  uint64_t mCallId = 0;
 };
 
 } // namespace integration
--- a/tests/integration/orderservicetest.cpp
+++ b/tests/integration/orderservicetest.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr Millis kLongest{ 1500 };
+constexpr Millis kMaxOrderDuration{ 1500 };
 
-/** The order part of one sidecar. */
+/** The order service of one sidecar. */
 class OrderingSidecar
 {
 public:
@@ -27,7 +27,7 @@
                   const std::string& aEngineUrl,
                   const std::string& aHolder,
                   bool aEngineChecks,
-                  Millis aOrderSpan)
+                  Millis aOrderTimeout)
   {
     auto service = std::make_unique<OrderService>(
       OrderServiceOptions{ .mPlatform = std::make_shared<const PlatformClient>(
@@ -36,9 +36,9 @@
                            .mOrders = { .mUpstream = "engine-1",
                                         .mHolder = aHolder,
                                         .mEngineChecksFencing = aEngineChecks,
-                                        .mMaxOrderDuration = kLongest,
+                                        .mMaxOrderDuration = kMaxOrderDuration,
                                         .mLeaseMargin = Millis(2000),
-                                        .mOrderTimeout = aOrderSpan,
+                                        .mOrderTimeout = aOrderTimeout,
                                         .mRetryInterval = Millis(200) } });
     mService = service.get();
     mKernel.Register(OrderService::kName, std::move(service));
@@ -51,7 +51,7 @@
     return mService->HandleOperator({ "POST", "/v1/orders", {}, aOrder.dump() })
       .mStatus;
   }
-  bool AwaitStanding(const std::string& aId, const std::string& aStatus)
+  bool AwaitStatus(const std::string& aId, const std::string& aStatus)
   {
     return Await([&] { return mService->StatusOf(aId) == aStatus; });
   }
@@ -61,29 +61,30 @@
   OrderService* mService = nullptr;
 };
 
-/** A platform, an engine and whoever orders it about. */
-struct Bench
+/** A platform stand-in, an engine and the sidecars that send it orders. */
+struct OrderFixture
 {
-  explicit Bench(bool aEngineChecks = true,
-                 std::vector<std::string> aFlags = {})
-    : mEngine("trefoilarch-engine", Flags(aEngineChecks, std::move(aFlags)))
-    , mChecks(aEngineChecks)
+  explicit OrderFixture(bool aEngineChecks = true,
+                        std::vector<std::string> aExtraFlags = {})
+    : mEngine("trefoilarch-engine",
+              Flags(aEngineChecks, std::move(aExtraFlags)))
+    , mFencingChecked(aEngineChecks)
   {
   }
 
   static std::vector<std::string> Flags(bool aEngineChecks,
-                                        std::vector<std::string> aMore)
+                                        std::vector<std::string> aFlags)
   {
-    aMore.insert(aMore.end(),
-                 { "--fencing", aEngineChecks ? "refuse" : "ignore" });
-    return aMore;
+    aFlags.insert(aFlags.end(),
+                  { "--fencing", aEngineChecks ? "refuse" : "ignore" });
+    return aFlags;
   }
 
   std::unique_ptr<OrderingSidecar> Sidecar(const std::string& aHolder,
-                                           Millis aOrderSpan = Millis(60000))
+                                           Millis aOrderTimeout = Millis(60000))
   {
     return std::make_unique<OrderingSidecar>(
-      mUrl, mEngineUrl, aHolder, mChecks, aOrderSpan);
+      mUrl, mEngineUrl, aHolder, mFencingChecked, aOrderTimeout);
   }
   void SetTable(const char* aMode, double aProbability)
   {
@@ -106,16 +107,16 @@
 
   ChildProcess mPlatform{ "trefoilarch-platform", {} };
   ChildProcess mEngine;
-  bool mChecks;
+  bool mFencingChecked;
   std::string mUrl = "http://" + mPlatform.Address("platform");
   std::string mEngineUrl = "http://" + mEngine.Address("engine");
 };
 
-/** A whole sidecar daemon beside the engine. */
+/** A sidecar daemon process beside the engine. */
 class SidecarDaemon
 {
 public:
-  SidecarDaemon(const Bench& aBench, const std::string& aName)
+  SidecarDaemon(const OrderFixture& aFixture, const std::string& aName)
     : mProcess("trefoilarchd",
                { "--role",
                  "sidecar",
@@ -124,13 +125,13 @@
                  "--upstream-name",
                  "engine-1",
                  "--upstream-url",
-                 aBench.mEngineUrl,
+                 aFixture.mEngineUrl,
                  "--labels",
                  "model=base",
                  "--platform",
-                 aBench.mUrl,
+                 aFixture.mUrl,
                  "--engine-fencing",
-                 aBench.mChecks ? "refuse" : "ignore",
+                 aFixture.mFencingChecked ? "refuse" : "ignore",
                  "--longest-order-ms",
                  "1500" })
     , mUrl("http://" + mProcess.Address("operator") + "/v1/orders")
@@ -162,75 +163,75 @@
 
 Test(orderservice, an_adapter_is_loaded_and_dropped)
 {
-  Bench bench;
-  const auto sidecar = bench.Sidecar("a");
+  OrderFixture fixture;
+  const auto sidecar = fixture.Sidecar("a");
   cr_assert(sidecar->Post(Load("1", "riga")) == 202);
   cr_assert(sidecar->Post(Load("1", "riga")) == 409);
   cr_assert(sidecar->Post({ { "id", "2" }, { "kind", "reboot" } }) == 422);
-  cr_assert(sidecar->AwaitStanding("1", "done"));
-  cr_assert(bench.Serves("riga"));
+  cr_assert(sidecar->AwaitStatus("1", "done"));
+  cr_assert(fixture.Serves("riga"));
   sidecar->Post(
     { { "id", "3" }, { "kind", "unload_adapter" }, { "name", "riga" } });
-  cr_assert(sidecar->AwaitStanding("3", "done"));
-  cr_assert(!bench.Serves("riga"));
+  cr_assert(sidecar->AwaitStatus("3", "done"));
+  cr_assert(!fixture.Serves("riga"));
 }
 
 Test(orderservice, a_successor_orders_under_a_higher_number)
 {
   for (const bool checks : { true, false }) {
-    Bench bench(checks);
-    auto first = bench.Sidecar("a");
+    OrderFixture fixture(checks);
+    auto first = fixture.Sidecar("a");
     first->Post(Load("1", "riga"));
-    cr_assert(first->AwaitStanding("1", "done"));
+    cr_assert(first->AwaitStatus("1", "done"));
     first.reset();
-    const auto second = bench.Sidecar("b");
+    const auto second = fixture.Sidecar("b");
     second->Post(Load("2", "tallinn"));
-    cr_assert(second->AwaitStanding("2", "done"));
-    cr_assert(bench.Serves("tallinn"));
-    const json orders = GetJson(bench.mEngineUrl + "/orders")["orders"];
+    cr_assert(second->AwaitStatus("2", "done"));
+    cr_assert(fixture.Serves("tallinn"));
+    const json orders = GetJson(fixture.mEngineUrl + "/orders")["orders"];
     cr_assert(orders.size() == 2);
     cr_assert(orders[0]["fencing"] < orders[1]["fencing"]);
   }
 }
 
-Test(orderservice, lost_answers_of_the_table_are_settled)
+Test(orderservice, lost_table_responses_are_resolved)
 {
-  Bench bench;
-  bench.SetTable("lose_answers", 0.3);
-  const auto sidecar = bench.Sidecar("a");
+  OrderFixture fixture;
+  fixture.SetTable("lose_answers", 0.3);
+  const auto sidecar = fixture.Sidecar("a");
   for (const char* id : { "1", "2", "3" }) {
     sidecar->Post(Load(id, id));
-    cr_assert(sidecar->AwaitStanding(id, "done"));
+    cr_assert(sidecar->AwaitStatus(id, "done"));
   }
 }
 
-/** The engine takes twice as long as orders may: no answer comes in time. */
+/** The engine takes twice the maximum order duration: no response in time. */
 Test(orderservice, an_order_without_an_answer_ends_as_unknown)
 {
-  Bench bench(false, { "--order-ms", "3000" });
-  const auto sidecar = bench.Sidecar("a", Millis(4000));
+  OrderFixture fixture(false, { "--order-ms", "3000" });
+  const auto sidecar = fixture.Sidecar("a", Millis(4000));
   sidecar->Post(Load("1", "riga"));
-  cr_assert(sidecar->AwaitStanding("1", "unknown"));
-  cr_assert(Await([&] { return bench.Serves("riga"); }));
+  cr_assert(sidecar->AwaitStatus("1", "unknown"));
+  cr_assert(Await([&] { return fixture.Serves("riga"); }));
 }
 
-/** The one that holds the engine's lease is frozen in the midst of an order. */
+/** The holder of the engine's lease is frozen while an order is running. */
 Test(orderservice, a_frozen_holder_does_not_order_after_its_successor)
 {
-  Bench bench(false, { "--order-ms", "1000" });
-  SidecarDaemon first(bench, "a");
+  OrderFixture fixture(false, { "--order-ms", "1000" });
+  SidecarDaemon first(fixture, "a");
   first.Post(Load("1", "riga"));
-  const auto fences = [&bench] {
+  const auto fencingNumbers = [&fixture] {
     std::vector<uint64_t> numbers;
-    const json seen = GetJson(bench.mEngineUrl + "/orders");
+    const json seen = GetJson(fixture.mEngineUrl + "/orders");
     for (const json& order : seen["orders"]) {
       numbers.push_back(order["fencing"].get<uint64_t>());
     }
     return numbers;
   };
-  cr_assert(Await([&] { return bench.TableWrites() > 0; }));
+  cr_assert(Await([&] { return fixture.TableWrites() > 0; }));
   first.Child().Signal(SIGSTOP);
-  SidecarDaemon second(bench, "b");
+  SidecarDaemon second(fixture, "b");
   second.Post(Load("2", "tallinn"));
   cr_assert(
     Await([&] { return second.StatusOf("2") == "done"; }, Millis(60000)));
@@ -238,7 +239,7 @@
   first.Post(Load("3", "vilnius"));
   cr_assert(
     Await([&] { return first.StatusOf("3") == "done"; }, Millis(60000)));
-  const auto numbers = fences();
+  const auto numbers = fencingNumbers();
   cr_assert(numbers.size() >= 3);
   cr_assert(std::is_sorted(numbers.begin(), numbers.end()));
   cr_assert(numbers.front() < numbers[1] && numbers[1] < numbers.back());
--- a/tests/integration/outagetest.cpp
+++ b/tests/integration/outagetest.cpp
@@ -22,12 +22,12 @@
 }
 
 /**
- * One row of the operators' outage table: while the service fails, requests
- * without a key are answered and the entries stay ready; afterwards a change
- * is accepted and in force at both.
+ * Checks one row of the operators' outage table. While the service fails,
+ * requests without a key complete and the entries stay ready. After it, a
+ * policy change is accepted and comes into force at both entries.
  */
 void
-CheckRow(const char* aService, const json& aFaults)
+CheckOutage(const char* aService, const json& aFaults)
 {
   Fleet fleet({ .mEngines = 2, .mEntries = 2 });
   fleet.PlatformControl({ { aService, aFaults } });
@@ -60,47 +60,47 @@
 
 Test(outage, table_down)
 {
-  CheckRow("table", kDown);
+  CheckOutage("table", kDown);
 }
 
 Test(outage, table_slow)
 {
-  CheckRow("table", kSlow);
+  CheckOutage("table", kSlow);
 }
 
 Test(outage, table_loses_answers)
 {
-  CheckRow("table", kLossy);
+  CheckOutage("table", kLossy);
 }
 
 Test(outage, objects_down)
 {
-  CheckRow("objects", kDown);
+  CheckOutage("objects", kDown);
 }
 
 Test(outage, objects_slow)
 {
-  CheckRow("objects", kSlow);
+  CheckOutage("objects", kSlow);
 }
 
 Test(outage, objects_lose_answers)
 {
-  CheckRow("objects", kLossy);
+  CheckOutage("objects", kLossy);
 }
 
 Test(outage, host_list_down)
 {
-  CheckRow("hostlist", kDown);
+  CheckOutage("hostlist", kDown);
 }
 
 Test(outage, host_list_slow)
 {
-  CheckRow("hostlist", kSlow);
+  CheckOutage("hostlist", kSlow);
 }
 
 Test(outage, host_list_loses_answers)
 {
-  CheckRow("hostlist", kLossy);
+  CheckOutage("hostlist", kLossy);
 }
 
 Test(outage, a_keyed_request_in_a_table_outage_is_refused_as_not_run)
--- a/tests/integration/plannedstoptest.cpp
+++ b/tests/integration/plannedstoptest.cpp
@@ -22,7 +22,7 @@
 using Calls = std::vector<std::unique_ptr<OpenCall>>;
 
 FleetOptions
-TwoOfEach()
+TwoEnginesAndEntries()
 {
   return { .mEngines = 2, .mEntries = 2 };
 }
@@ -39,7 +39,7 @@
 }
 
 void
-ExpectWhole(const Calls& aCalls)
+ExpectComplete(const Calls& aCalls)
 {
   for (const auto& call : aCalls) {
     const CallRecord record = call->AwaitEnd();
@@ -50,46 +50,48 @@
   }
 }
 
-/** How an upstream is told to leave. */
-using Leaving = std::function<void(Fleet&, UpstreamHost&)>;
+/** Makes an upstream leave. */
+using StartLeaving = std::function<void(Fleet&, UpstreamHost&)>;
 
 /**
- * Under steady traffic an upstream is told to leave: what it runs is
- * finished, and it starts nothing later than three seconds after.
+ * Makes an upstream leave under steady traffic: its running requests must
+ * finish, and it must start none later than three seconds after.
  */
 void
-CheckLeaving(const Leaving& aTell)
+CheckLeaving(const StartLeaving& aStartLeaving)
 {
-  constexpr int64_t kNoneAfter = 3000;
-  Fleet fleet(TwoOfEach());
+  constexpr int64_t kMaxStartDelay = 3000;
+  Fleet fleet(TwoEnginesAndEntries());
   const Calls running = SendMany(fleet, 8, 300, 0);
   cr_assert(running.front()->AwaitBytes(300));
   const std::string name =
     fleet.Executions(running.front()->Mark()).front().mUpstream;
-  aTell(fleet, fleet.Upstream(name == "engine-1" ? 0 : 1));
-  const int64_t told = trefoilio::MonotonicNow().Count();
+  aStartLeaving(fleet, fleet.Upstream(name == "engine-1" ? 0 : 1));
+  const int64_t leaveTime = trefoilio::MonotonicNow().Count();
   Calls later;
-  while (trefoilio::MonotonicNow().Count() < told + kNoneAfter + 1500) {
+  while (trefoilio::MonotonicNow().Count() <
+         leaveTime + kMaxStartDelay + 1500) {
     later.push_back(fleet.Send(ChatRequest("mid-call", 5), later.size() % 2));
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   }
-  ExpectWhole(running);
-  ExpectWhole(later);
+  ExpectComplete(running);
+  ExpectComplete(later);
   int64_t lastStart = 0;
-  for (const SeenExecution& execution : fleet.Executions()) {
+  for (const ExecutionRecord& execution : fleet.Executions()) {
     if (execution.mUpstream == name) {
-      lastStart = std::max(lastStart, execution.mStarted);
+      lastStart = std::max(lastStart, execution.mStartTime);
     }
   }
-  criterion_info("last start %ld ms after", lastStart - told);
-  cr_assert(lastStart <= told + kNoneAfter, "%ld ms", lastStart - told);
+  criterion_info("last start %ld ms after", lastStart - leaveTime);
+  cr_assert(
+    lastStart <= leaveTime + kMaxStartDelay, "%ld ms", lastStart - leaveTime);
 }
 
 } // namespace
 
 Test(plannedstop, of_an_entry_cuts_no_answer)
 {
-  Fleet fleet(TwoOfEach());
+  Fleet fleet(TwoEnginesAndEntries());
   const Calls running = SendMany(fleet, 10, 400, 0);
   for (const auto& call : running) {
     cr_assert(Await([&] { return fleet.RunsOf(call->Mark()) == 1; }));
@@ -104,7 +106,7 @@
     return reply.mStatus == 0 ||
            reply.mBody.find("shutting_down") != std::string::npos;
   }));
-  ExpectWhole(running);
+  ExpectComplete(running);
   cr_assert(Await([&] { return fleet.Entry().HasEnded(); }));
   cr_assert(WIFEXITED(fleet.Entry().Status()) &&
             WEXITSTATUS(fleet.Entry().Status()) == 0);
@@ -115,7 +117,7 @@
 
 Test(plannedstop, of_a_sidecar_cuts_no_answer)
 {
-  Fleet fleet(TwoOfEach());
+  Fleet fleet(TwoEnginesAndEntries());
   const Calls running = SendMany(fleet, 10, 400, 0);
   for (const auto& call : running) {
     cr_assert(Await([&] { return fleet.RunsOf(call->Mark()) == 1; }));
@@ -126,14 +128,14 @@
     later.push_back(fleet.Send(OnceRequest("mid-call", 5), i % 2));
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
-  ExpectWhole(running);
-  ExpectWhole(later);
+  ExpectComplete(running);
+  ExpectComplete(later);
   ChildProcess& sidecar = *fleet.Upstream().mSidecar;
   cr_assert(Await([&] { return sidecar.HasEnded(); }));
   cr_assert(WIFEXITED(sidecar.Status()) && WEXITSTATUS(sidecar.Status()) == 0);
 }
 
-Test(plannedstop, leaving_by_the_platforms_list)
+Test(plannedstop, leaving_by_the_platforms_host_list)
 {
   CheckLeaving([](Fleet& aFleet, UpstreamHost& aHost) {
     aHost.mState = "leaving";
@@ -141,7 +143,7 @@
   });
 }
 
-Test(plannedstop, leaving_by_the_sidecars_word_while_the_list_lags)
+Test(plannedstop, leaving_by_the_sidecars_report_while_the_list_lags)
 {
   CheckLeaving([](Fleet& aFleet, UpstreamHost& aHost) {
     aFleet.PlatformControl({ { "host_lag_ms", 60000 } });
--- a/tests/integration/policyspreadtest.cpp
+++ b/tests/integration/policyspreadtest.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-/** The aim is two seconds; the rest is for a busy machine. */
-constexpr int64_t kInForceWithin = 4000;
+/** The target is two seconds; the rest allows for a busy machine. */
+constexpr int64_t kMaxPolicyDelay = 4000;
 
 FleetOptions
-Entries(size_t aCount)
+FleetOfEntries(size_t aCount)
 {
   return { .mEntries = aCount };
 }
@@ -52,9 +52,9 @@
                     { "operations", aOperations } });
 }
 
-/** The class's first-token target as an entry has it; 0: no such class. */
+/** The first-token target of a class at an entry; 0 without such a class. */
 int64_t
-TargetAt(const Fleet& aFleet, size_t aEntry, const std::string& aName)
+FirstTokenTargetAt(const Fleet& aFleet, size_t aEntry, const std::string& aName)
 {
   const json policy = GetJson(aFleet.OperatorUrl(aEntry) + "/v1/policy");
   for (const json& item : policy.value("classes", json::array())) {
@@ -87,25 +87,26 @@
 
 Test(policyspread, a_change_is_in_force_everywhere_within_seconds)
 {
-  Fleet fleet(Entries(4));
+  Fleet fleet(FleetOfEntries(4));
   for (int round = 1; round <= 3; ++round) {
     const json changed = fleet.ChangePolicy(SetClass("new", round), 1);
     cr_assert(changed["status"] == 200, "%s", changed.dump().c_str());
     const int64_t accepted = trefoilio::MonotonicNow().Count();
     for (size_t entry = 0; entry < 4; ++entry) {
-      cr_assert(Await([&] { return TargetAt(fleet, entry, "new") == round; }));
+      cr_assert(Await(
+        [&] { return FirstTokenTargetAt(fleet, entry, "new") == round; }));
     }
-    const int64_t span = trefoilio::MonotonicNow().Count() - accepted;
-    criterion_info("in force at 4 entries after %ld ms", span);
-    cr_assert(span <= kInForceWithin, "%ld ms", span);
+    const int64_t delay = trefoilio::MonotonicNow().Count() - accepted;
+    criterion_info("in force at 4 entries after %ld ms", delay);
+    cr_assert(delay <= kMaxPolicyDelay, "%ld ms", delay);
   }
   const auto call = fleet.Send(ChatRequest("new", 5), 3);
   cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Complete);
 }
 
-Test(policyspread, of_racing_operators_one_wins_and_the_other_is_told)
+Test(policyspread, of_racing_operators_one_wins_and_the_other_gets_a_conflict)
 {
-  Fleet fleet(Entries(2));
+  Fleet fleet(FleetOfEntries(2));
   cr_assert(fleet.ChangePolicy(SetClass("raced", 1))["status"] == 200);
   for (int round = 0; round < 10; ++round) {
     cr_assert(
@@ -121,24 +122,27 @@
     auto second = std::async(std::launch::async, race, 1);
     const json answers[] = { first.get(), second.get() };
     const size_t winner = answers[0]["status"] == 200 ? 0 : 1;
-    const json& lost = answers[1 - winner];
-    cr_assert(answers[winner]["status"] == 200 && lost["status"] == 409,
+    const json& loser = answers[1 - winner];
+    cr_assert(answers[winner]["status"] == 200 && loser["status"] == 409,
               "%s / %s",
               answers[0].dump().c_str(),
               answers[1].dump().c_str());
-    cr_assert(lost["body"]["conflicts"][0]["object"] == "class/raced",
+    cr_assert(loser["body"]["conflicts"][0]["object"] == "class/raced",
               "%s",
-              lost.dump().c_str());
-    const int64_t won = 100 * (round + 1) + static_cast<int64_t>(winner);
+              loser.dump().c_str());
+    const int64_t winningTarget =
+      100 * (round + 1) + static_cast<int64_t>(winner);
     for (size_t entry = 0; entry < 2; ++entry) {
-      cr_assert(Await([&] { return TargetAt(fleet, entry, "raced") == won; }));
+      cr_assert(Await([&] {
+        return FirstTokenTargetAt(fleet, entry, "raced") == winningTarget;
+      }));
     }
   }
 }
 
-Test(policyspread, a_lost_answer_is_settled_and_applied_once)
+Test(policyspread, a_change_with_a_lost_response_is_resolved_and_applied_once)
 {
-  Fleet fleet(Entries(2));
+  Fleet fleet(FleetOfEntries(2));
   for (int round = 0; round < 4; ++round) {
     SetPlatform(fleet,
                 { { "mode", "lose_answers" },
@@ -147,15 +151,15 @@
     const std::string id = "lost-" + std::to_string(round);
     const json answer = Propose(fleet, 0, id, SetClass("lost", 10 + round));
     SetPlatform(fleet, { { "mode", "up" } });
-    json asked;
+    json outcome;
     cr_assert(Await([&] {
-      asked = GetJson(fleet.OperatorUrl() + "/v1/policy/changes/" + id);
-      return asked.is_object() && asked.contains("status") &&
-             asked["status"] != "unknown";
+      outcome = GetJson(fleet.OperatorUrl() + "/v1/policy/changes/" + id);
+      return outcome.is_object() && outcome.contains("status") &&
+             outcome["status"] != "unknown";
     }));
-    const bool accepted = asked["status"] == "accepted";
+    const bool accepted = outcome["status"] == "accepted";
     if (answer["status"] == 200) {
-      cr_assert(accepted, "%s", asked.dump().c_str());
+      cr_assert(accepted, "%s", outcome.dump().c_str());
     }
     if (answer["body"].contains("error")) {
       cr_assert(!accepted, "%s", answer.dump().c_str());
@@ -166,7 +170,7 @@
 
 Test(policyspread, an_outage_refuses_changes_and_stops_no_traffic)
 {
-  Fleet fleet(Entries(2));
+  Fleet fleet(FleetOfEntries(2));
   cr_assert(fleet.ChangePolicy(SetClass("kept", 7))["status"] == 200);
   SetPlatform(fleet, { { "mode", "down" } });
   const json refused = Propose(fleet, 0, "in-outage", SetClass("kept", 8));
@@ -187,61 +191,61 @@
   if (refused["body"].contains("error")) {
     cr_assert(CountInHistory(fleet, "in-outage") == 0);
   }
-  cr_assert(Await([&] { return TargetAt(fleet, 1, "kept") == 9; }));
+  cr_assert(Await([&] { return FirstTokenTargetAt(fleet, 1, "kept") == 9; }));
 }
 
-Test(policyspread, a_frozen_entry_that_wakes_never_reverts_and_catches_up)
+Test(policyspread, a_frozen_entry_never_reverts_and_catches_up_when_resumed)
 {
-  Fleet fleet(Entries(2));
+  Fleet fleet(FleetOfEntries(2));
   cr_assert(fleet.ChangePolicy(SetClass("kept", 1))["status"] == 200);
-  cr_assert(Await([&] { return TargetAt(fleet, 1, "kept") == 1; }));
+  cr_assert(Await([&] { return FirstTokenTargetAt(fleet, 1, "kept") == 1; }));
   fleet.Entry(1).Signal(SIGSTOP);
   for (int i = 2; i <= 5; ++i) {
     cr_assert(fleet.ChangePolicy(SetClass("kept", i))["status"] == 200);
   }
   fleet.Entry(1).Signal(SIGCONT);
-  const int64_t woken = trefoilio::MonotonicNow().Count();
+  const int64_t resumedAt = trefoilio::MonotonicNow().Count();
   uint64_t highest = 0;
   cr_assert(Await([&] {
     const uint64_t version = fleet.PolicyVersion(1);
     cr_assert(version >= highest);
     highest = version;
-    return TargetAt(fleet, 1, "kept") == 5;
+    return FirstTokenTargetAt(fleet, 1, "kept") == 5;
   }));
-  const int64_t span = trefoilio::MonotonicNow().Count() - woken;
-  criterion_info("caught up %ld ms after waking", span);
-  cr_assert(span <= kInForceWithin, "%ld ms", span);
-  cr_assert(TargetAt(fleet, 0, "kept") == 5);
+  const int64_t delay = trefoilio::MonotonicNow().Count() - resumedAt;
+  criterion_info("caught up %ld ms after SIGCONT", delay);
+  cr_assert(delay <= kMaxPolicyDelay, "%ld ms", delay);
+  cr_assert(FirstTokenTargetAt(fleet, 0, "kept") == 5);
 }
 
 Test(policyspread, a_fresh_entry_in_an_outage_gets_the_policy_from_its_peers)
 {
-  Fleet fleet(Entries(2));
+  Fleet fleet(FleetOfEntries(2));
   cr_assert(fleet.ChangePolicy(SetClass("kept", 3))["status"] == 200);
-  cr_assert(Await([&] { return TargetAt(fleet, 1, "kept") == 3; }));
+  cr_assert(Await([&] { return FirstTokenTargetAt(fleet, 1, "kept") == 3; }));
   SetPlatform(fleet, { { "mode", "down" } });
   fleet.AddEntry();
   cr_assert(fleet.AwaitReady(2));
-  cr_assert(TargetAt(fleet, 2, "kept") == 3);
+  cr_assert(FirstTokenTargetAt(fleet, 2, "kept") == 3);
   const auto call = fleet.Send(ChatRequest("mid-call", 5), 2);
   cr_assert(call->AwaitEnd().mOutcome == CallOutcome::Complete);
 }
 
 Test(policyspread, a_restarted_entry_has_the_newest_policy)
 {
-  Fleet fleet(Entries(2));
+  Fleet fleet(FleetOfEntries(2));
   for (int i = 1; i <= 3; ++i) {
     cr_assert(fleet.ChangePolicy(SetClass("kept", i))["status"] == 200);
   }
   fleet.Entry(0).Kill();
   fleet.RestartEntry(0);
   cr_assert(fleet.AwaitReady(0));
-  cr_assert(TargetAt(fleet, 0, "kept") == 3);
+  cr_assert(FirstTokenTargetAt(fleet, 0, "kept") == 3);
 }
 
 Test(policyspread, an_invalid_change_names_the_field)
 {
-  Fleet fleet(Entries(1));
+  Fleet fleet(FleetOfEntries(1));
   json operations = SetClass("bad", 5);
   operations[0]["class"]["tier"] = 9;
   const json answer = fleet.ChangePolicy(operations);
--- a/tests/integration/rawcaller.cpp
+++ b/tests/integration/rawcaller.cpp
@@ -13,16 +13,16 @@
   : mSocket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 {
   const size_t slash = aAddress.rfind('/');
-  const std::string bare =
+  const std::string hostAndPort =
     slash == std::string::npos ? aAddress : aAddress.substr(slash + 1);
-  const size_t colon = bare.rfind(':');
-  sockaddr_in place{};
-  place.sin_family = AF_INET;
-  place.sin_port =
-    htons(static_cast<uint16_t>(std::stoi(bare.substr(colon + 1))));
-  inet_pton(AF_INET, bare.substr(0, colon).c_str(), &place.sin_addr);
-  static_cast<void>(
-    connect(mSocket, reinterpret_cast<const sockaddr*>(&place), sizeof(place)));
+  const size_t colon = hostAndPort.rfind(':');
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port =
+    htons(static_cast<uint16_t>(std::stoi(hostAndPort.substr(colon + 1))));
+  inet_pton(AF_INET, hostAndPort.substr(0, colon).c_str(), &address.sin_addr);
+  static_cast<void>(connect(
+    mSocket, reinterpret_cast<const sockaddr*>(&address), sizeof(address)));
 }
 
 RawCaller::~RawCaller()
@@ -49,13 +49,13 @@
   std::string text;
   std::array<char, 4096> bytes;
   pollfd wait{ .fd = mSocket, .events = POLLIN, .revents = 0 };
-  const auto isWhole = [&] { return !aEnd.empty() && text.ends_with(aEnd); };
-  while (!isWhole() && poll(&wait, 1, aQuietMillis) > 0) {
-    const ssize_t got = recv(mSocket, bytes.data(), bytes.size(), 0);
-    if (got <= 0) {
+  const auto isComplete = [&] { return !aEnd.empty() && text.ends_with(aEnd); };
+  while (!isComplete() && poll(&wait, 1, aQuietMillis) > 0) {
+    const ssize_t count = recv(mSocket, bytes.data(), bytes.size(), 0);
+    if (count <= 0) {
       break;
     }
-    text.append(bytes.data(), static_cast<size_t>(got));
+    text.append(bytes.data(), static_cast<size_t>(count));
   }
   return text;
 }
--- a/tests/integration/rawcaller.h
+++ b/tests/integration/rawcaller.h
@@ -4,7 +4,7 @@
 
 namespace integration {
 
-/** A plain TCP connection, for what no HTTP client would send. */
+/** A plain TCP connection, for bytes that an HTTP client would not send. */
 class RawCaller
 {
 public:
@@ -15,9 +15,9 @@
   RawCaller& operator=(const RawCaller&) = delete;
 
   bool Send(const std::string& aText) const;
-  /** Reads until the peer closes or has been quiet for that long. */
+  /** Reads until the peer closes or sends nothing for that long. */
   std::string ReadAll(int aQuietMillis = 15000) const;
-  /** The same, or until what has come ends so; empty: no such end. */
+  /** Like ReadAll(), but also ends at the suffix, unless it is empty. */
   std::string ReadUntil(const std::string& aEnd,
                         int aQuietMillis = 15000) const;
 
--- a/tests/integration/refusalstest.cpp
+++ b/tests/integration/refusalstest.cpp
@@ -24,9 +24,9 @@
   R"({"model":"base","messages":[{"role":"user","content":"hello"}]})";
 
 HttpHeaders
-With(HttpHeaders aHeaders, const HttpHeaders& aMore)
+WithHeaders(HttpHeaders aHeaders, const HttpHeaders& aChanged)
 {
-  for (const auto& header : aMore) {
+  for (const auto& header : aChanged) {
     std::erase_if(aHeaders, [&header](const auto& aOther) {
       return aOther.first == header.first;
     });
@@ -35,26 +35,27 @@
   return aHeaders;
 }
 
-/** Whether the answer is an honest refusal of the kind: nothing has run. */
+/** Expects a rejection of the kind that reports the request as not run. */
 void
 ExpectRefusal(const HttpReply& aReply,
               int aStatus,
               const std::string& aKind,
-              const std::string& aWhat)
+              const std::string& aDescription)
 {
   const json body = json::parse(aReply.mBody, nullptr, false);
   cr_assert(aReply.mStatus == aStatus,
             "%s: status %d, %s",
-            aWhat.c_str(),
+            aDescription.c_str(),
             aReply.mStatus,
             aReply.mBody.c_str());
-  cr_assert(body.is_object() && body.contains("error"), "%s", aWhat.c_str());
+  cr_assert(
+    body.is_object() && body.contains("error"), "%s", aDescription.c_str());
   const json& error = body["error"];
   cr_assert(error.value("kind", "") == aKind,
             "%s: %s",
-            aWhat.c_str(),
+            aDescription.c_str(),
             aReply.mBody.c_str());
-  cr_assert(error.value("ran", "") == "no", "%s", aWhat.c_str());
+  cr_assert(error.value("ran", "") == "no", "%s", aDescription.c_str());
   cr_assert(error.contains("message") && error.contains("type") &&
             error.contains("code"));
   cr_assert(
@@ -64,7 +65,7 @@
 
 struct RefusalCase
 {
-  std::string mWhat;
+  std::string mDescription;
   HttpHeaders mHeaders;
   std::string mBody;
   int mStatus;
@@ -81,7 +82,7 @@
       401,
       "unknown_workspace" },
     { "unknown workspace",
-      With(kAgents, { { "X-Trefoilarch-Workspace", "nobody" } }),
+      WithHeaders(kAgents, { { "X-Trefoilarch-Workspace", "nobody" } }),
       kHello,
       401,
       "unknown_workspace" },
@@ -91,12 +92,12 @@
       401,
       "bad_token" },
     { "wrong token",
-      With(kAgents, { { "Authorization", "Bearer secret-of-agent" } }),
+      WithHeaders(kAgents, { { "Authorization", "Bearer secret-of-agent" } }),
       kHello,
       401,
       "bad_token" },
     { "unknown class",
-      With(kAgents, { { "X-Trefoilarch-Class", "no-such" } }),
+      WithHeaders(kAgents, { { "X-Trefoilarch-Class", "no-such" } }),
       kHello,
       400,
       "unknown_class" },
@@ -125,17 +126,17 @@
       400,
       "invalid_request" },
     { "labels without a value",
-      With(kAgents, { { "X-Trefoilarch-Labels", "channel" } }),
+      WithHeaders(kAgents, { { "X-Trefoilarch-Labels", "channel" } }),
       kHello,
       400,
       "invalid_request" },
     { "a negative deadline",
-      With(kAgents, { { "X-Trefoilarch-Deadline-Ms", "-5" } }),
+      WithHeaders(kAgents, { { "X-Trefoilarch-Deadline-Ms", "-5" } }),
       kHello,
       400,
       "invalid_request" },
     { "idempotent neither true nor false",
-      With(kAgents, { { "X-Trefoilarch-Idempotent", "maybe" } }),
+      WithHeaders(kAgents, { { "X-Trefoilarch-Idempotent", "maybe" } }),
       kHello,
       400,
       "invalid_request" },
@@ -152,7 +153,7 @@
     ExpectRefusal(CallHttp("POST", url, item.mBody, item.mHeaders),
                   item.mStatus,
                   item.mKind,
-                  item.mWhat);
+                  item.mDescription);
   }
   ExpectRefusal(
     CallHttp("POST", fleet.EntryUrl() + "/v1/services/no-such/a", "x", kAgents),
@@ -166,27 +167,27 @@
   cr_assert(fleet.Executions().empty());
 }
 
-Test(refusals, an_unmeetable_deadline_is_refused_with_a_time_to_come_back)
+Test(refusals, an_unmeetable_deadline_is_refused_with_a_retry_time)
 {
   Fleet fleet({ .mEngineFlags = { "--max-running", "1" },
                 .mSidecarFlags = { "--most-running", "1" } });
   const auto running = fleet.Send(ChatRequest("drafting", 2000));
   cr_assert(running->AwaitBytes(500));
-  const auto start = fleet.Send(ChatRequest("drafting", 2000),
-                                0,
-                                { { "X-Trefoilarch-Deadline-Ms", "300" } });
-  const auto record = start->AwaitEnd();
+  const auto refused = fleet.Send(ChatRequest("drafting", 2000),
+                                  0,
+                                  { { "X-Trefoilarch-Deadline-Ms", "300" } });
+  const auto record = refused->AwaitEnd();
   cr_assert(record.mOutcome == CallOutcome::Refused,
             "%s: %s",
             Name(record.mOutcome).c_str(),
-            start->Body().c_str());
+            refused->Body().c_str());
   cr_assert(record.mRetryAfter > 0);
-  cr_assert(!start->Header("Retry-After").empty());
-  cr_assert(fleet.RunsOf(start->Mark()) == 0);
+  cr_assert(!refused->Header("Retry-After").empty());
+  cr_assert(fleet.RunsOf(refused->Mark()) == 0);
   cr_assert(record.mEnded - record.mSent < 5000);
 }
 
-Test(refusals, a_class_that_may_go_nowhere_is_refused)
+Test(refusals, a_class_without_eligible_upstreams_is_refused)
 {
   Fleet fleet({});
   const json changed = fleet.ChangePolicy(
--- a/tests/integration/repeatstest.cpp
+++ b/tests/integration/repeatstest.cpp
@@ -34,31 +34,31 @@
 }
 
 /**
- * All callers of one key: at most one run; the whole answer only if it ran;
- * none of it where every one of them was told that it has not run.
+ * Checks all calls with one key: at most one run; a complete response only if
+ * it ran; no run if all of them were reported as not run.
  */
 void
-ExpectOneRunAtMost(const Fleet& aFleet, const Calls& aCalls)
+ExpectAtMostOneRun(const Fleet& aFleet, const Calls& aCalls)
 {
-  bool anyWhole = false;
-  bool allToldNo = true;
+  bool anyComplete = false;
+  bool allReportedNotRun = true;
   for (const auto& call : aCalls) {
     const CallRecord record = call->AwaitEnd();
     cr_expect(record.mOutcome != CallOutcome::Open &&
                 record.mOutcome != CallOutcome::Wrong,
               "%s",
               Describe(aCalls).c_str());
-    anyWhole = anyWhole || record.mOutcome == CallOutcome::Complete;
-    allToldNo = allToldNo && record.mRan == "no";
+    anyComplete = anyComplete || record.mOutcome == CallOutcome::Complete;
+    allReportedNotRun = allReportedNotRun && record.mRan == "no";
   }
   const size_t runs = aFleet.RunsOf(aCalls.front()->Mark());
   cr_expect(runs <= 1, "%zu runs:%s", runs, Describe(aCalls).c_str());
-  cr_expect(!anyWhole || runs == 1, "%s", Describe(aCalls).c_str());
-  cr_expect(!allToldNo || runs == 0, "%s", Describe(aCalls).c_str());
+  cr_expect(!anyComplete || runs == 1, "%s", Describe(aCalls).c_str());
+  cr_expect(!allReportedNotRun || runs == 0, "%s", Describe(aCalls).c_str());
 }
 
 size_t
-WholeCount(const Calls& aCalls)
+CountComplete(const Calls& aCalls)
 {
   size_t count = 0;
   for (const auto& call : aCalls) {
@@ -67,7 +67,7 @@
   return count;
 }
 
-/** Sends the same request under the same key to both entries at once. */
+/** Sends a request with one idempotency key to both entries concurrently. */
 Calls
 SendAtOnce(Fleet& aFleet, const std::string& aMark, size_t aCount)
 {
@@ -92,12 +92,12 @@
   Fleet fleet(TwoEntries());
   for (int round = 0; round < 5; ++round) {
     const Calls calls = SendAtOnce(fleet, "key" + std::to_string(round), 6);
-    ExpectOneRunAtMost(fleet, calls);
-    cr_expect(WholeCount(calls) >= 1, "%s", Describe(calls).c_str());
+    ExpectAtMostOneRun(fleet, calls);
+    cr_expect(CountComplete(calls) >= 1, "%s", Describe(calls).c_str());
   }
 }
 
-Test(repeats, later_get_the_first_answer_or_an_honest_word)
+Test(repeats, later_get_the_first_answer_or_a_truthful_error)
 {
   Fleet fleet(TwoEntries());
   Calls calls;
@@ -106,7 +106,7 @@
       fleet.SendMarked(OnceRequest("drafting", 30, false), "key", entry));
     cr_assert(calls.back()->AwaitEnd().mOutcome != CallOutcome::Open);
   }
-  ExpectOneRunAtMost(fleet, calls);
+  ExpectAtMostOneRun(fleet, calls);
   cr_assert(calls.front()->Record().mOutcome == CallOutcome::Complete);
   for (size_t i = 1; i < calls.size(); ++i) {
     const CallRecord record = calls[i]->Record();
@@ -124,7 +124,7 @@
   for (size_t i = 0; i < 6; ++i) {
     calls.push_back(fleet.SendMarked(BookingRequest(), "seat", i % 2));
   }
-  ExpectOneRunAtMost(fleet, calls);
+  ExpectAtMostOneRun(fleet, calls);
 }
 
 Test(repeats, at_another_entry_after_the_first_died)
@@ -135,7 +135,7 @@
   cr_assert(calls.front()->AwaitBytes(300));
   fleet.Entry(0).Kill();
   calls.push_back(fleet.SendMarked(OnceRequest("drafting", 400), "key", 1));
-  ExpectOneRunAtMost(fleet, calls);
+  ExpectAtMostOneRun(fleet, calls);
   cr_expect(calls.back()->Record().mRan != "no", "%s", Describe(calls).c_str());
 }
 
@@ -146,7 +146,7 @@
     fleet.SendMarked(OnceRequest("drafting", 30, false), "first", 0, {});
   cr_assert(first->AwaitEnd().mOutcome == CallOutcome::Complete);
   auto other = OnceRequest("drafting", 30, false);
-  other.mIdempotent = true; // so that no key of its own is sent
+  other.mIdempotent = true; // so that it sends no key of its own
   const auto second =
     fleet.SendMarked(other,
                      "second",
@@ -185,7 +185,7 @@
     SetTable(fleet, { { "mode", "up" } });
     calls.push_back(
       fleet.SendMarked(OnceRequest("drafting", 60, false), mark, 1));
-    ExpectOneRunAtMost(fleet, calls);
+    ExpectAtMostOneRun(fleet, calls);
   }
 }
 
@@ -212,6 +212,6 @@
   }
   SetTable(fleet, { { "mode", "up" } });
   for (const auto& [mark, calls] : groups) {
-    ExpectOneRunAtMost(fleet, calls);
+    ExpectAtMostOneRun(fleet, calls);
   }
 }
--- a/tests/integration/silencetest.cpp
+++ b/tests/integration/silencetest.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-/** The aim is two seconds; the rest is for a busy machine. */
-constexpr int64_t kFoundWithin = 4000;
-/** An engine that says nothing to anyone may be at a long prefill: 3 s. */
-constexpr int64_t kFoundAloneWithin = 5000;
+/** The target is two seconds; the rest allows for a busy machine. */
+constexpr int64_t kMaxDetectionDelay = 4000;
+/** An engine silent on all calls may be in a long prefill: target 3 s. */
+constexpr int64_t kMaxSingleCallDetectionDelay = 5000;
 
 FleetOptions
 Proxied(size_t aEngines)
@@ -27,9 +27,9 @@
            .mProxyUpstreams = true };
 }
 
-/** Streams that may run once go on over a fresh channel, nothing lost. */
+/** Non-idempotent streams resume on a new channel without loss. */
 void
-CheckChannel(const char* aWay)
+CheckChannel(const char* aDirection)
 {
   Fleet fleet(Proxied(1));
   constexpr size_t kCalls = 6;
@@ -41,48 +41,49 @@
   for (const auto& call : calls) {
     cr_assert(call->AwaitBytes(2000));
   }
-  fleet.Upstream().mChannelProxy->Order({ { "silence", aWay } });
+  fleet.Upstream().mChannelProxy->Order({ { "silence", aDirection } });
   for (const auto& call : calls) {
     const CallRecord record = call->AwaitEnd();
     cr_expect(record.mOutcome == CallOutcome::Complete,
               "silent %s: %s %s",
-              aWay,
+              aDirection,
               Name(record.mOutcome).c_str(),
               record.mKind.c_str());
     cr_expect(fleet.RunsOf(call->Mark()) == 1);
-    criterion_info("silent %s: longest gap %ld ms", aWay, record.mMaxGap);
-    cr_expect(record.mMaxGap <= kFoundWithin,
+    criterion_info("silent %s: maximum gap %ld ms", aDirection, record.mMaxGap);
+    cr_expect(record.mMaxGap <= kMaxDetectionDelay,
               "silent %s: %ld ms",
-              aWay,
+              aDirection,
               record.mMaxGap);
   }
 }
 
 /**
- * Silences the connection of one long stream that may run once, while short
- * ones go on over new connections or not. Reports after how long it was found.
+ * Silences the connection of one long non-idempotent stream, with or without
+ * short streams on new connections. Returns the delay of the detection in
+ * milliseconds.
  */
 int64_t
-SilenceAnEngine(Fleet& aFleet, bool aOthersGoOn)
+MeasureDetectionDelay(Fleet& aFleet, bool aOthersContinue)
 {
-  const auto once = aFleet.Send(OnceRequest("mid-call", 3000));
-  cr_assert(once->AwaitBytes(2000));
-  const size_t at =
-    aFleet.Executions(once->Mark()).front().mUpstream == "engine-1" ? 0 : 1;
-  const int64_t struck = trefoilio::MonotonicNow().Count();
-  aFleet.Upstream(at).mUpstreamProxy->Order({ { "silence", "both" } });
-  while (aOthersGoOn && !once->HasEnded()) {
+  const auto longCall = aFleet.Send(OnceRequest("mid-call", 3000));
+  cr_assert(longCall->AwaitBytes(2000));
+  const size_t index =
+    aFleet.Executions(longCall->Mark()).front().mUpstream == "engine-1" ? 0 : 1;
+  const int64_t silencedAt = trefoilio::MonotonicNow().Count();
+  aFleet.Upstream(index).mUpstreamProxy->Order({ { "silence", "both" } });
+  while (aOthersContinue && !longCall->HasEnded()) {
     const auto other = aFleet.Send(ChatRequest("mid-call", 5));
     cr_expect(other->AwaitEnd().mOutcome == CallOutcome::Complete);
   }
-  const CallRecord record = once->AwaitEnd();
+  const CallRecord record = longCall->AwaitEnd();
   cr_expect(record.mOutcome == CallOutcome::Failed && record.mRan == "maybe",
             "%s %s",
             Name(record.mOutcome).c_str(),
             record.mKind.c_str());
-  cr_expect(aFleet.RunsOf(once->Mark()) == 1);
-  criterion_info("found after %ld ms", record.mEnded - struck);
-  return record.mEnded - struck;
+  cr_expect(aFleet.RunsOf(longCall->Mark()) == 1);
+  criterion_info("detected after %ld ms", record.mEnded - silencedAt);
+  return record.mEnded - silencedAt;
 }
 
 } // namespace
@@ -102,7 +103,7 @@
   CheckChannel("both");
 }
 
-Test(silence, of_an_idle_channel_costs_the_next_request_little)
+Test(silence, of_an_idle_channel_delays_the_next_request_little)
 {
   Fleet fleet(Proxied(1));
   cr_assert(fleet.Send(ChatRequest("mid-call", 5))->AwaitEnd().mOutcome ==
@@ -114,23 +115,23 @@
             "%s %s",
             Name(record.mOutcome).c_str(),
             record.mKind.c_str());
-  const int64_t span = record.mEnded - record.mSent;
-  criterion_info("answered after %ld ms", span);
-  cr_assert(span <= kFoundWithin, "%ld ms", span);
+  const int64_t delay = record.mEnded - record.mSent;
+  criterion_info("answered after %ld ms", delay);
+  cr_assert(delay <= kMaxDetectionDelay, "%ld ms", delay);
 }
 
 Test(silence, towards_an_engine_is_found_while_others_go_on)
 {
   Fleet fleet(Proxied(1));
-  const int64_t span = SilenceAnEngine(fleet, true);
-  cr_assert(span <= kFoundWithin, "%ld ms", span);
+  const int64_t delay = MeasureDetectionDelay(fleet, true);
+  cr_assert(delay <= kMaxDetectionDelay, "%ld ms", delay);
 }
 
 Test(silence, towards_an_engine_that_has_one_call_is_found)
 {
   Fleet fleet(Proxied(2));
-  const int64_t span = SilenceAnEngine(fleet, false);
-  cr_assert(span <= kFoundAloneWithin, "%ld ms", span);
+  const int64_t delay = MeasureDetectionDelay(fleet, false);
+  cr_assert(delay <= kMaxSingleCallDetectionDelay, "%ld ms", delay);
   const auto next = fleet.Send(ChatRequest("mid-call", 5));
   cr_expect(next->AwaitEnd().mOutcome == CallOutcome::Complete);
 }
@@ -142,9 +143,9 @@
   fleet.Upstream(1).Control({ { "stall", true } });
   const auto call = fleet.Send(ChatRequest("drafting", 20));
   cr_assert(Await([&] { return fleet.RunsOf(call->Mark()) == 1; }));
-  const size_t at =
+  const size_t index =
     fleet.Executions(call->Mark()).front().mUpstream == "engine-1" ? 0 : 1;
-  fleet.Upstream(at).mUpstreamProxy->Order({ { "silence", "both" } });
+  fleet.Upstream(index).mUpstreamProxy->Order({ { "silence", "both" } });
   fleet.Upstream(0).Control({ { "stall", false } });
   fleet.Upstream(1).Control({ { "stall", false } });
   const CallRecord record = call->AwaitEnd();
@@ -159,7 +160,7 @@
   Fleet fleet({ .mEntries = 2, .mProxyPlatform = true });
   const uint64_t before = fleet.PolicyVersion();
   fleet.PlatformProxy().Order({ { "silence", "both" } });
-  const int64_t struck = trefoilio::MonotonicNow().Count();
+  const int64_t silencedAt = trefoilio::MonotonicNow().Count();
   const json changed =
     fleet.ChangePolicy({ { { "op", "drain" }, { "upstream", "engine-9" } } });
   cr_assert(changed["status"] == 200 || changed["status"] == 503,
@@ -168,7 +169,7 @@
   cr_assert(Await([&] {
     return fleet.PolicyVersion(0) > before && fleet.PolicyVersion(1) > before;
   }));
-  const int64_t span = trefoilio::MonotonicNow().Count() - struck;
-  criterion_info("in force after %ld ms", span);
-  cr_assert(span <= 2 * kFoundWithin, "%ld ms", span);
+  const int64_t delay = trefoilio::MonotonicNow().Count() - silencedAt;
+  criterion_info("in force after %ld ms", delay);
+  cr_assert(delay <= 2 * kMaxDetectionDelay, "%ld ms", delay);
 }
--- a/tests/integration/standinstest.cpp
+++ b/tests/integration/standinstest.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/** An engine alone, and callers that reach it directly. */
-struct EngineAlone
+/** An engine without a sidecar, and callers that connect to it directly. */
+struct StandaloneEngine
 {
-  explicit EngineAlone(std::vector<std::string> aFlags = {})
+  explicit StandaloneEngine(std::vector<std::string> aFlags = {})
     : mEngine("trefoilarch-engine", std::move(aFlags))
     , mAddress(mEngine.Address("engine"))
     , mUrl("http://" + mAddress)
@@ -101,13 +101,13 @@
 
 Test(standins, an_engine_answers_cancels_and_crashes)
 {
-  EngineAlone engine;
-  const auto whole = engine.Send(ChatRequest("mid-call", 30), "whole");
-  cr_assert(whole->AwaitEnd().mOutcome == CallOutcome::Complete);
+  StandaloneEngine engine;
+  const auto complete = engine.Send(ChatRequest("mid-call", 30), "whole");
+  cr_assert(complete->AwaitEnd().mOutcome == CallOutcome::Complete);
   cr_assert(engine.Execution("whole")["tokens"] == 30);
-  const auto left = engine.Send(ChatRequest("mid-call", 5000), "left");
-  cr_assert(left->AwaitBytes(1000));
-  left->Leave();
+  const auto cancelled = engine.Send(ChatRequest("mid-call", 5000), "left");
+  cr_assert(cancelled->AwaitBytes(1000));
+  cancelled->Leave();
   cr_assert(
     Await([&] { return engine.Execution("left")["cancelled"] == true; }));
   PostJson(engine.mUrl + "/control", { { "crash_after_tokens", 10 } });
@@ -116,9 +116,9 @@
   cr_assert(engine.Execution("crashed")["crashed"] == true);
 }
 
-Test(standins, an_engine_takes_the_urgent_first)
+Test(standins, an_engine_starts_the_most_urgent_request_first)
 {
-  EngineAlone engine({ "--max-running", "1" });
+  StandaloneEngine engine({ "--max-running", "1" });
   const auto running = engine.Send(ChatRequest("mid-call", 5000), "running", 1);
   cr_assert(running->AwaitBytes(1));
   const auto later = engine.Send(ChatRequest("mid-call", 60), "later", 5);
@@ -132,7 +132,7 @@
 
 Test(standins, an_engine_refuses_an_old_fencing_number)
 {
-  EngineAlone engine;
+  StandaloneEngine engine;
   const auto order = [&](const char* aNumber) {
     return CallHttp("POST",
                     engine.mUrl + "/v1/load_lora_adapter",
@@ -142,35 +142,36 @@
   };
   cr_assert(order("7") == 200);
   cr_assert(order("6") == 409);
-  EngineAlone careless({ "--fencing", "ignore" });
+  StandaloneEngine unfenced({ "--fencing", "ignore" });
   cr_assert(CallHttp("POST",
-                     careless.mUrl + "/v1/load_model",
+                     unfenced.mUrl + "/v1/load_model",
                      R"({"model":"ferry"})",
                      { { "X-Fencing-Number", "1" } })
               .mStatus == 200);
 }
 
-Test(standins, a_proxy_silences_the_old_and_lets_the_new_through)
+Test(standins, a_proxy_silences_old_connections_and_relays_new_ones)
 {
-  EngineAlone engine;
+  StandaloneEngine engine;
   const Proxy proxy(engine.mAddress);
   const std::string url = "http://" + proxy.Address();
-  const auto old = engine.Send(ChatRequest("mid-call", 3000), "old", 0, url);
-  cr_assert(old->AwaitBytes(1000));
+  const auto oldCall =
+    engine.Send(ChatRequest("mid-call", 3000), "old", 0, url);
+  cr_assert(oldCall->AwaitBytes(1000));
   proxy.Order({ { "silence", "both" } });
   cr_assert(Await([&] { return proxy.Counts()["swallowed"] > 10000; }));
-  const size_t frozen = old->Body().size();
-  const auto fresh = engine.Send(ChatRequest("mid-call", 30), "new", 0, url);
-  cr_assert(fresh->AwaitEnd().mOutcome == CallOutcome::Complete);
-  cr_assert(old->Body().size() == frozen);
-  cr_assert(!old->HasEnded());
+  const size_t oldSize = oldCall->Body().size();
+  const auto newCall = engine.Send(ChatRequest("mid-call", 30), "new", 0, url);
+  cr_assert(newCall->AwaitEnd().mOutcome == CallOutcome::Complete);
+  cr_assert(oldCall->Body().size() == oldSize);
+  cr_assert(!oldCall->HasEnded());
   proxy.Order({ { "cut", true } });
-  cr_assert(old->AwaitEnd().mOutcome == CallOutcome::Unanswered);
+  cr_assert(oldCall->AwaitEnd().mOutcome == CallOutcome::Unanswered);
 }
 
-Test(standins, a_proxy_cuts_after_so_many_bytes_and_delays)
+Test(standins, a_proxy_cuts_after_a_byte_limit_and_delays)
 {
-  EngineAlone engine;
+  StandaloneEngine engine;
   const Proxy proxy(engine.mAddress);
   const std::string url = "http://" + proxy.Address();
   proxy.Order({ { "cut_after_bytes", 2000 } });
--- a/tests/integration/temporaryfolder.h
+++ b/tests/integration/temporaryfolder.h
@@ -4,7 +4,7 @@
 
 namespace integration {
 
-/** A folder of a test's own that goes with the object. */
+/** A temporary folder that the destructor removes. */
 class TemporaryFolder
 {
 public:
--- a/tests/integration/verdict.cpp
+++ b/tests/integration/verdict.cpp
@@ -10,21 +10,25 @@
 namespace {
 
 std::string
-BrokenEnd(const CallRecord& aRecord, size_t aRuns, const Promise& aPromise)
+FindOutcomeViolation(const CallRecord& aRecord,
+                     size_t aRuns,
+                     const Promise& aPromise)
 {
   switch (aRecord.mOutcome) {
     case CallOutcome::Open:
       return "never ended";
     case CallOutcome::Wrong:
-      return "a wrong answer";
+      return "wrong response";
     case CallOutcome::Unanswered:
-      return aPromise.mEntryMayDie ? "" : "cut without a word";
+      return aPromise.mEntryMayDie ? ""
+                                   : "connection closed without a response";
     case CallOutcome::Complete:
-      return aRuns == 0 ? "answered without a run" : "";
+      return aRuns == 0 ? "complete response without an execution" : "";
     case CallOutcome::Refused:
-      return aRuns != 0 ? "told not run, but run" : "";
+      return aRuns != 0 ? "reported as not run, but run" : "";
     case CallOutcome::Failed:
-      return aRecord.mRan == "no" && aRuns != 0 ? "told not run, but run" : "";
+      return aRecord.mRan == "no" && aRuns != 0 ? "reported as not run, but run"
+                                                : "";
   }
   return "";
 }
@@ -36,14 +40,14 @@
 {
   const CallRecord record = aCall.AwaitEnd();
   const size_t runs = aFleet.RunsOf(aCall.Mark());
-  std::string broken = BrokenEnd(record, runs, aPromise);
-  if (broken.empty() && !aPromise.mIdempotent && runs > 1) {
-    broken = "not idempotent, but run more than once";
+  std::string violation = FindOutcomeViolation(record, runs, aPromise);
+  if (violation.empty() && !aPromise.mIdempotent && runs > 1) {
+    violation = "not idempotent, but run more than once";
   }
-  if (broken.empty()) {
+  if (violation.empty()) {
     return "";
   }
-  return aCall.Mark() + ": " + broken + " (" + Name(record.mOutcome) +
+  return aCall.Mark() + ": " + violation + " (" + Name(record.mOutcome) +
          ", status " + std::to_string(record.mStatus) + ", kind " +
          record.mKind + ", ran " + record.mRan + ", " + std::to_string(runs) +
          " runs)";
--- a/tests/integration/verdict.h
+++ b/tests/integration/verdict.h
@@ -9,18 +9,18 @@
 
 class Fleet;
 
-/** What must hold for one request, whatever fails. */
+/** The guarantees that apply to one request under any fault. */
 struct Promise
 {
   bool mIdempotent = true;
-  /** The entry may have died under it: no word at all is no fault then. */
+  /** The entry may have died: no response at all is allowed then. */
   bool mEntryMayDie = false;
 };
 
 /**
- * What is broken about an ended request, in words; empty where all holds: the
- * whole answer and no other, or an honest end; at most one run unless
- * idempotent; no run at all where the caller was told so.
+ * Waits for the end of a request and describes the guarantee it violates;
+ * empty if none. It must get its complete response or a truthful error, run
+ * at most once unless idempotent, and not run if the error says so.
  */
 std::string
 FindViolation(const Fleet& aFleet, const OpenCall& aCall, Promise aPromise);
