--- a/tests/integration/atmostoncetest.cpp
+++ b/tests/integration/atmostoncetest.cpp
@@ -35,7 +35,7 @@
 
 /** Sends non-idempotent requests to both entries, streamed and not. */
 void
-SendWave(Fleet& aFleet, Calls& aCalls, size_t aCount)
+SendBatch(Fleet& aFleet, Calls& aCalls, size_t aCount)
 {
   for (size_t i = 0; i < aCount; ++i) {
     const auto request = OnceRequest("drafting", 150, i % 4 != 3);
@@ -56,18 +56,18 @@
   aFleet.Upstream(aEngine).Control({ { "stall", aStalled } });
 }
 
-/** Sends the first wave and waits until it has reached the phase. */
+/** Sends the first batch and waits until it has reached the phase. */
 void
 ReachPhase(Fleet& aFleet, Calls& aCalls, Phase aPhase)
 {
   if (aPhase == Phase::Answering) {
-    SendWave(aFleet, aCalls, 10);
+    SendBatch(aFleet, aCalls, 10);
     cr_assert(aCalls.front()->AwaitBytes(300));
     return;
   }
   SetStalled(aFleet, 0, true);
   SetStalled(aFleet, 1, true);
-  SendWave(aFleet, aCalls, 10);
+  SendBatch(aFleet, aCalls, 10);
   cr_assert(Await([&] { return aFleet.Executions().size() == 4; }));
   SetStalled(aFleet, 1, false);
 }
@@ -98,7 +98,7 @@
   Calls calls;
   ReachPhase(fleet, calls, aPhase);
   aFault.mInject(fleet, 0);
-  SendWave(fleet, calls, 4);
+  SendBatch(fleet, calls, 4);
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
   aFault.mUndo(fleet, 0);
   SetStalled(fleet, 0, false);
--- a/tests/integration/await.cpp
+++ b/tests/integration/await.cpp
@@ -8,12 +8,12 @@
 namespace integration {
 
 bool
-Await(const std::function<bool()>& aCondition, trefoilarch::Millis aLimit)
+Await(const std::function<bool()>& aCondition, trefoilarch::Millis aTimeout)
 {
   constexpr std::chrono::milliseconds kInterval(10);
-  const trefoilarch::Millis end = trefoilio::MonotonicNow() + aLimit;
+  const trefoilarch::Millis deadline = trefoilio::MonotonicNow() + aTimeout;
   while (!aCondition()) {
-    if (trefoilio::MonotonicNow() > end) {
+    if (trefoilio::MonotonicNow() > deadline) {
       return false;
     }
     std::this_thread::sleep_for(kInterval);
--- a/tests/integration/await.h
+++ b/tests/integration/await.h
@@ -12,6 +12,6 @@
 /** Waits until the condition holds; returns false on a timeout. */
 bool
 Await(const std::function<bool()>& aCondition,
-      trefoilarch::Millis aLimit = kDefaultTimeout);
+      trefoilarch::Millis aTimeout = kDefaultTimeout);
 
 } // namespace integration
--- a/tests/integration/badinputtest.cpp
+++ b/tests/integration/badinputtest.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-const std::string kHead = "POST /v1/chat/completions HTTP/1.1\r\n"
-                          "Host: entry\r\n"
-                          "X-Trefoilarch-Workspace: public\r\n"
-                          "Content-Type: application/json\r\n";
+const std::string kRequestHead = "POST /v1/chat/completions HTTP/1.1\r\n"
+                                 "Host: entry\r\n"
+                                 "X-Trefoilarch-Workspace: public\r\n"
+                                 "Content-Type: application/json\r\n";
 
 /** Small limits that a test reaches quickly. */
 FleetOptions
@@ -29,16 +29,16 @@
 }
 
 std::string
-Chat(const std::string& aContent)
+ChatBody(const std::string& aContent)
 {
   return R"({"model":"base","messages":[{"role":"user","content":")" +
          aContent + R"("}]})";
 }
 
 std::string
-WithLength(const std::string& aBody)
+RequestWithLength(const std::string& aBody)
 {
-  return kHead + "Content-Length: " + std::to_string(aBody.size()) +
+  return kRequestHead + "Content-Length: " + std::to_string(aBody.size()) +
          "\r\n\r\n" + aBody;
 }
 
@@ -90,12 +90,12 @@
 {
   Fleet fleet(TightLimits());
   const RawCaller caller(fleet.EntryUrl());
-  cr_assert(caller.Send(WithLength(Chat(std::string(30000, 'a')))));
+  cr_assert(caller.Send(RequestWithLength(ChatBody(std::string(30000, 'a')))));
   ExpectStatus(caller.ReadAll(), "413", "body_too_large");
   const RawCaller chunked(fleet.EntryUrl());
-  chunked.Send(kHead + "Transfer-Encoding: chunked\r\n\r\n");
-  const std::string piece(10000, 'a');
-  for (int i = 0; i < 100 && chunked.Send("2710\r\n" + piece + "\r\n"); ++i) {
+  chunked.Send(kRequestHead + "Transfer-Encoding: chunked\r\n\r\n");
+  const std::string chunk(10000, 'a');
+  for (int i = 0; i < 100 && chunked.Send("2710\r\n" + chunk + "\r\n"); ++i) {
   }
   chunked.Send("0\r\n\r\n");
   const std::string answer = chunked.ReadAll();
@@ -110,7 +110,7 @@
 {
   Fleet fleet(TightLimits());
   const RawCaller caller(fleet.EntryUrl());
-  caller.Send(kHead + "X-Long: " + std::string(12000, 'a') + "\r\n" +
+  caller.Send(kRequestHead + "X-Long: " + std::string(12000, 'a') + "\r\n" +
               "Content-Length: 2\r\n\r\n{}");
   ExpectStatus(caller.ReadAll(), "431", "header_too_large");
   cr_assert(SumCounter(fleet, "kind=\"header_too_large\"") >= 1);
@@ -121,7 +121,7 @@
 {
   Fleet fleet(TightLimits());
   const RawCaller caller(fleet.EntryUrl());
-  caller.Send(WithLength("{\"model\":\"base\",\"messages\":[{]}"));
+  caller.Send(RequestWithLength("{\"model\":\"base\",\"messages\":[{]}"));
   ExpectStatus(caller.ReadAll(2000), "400", "invalid_request");
   cr_assert(SumCounter(fleet, "kind=\"invalid_request\"") >= 1);
   cr_assert(fleet.Executions().empty());
@@ -133,7 +133,7 @@
   Fleet fleet(TightLimits());
   for (int i = 0; i < 10; ++i) {
     const RawCaller caller(fleet.EntryUrl());
-    caller.Send(kHead + "Content-Length: 500\r\n\r\n" + Chat("cut"));
+    caller.Send(kRequestHead + "Content-Length: 500\r\n\r\n" + ChatBody("cut"));
   }
   ExpectUnharmed(fleet);
   cr_assert(fleet.Executions().size() == 1);
@@ -145,7 +145,7 @@
   std::vector<std::unique_ptr<RawCaller>> slow;
   for (int i = 0; i < 20; ++i) {
     slow.push_back(std::make_unique<RawCaller>(fleet.EntryUrl()));
-    slow.back()->Send(kHead + "Content-Length: 500\r\n\r\n{\"model\":");
+    slow.back()->Send(kRequestHead + "Content-Length: 500\r\n\r\n{\"model\":");
   }
   ExpectUnharmed(fleet);
   for (const auto& caller : slow) {
--- a/tests/integration/cancellationtest.cpp
+++ b/tests/integration/cancellationtest.cpp
@@ -110,14 +110,14 @@
   first->Leave();
   cr_assert(Await([&] { return OnlyExecution(fleet, "seat").mFinished; }));
   cr_assert(!OnlyExecution(fleet, "seat").mCancelled);
-  std::string last;
+  std::string lastOutcome;
   cr_assert(Await([&] {
               const auto repeat = fleet.SendMarked(BookingRequest(), "seat", 0);
               const auto record = repeat->AwaitEnd();
-              last = Name(record.mOutcome) + " " + record.mKind;
+              lastOutcome = Name(record.mOutcome) + " " + record.mKind;
               return record.mOutcome == CallOutcome::Complete;
             }),
             "%s",
-            last.c_str());
+            lastOutcome.c_str());
   cr_assert(fleet.RunsOf("seat") == 1);
 }
--- a/tests/integration/claimservicetest.cpp
+++ b/tests/integration/claimservicetest.cpp
@@ -133,7 +133,7 @@
   cr_assert(fixture.mFirst->Claim(3, "k").mOutcome == ClaimOutcome::InProgress);
 }
 
-Test(claimservice, a_claim_whose_entry_is_gone_stays_taken)
+Test(claimservice, a_claim_of_a_stopped_entry_stays_taken)
 {
   ClaimFixture fixture;
   cr_assert(fixture.mFirst->Claim(1, "k").mOutcome == ClaimOutcome::Run);
--- a/tests/integration/endtoendtest.cpp
+++ b/tests/integration/endtoendtest.cpp
@@ -26,10 +26,12 @@
   Fleet fleet(SmallFleet());
   for (size_t entry = 0; entry < 2; ++entry) {
     const auto streamed = fleet.Send(ChatRequest("mid-call", 40), entry);
-    const auto whole = fleet.Send(ChatRequest("drafting", 60, false), entry);
-    const auto once = fleet.Send(OnceRequest("drafting", 10), entry);
+    const auto unstreamed =
+      fleet.Send(ChatRequest("drafting", 60, false), entry);
+    const auto nonIdempotent = fleet.Send(OnceRequest("drafting", 10), entry);
     const auto booking = fleet.Send(BookingRequest(), entry);
-    for (const auto* call : { &streamed, &whole, &once, &booking }) {
+    for (const auto* call :
+         { &streamed, &unstreamed, &nonIdempotent, &booking }) {
       const CallRecord record = (*call)->AwaitEnd();
       cr_assert(record.mOutcome == CallOutcome::Complete,
                 "%s: %s",
--- a/tests/integration/fleet.cpp
+++ b/tests/integration/fleet.cpp
@@ -291,9 +291,9 @@
 json
 Fleet::ChangePolicy(const json& aOperations,
                     size_t aEntry,
-                    std::optional<uint64_t> aBase)
+                    std::optional<uint64_t> aBaseVersion)
 {
-  const json base = aBase ? json(*aBase) : json();
+  const json base = aBaseVersion ? json(*aBaseVersion) : json();
   const std::string id = "change-" + std::to_string(++mChangeCount) + "-" +
                          std::to_string(mPlatform->Id());
   return PostJson(OperatorUrl(aEntry) + "/v1/policy/changes",
@@ -325,15 +325,15 @@
                   size_t aEntry,
                   const trefoilio::HttpHeaders& aExtraHeaders)
 {
-  trefoilio::HttpRequest sent = trefoilload::BuildRequest(
+  trefoilio::HttpRequest httpRequest = trefoilload::BuildRequest(
     aRequest, aMark, EntryUrl(aEntry), { { "agents", "secret-of-agents" } });
   for (const auto& header : aExtraHeaders) {
-    std::erase_if(sent.mHeaders, [&](const auto& aOther) {
+    std::erase_if(httpRequest.mHeaders, [&](const auto& aOther) {
       return aOther.first == header.first;
     });
-    sent.mHeaders.push_back(header);
+    httpRequest.mHeaders.push_back(header);
   }
-  return std::make_unique<OpenCall>(*mRunner, aRequest, sent, aMark);
+  return std::make_unique<OpenCall>(*mRunner, aRequest, httpRequest, aMark);
 }
 
 std::vector<ExecutionRecord>
--- a/tests/integration/fleet.h
+++ b/tests/integration/fleet.h
@@ -113,9 +113,10 @@
   bool AwaitReady(size_t aEntry) const;
 
   /** Changes the policy through an entry; returns status and body. */
-  nlohmann::json ChangePolicy(const nlohmann::json& aOperations,
-                              size_t aEntry = 0,
-                              std::optional<uint64_t> aBase = std::nullopt);
+  nlohmann::json ChangePolicy(
+    const nlohmann::json& aOperations,
+    size_t aEntry = 0,
+    std::optional<uint64_t> aBaseVersion = std::nullopt);
   uint64_t PolicyVersion(size_t aEntry = 0) const;
 
   /** Sends a request to an entry. An idempotency key makes it repeatable. */
--- a/tests/integration/orderservicetest.cpp
+++ b/tests/integration/orderservicetest.cpp
@@ -151,7 +151,7 @@
 };
 
 json
-Load(const std::string& aId, const std::string& aName)
+LoadOrder(const std::string& aId, const std::string& aName)
 {
   return { { "id", aId },
            { "kind", "load_adapter" },
@@ -165,8 +165,8 @@
 {
   OrderFixture fixture;
   const auto sidecar = fixture.Sidecar("a");
-  cr_assert(sidecar->Post(Load("1", "riga")) == 202);
-  cr_assert(sidecar->Post(Load("1", "riga")) == 409);
+  cr_assert(sidecar->Post(LoadOrder("1", "riga")) == 202);
+  cr_assert(sidecar->Post(LoadOrder("1", "riga")) == 409);
   cr_assert(sidecar->Post({ { "id", "2" }, { "kind", "reboot" } }) == 422);
   cr_assert(sidecar->AwaitStatus("1", "done"));
   cr_assert(fixture.Serves("riga"));
@@ -181,11 +181,11 @@
   for (const bool checks : { true, false }) {
     OrderFixture fixture(checks);
     auto first = fixture.Sidecar("a");
-    first->Post(Load("1", "riga"));
+    first->Post(LoadOrder("1", "riga"));
     cr_assert(first->AwaitStatus("1", "done"));
     first.reset();
     const auto second = fixture.Sidecar("b");
-    second->Post(Load("2", "tallinn"));
+    second->Post(LoadOrder("2", "tallinn"));
     cr_assert(second->AwaitStatus("2", "done"));
     cr_assert(fixture.Serves("tallinn"));
     const json orders = GetJson(fixture.mEngineUrl + "/orders")["orders"];
@@ -200,7 +200,7 @@
   fixture.SetTable("lose_answers", 0.3);
   const auto sidecar = fixture.Sidecar("a");
   for (const char* id : { "1", "2", "3" }) {
-    sidecar->Post(Load(id, id));
+    sidecar->Post(LoadOrder(id, id));
     cr_assert(sidecar->AwaitStatus(id, "done"));
   }
 }
@@ -210,7 +210,7 @@
 {
   OrderFixture fixture(false, { "--order-ms", "3000" });
   const auto sidecar = fixture.Sidecar("a", Millis(4000));
-  sidecar->Post(Load("1", "riga"));
+  sidecar->Post(LoadOrder("1", "riga"));
   cr_assert(sidecar->AwaitStatus("1", "unknown"));
   cr_assert(Await([&] { return fixture.Serves("riga"); }));
 }
@@ -220,11 +220,11 @@
 {
   OrderFixture fixture(false, { "--order-ms", "1000" });
   SidecarDaemon first(fixture, "a");
-  first.Post(Load("1", "riga"));
+  first.Post(LoadOrder("1", "riga"));
   const auto fencingNumbers = [&fixture] {
     std::vector<uint64_t> numbers;
-    const json seen = GetJson(fixture.mEngineUrl + "/orders");
-    for (const json& order : seen["orders"]) {
+    const json engineOrders = GetJson(fixture.mEngineUrl + "/orders");
+    for (const json& order : engineOrders["orders"]) {
       numbers.push_back(order["fencing"].get<uint64_t>());
     }
     return numbers;
@@ -232,11 +232,11 @@
   cr_assert(Await([&] { return fixture.TableWrites() > 0; }));
   first.Child().Signal(SIGSTOP);
   SidecarDaemon second(fixture, "b");
-  second.Post(Load("2", "tallinn"));
+  second.Post(LoadOrder("2", "tallinn"));
   cr_assert(
     Await([&] { return second.StatusOf("2") == "done"; }, Millis(60000)));
   first.Child().Signal(SIGCONT);
-  first.Post(Load("3", "vilnius"));
+  first.Post(LoadOrder("3", "vilnius"));
   cr_assert(
     Await([&] { return first.StatusOf("3") == "done"; }, Millis(60000)));
   const auto numbers = fencingNumbers();
--- a/tests/integration/plannedstoptest.cpp
+++ b/tests/integration/plannedstoptest.cpp
@@ -152,7 +152,7 @@
   });
 }
 
-Test(plannedstop, leaving_by_the_operators_drain)
+Test(plannedstop, leaving_by_an_operators_drain)
 {
   CheckLeaving([](Fleet& aFleet, UpstreamHost& aHost) {
     const json changed = aFleet.ChangePolicy(
--- a/tests/integration/policytest.cpp
+++ b/tests/integration/policytest.cpp
@@ -97,10 +97,10 @@
   cr_assert(AwaitInForce(fleet, 1, base));
   json first;
   json second;
-  std::thread other(
+  std::thread otherOperator(
     [&] { second = fleet.ChangePolicy(SetLabel("two"), 1, base); });
   first = fleet.ChangePolicy(SetLabel("one"), 0, base);
-  other.join();
+  otherOperator.join();
   const json& winner = first["status"] == 200 ? first : second;
   const json& loser = first["status"] == 200 ? second : first;
   cr_assert(winner["status"] == 200, "%s", winner.dump().c_str());
@@ -133,11 +133,11 @@
   cr_assert(outcome["version"] == changed["body"]["version"]);
   cr_assert(GetJson(base + "/never-sent")["status"] == "not_accepted");
   // A change reported as "not accepted" is never accepted later.
-  const json late = PostJson(base,
-                             { { "id", "never-sent" },
-                               { "author", "test" },
-                               { "operations", SetLabel("late") } });
-  cr_assert(late["status"] == 409, "%s", late.dump().c_str());
+  const json lateChange = PostJson(base,
+                                   { { "id", "never-sent" },
+                                     { "author", "test" },
+                                     { "operations", SetLabel("late") } });
+  cr_assert(lateChange["status"] == 409, "%s", lateChange.dump().c_str());
   const json history = GetJson(base + "?after=0")["changes"];
   cr_assert(history.at(0)["version"] == 1);
   cr_assert(history.at(1)["author"] == "test");
--- a/tests/integration/rawcaller.cpp
+++ b/tests/integration/rawcaller.cpp
@@ -38,19 +38,21 @@
 }
 
 std::string
-RawCaller::ReadAll(int aQuietMillis) const
+RawCaller::ReadAll(int aIdleTimeoutMillis) const
 {
-  return ReadUntil("", aQuietMillis);
+  return ReadUntil("", aIdleTimeoutMillis);
 }
 
 std::string
-RawCaller::ReadUntil(const std::string& aEnd, int aQuietMillis) const
+RawCaller::ReadUntil(const std::string& aSuffix, int aIdleTimeoutMillis) const
 {
   std::string text;
   std::array<char, 4096> bytes;
   pollfd wait{ .fd = mSocket, .events = POLLIN, .revents = 0 };
-  const auto isComplete = [&] { return !aEnd.empty() && text.ends_with(aEnd); };
-  while (!isComplete() && poll(&wait, 1, aQuietMillis) > 0) {
+  const auto isComplete = [&] {
+    return !aSuffix.empty() && text.ends_with(aSuffix);
+  };
+  while (!isComplete() && poll(&wait, 1, aIdleTimeoutMillis) > 0) {
     const ssize_t count = recv(mSocket, bytes.data(), bytes.size(), 0);
     if (count <= 0) {
       break;
--- a/tests/integration/rawcaller.h
+++ b/tests/integration/rawcaller.h
@@ -16,10 +16,10 @@
 
   bool Send(const std::string& aText) const;
   /** Reads until the peer closes or sends nothing for that long. */
-  std::string ReadAll(int aQuietMillis = 15000) const;
+  std::string ReadAll(int aIdleTimeoutMillis = 15000) const;
   /** Like ReadAll(), but also ends at the suffix, unless it is empty. */
-  std::string ReadUntil(const std::string& aEnd,
-                        int aQuietMillis = 15000) const;
+  std::string ReadUntil(const std::string& aSuffix,
+                        int aIdleTimeoutMillis = 15000) const;
 
 private:
   int mSocket;
--- a/tests/integration/repeatstest.cpp
+++ b/tests/integration/repeatstest.cpp
@@ -145,10 +145,10 @@
   const auto first =
     fleet.SendMarked(OnceRequest("drafting", 30, false), "first", 0, {});
   cr_assert(first->AwaitEnd().mOutcome == CallOutcome::Complete);
-  auto other = OnceRequest("drafting", 30, false);
-  other.mIdempotent = true; // so that it sends no key of its own
+  auto otherRequest = OnceRequest("drafting", 30, false);
+  otherRequest.mIdempotent = true; // so that it sends no key of its own
   const auto second =
-    fleet.SendMarked(other,
+    fleet.SendMarked(otherRequest,
                      "second",
                      1,
                      { { "Idempotency-Key", "first" },
--- a/tests/integration/standinstest.cpp
+++ b/tests/integration/standinstest.cpp
@@ -32,12 +32,12 @@
                                  int aPriority = 0,
                                  const std::string& aUrl = "")
   {
-    auto sent = trefoilload::BuildRequest(
+    auto httpRequest = trefoilload::BuildRequest(
       aRequest, aMark, aUrl.empty() ? mUrl : aUrl, {});
-    json body = json::parse(sent.mBody);
+    json body = json::parse(httpRequest.mBody);
     body["priority"] = aPriority;
-    sent.mBody = body.dump();
-    return std::make_unique<OpenCall>(mRunner, aRequest, sent, aMark);
+    httpRequest.mBody = body.dump();
+    return std::make_unique<OpenCall>(mRunner, aRequest, httpRequest, aMark);
   }
 
   json Execution(const std::string& aMark) const
@@ -179,8 +179,8 @@
   cr_assert(cut->AwaitEnd().mOutcome == CallOutcome::Unanswered);
   cr_assert(cut->Body().size() < 2000);
   proxy.Order({ { "cut_after_bytes", 0 }, { "delay_ms", 150 } });
-  const auto late = engine.Send(ChatRequest("mid-call", 5), "late", 0, url);
-  const auto record = late->AwaitEnd();
+  const auto delayed = engine.Send(ChatRequest("mid-call", 5), "late", 0, url);
+  const auto record = delayed->AwaitEnd();
   cr_assert(record.mOutcome == CallOutcome::Complete);
   cr_assert(record.mFirst - record.mSent >= 290);
 }
